--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -1,34 +1,34 @@
 //! What is loaded on the engines that this process owns.
 
 mod adapters;
-mod answer;
-mod close;
-mod crowd;
+mod concurrency_limit;
 mod demand;
-mod describe;
+mod desired_loads;
+mod diagnostics;
 mod engine;
-mod gaps;
+mod engine_state;
+mod estimates;
 mod gate;
 mod history;
-mod ledger;
+mod inter_arrival;
 mod load;
+mod load_metrics;
+mod load_slots;
 mod load_times;
-mod own;
-mod pacing;
+mod owned_engines;
 mod peers;
+mod pending_orders;
+mod pipelining;
 mod policy;
+mod power_shortage;
+mod published_view;
+mod publishing;
+mod rehoming;
 mod replicas;
 mod reservation;
-mod shortage;
-mod stages;
-mod tally;
-mod told;
-mod turnaround;
+mod unload;
 mod unserved;
 mod usage;
-mod views;
-mod wants;
-mod wishes;
 
 use std::time::Duration;
 
@@ -40,16 +40,16 @@
 use crate::id::{ModelName, OrderId, UpstreamId};
 use crate::loading::demand::Demand;
 use crate::loading::engine::Engine;
+use crate::loading::engine_state::ReportStatus;
 use crate::loading::gate::LoadKey;
 use crate::loading::history::History;
-use crate::loading::ledger::Answered;
+use crate::loading::load_metrics::LoadMetrics;
+use crate::loading::load_slots::LoadSlots;
 use crate::loading::load_times::LoadTimes;
-use crate::loading::own::OwnEngines;
-use crate::loading::pacing::Pacing;
-use crate::loading::shortage::Shortages;
-use crate::loading::stages::ReportNews;
-use crate::loading::tally::Tally;
-use crate::loading::unserved::Unserved;
+use crate::loading::owned_engines::OwnedEngines;
+use crate::loading::pending_orders::Answered;
+use crate::loading::power_shortage::PowerShortages;
+use crate::loading::unserved::UnservedTargets;
 use crate::loading::usage::Usage;
 use crate::rules::ServiceOrder;
 use crate::time::Time;
@@ -57,7 +57,7 @@
 use crate::upstream::{EngineReport, Order, OrderAnswer};
 
 /// How often the policy looks at what is idle.
-const REVIEW_EVERY: Duration = Duration::from_millis(500);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The loads, unloads and memory of the engines that one process owns.
 #[derive(Debug, Default)]
@@ -66,25 +66,25 @@
     demand: Demand,
     usage: Usage,
     history: History,
-    own: OwnEngines,
-    shortages: Shortages,
-    pacing: Pacing,
+    owned_engines: OwnedEngines,
+    power_shortages: PowerShortages,
+    load_slots: LoadSlots,
     load_times: LoadTimes,
-    tally: Tally,
-    unserved: Unserved,
+    load_metrics: LoadMetrics,
+    unserved: UnservedTargets,
 }
 
 /// What a decision on one engine needs beside the engine.
-struct Beside<'a> {
+struct DecisionContext<'a> {
     authority: &'a dyn Authority,
     demand: &'a Demand,
     usage: &'a Usage,
     history: &'a mut History,
-    own: &'a OwnEngines,
-    shortages: &'a Shortages,
-    pacing: &'a mut Pacing,
+    owned_engines: &'a OwnedEngines,
+    power_shortages: &'a PowerShortages,
+    load_slots: &'a mut LoadSlots,
     load_times: &'a mut LoadTimes,
-    tally: &'a mut Tally,
+    load_metrics: &'a mut LoadMetrics,
 }
 
 impl Loading {
@@ -97,15 +97,15 @@
     pub fn on_ownership(&mut self, cx: &mut Cx<'_>, change: &OwnershipChange) {
         match change {
             OwnershipChange::Acquired { engine, fence, late_orders_until } => {
-                self.pacing.release_engine(cx, engine);
-                let mut acquired = Engine::acquired(engine.clone(), *fence, *late_orders_until, cx.now);
+                self.load_slots.release_engine(cx, engine);
+                let mut acquired = Engine::new(engine.clone(), *fence, *late_orders_until, cx.now);
                 acquired.refresh(cx);
                 self.engines.insert(engine.clone(), acquired);
             }
             OwnershipChange::Lost { engine } => {
-                self.pacing.release_engine(cx, engine);
+                self.load_slots.release_engine(cx, engine);
                 self.engines.remove(engine);
-                self.own.forget(engine);
+                self.owned_engines.remove(engine);
             }
         }
     }
@@ -114,36 +114,37 @@
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority) {
         self.demand.expire(cx.now);
         for engine in self.engines.values() {
-            for model in load::from_store(engine) {
-                self.pacing.runs(cx.now, &LoadKey { engine: engine.id.clone(), model: model.clone() });
+            for model in load::loading_from_store(engine) {
+                self.load_slots
+                    .record_running(cx.now, &LoadKey { engine: engine.id.clone(), model: model.clone() });
             }
         }
         let engines = &self.engines;
-        self.pacing.on_tick(cx, |key| {
+        self.load_slots.on_tick(cx, |key| {
             engines.get(&key.engine).is_some_and(|engine| load::uses_store(engine, &key.model))
         });
         let ids: Vec<UpstreamId> = self.engines.keys().cloned().collect();
         let mut served = Vec::new();
         for id in ids {
-            self.with_engine(cx, authority, &id, |cx, engine, beside| {
+            self.with_engine(cx, authority, &id, |cx, engine, context| {
                 engine.refresh(cx);
                 engine.reservation.expire(cx);
                 engine.expire_orders(cx);
-                if turnaround::end_due_loads(cx, engine) {
-                    served.append(&mut load::note_ended(cx, engine, beside));
+                if pipelining::complete_due_loads(cx, engine) {
+                    served.append(&mut load::record_ended(cx, engine, context));
                 }
-                engine.is_in_use = is_in_use(engine, beside);
-                engine.keep_in_touch(cx, beside.authority.permit(cx.now, &engine.id));
-                decide(cx, engine, beside);
-                engine.count_idle(cx.now, beside.tally);
-                views::tell_changes(cx, engine, beside.demand);
+                engine.is_in_use = is_in_use(engine, context);
+                engine.poll(cx, context.authority.permit(cx.now, &engine.id));
+                decide(cx, engine, context);
+                engine.count_idle(cx.now, context.load_metrics);
+                publishing::publish_changes(cx, engine, context.demand);
             });
         }
         for model in served {
-            self.demand.serve(cx.now, &model);
+            self.demand.mark_served(cx.now, &model);
         }
         let (cache, engines) = (cx.cache, &self.engines);
-        self.unserved.look(cx, |model| {
+        self.unserved.check(cx, |model| {
             let first = cache.homes(model).and_then(|(_, homes)| homes.engines.first());
             first.is_some_and(|home| engines.contains_key(home))
         });
@@ -162,32 +163,32 @@
         if engine.on_fence_answer(cx, order, answer) {
             return;
         }
-        let ended = engine.ledger.answer(order, answer, cx.now);
+        let ended = engine.pending_orders.answer(order, answer, cx.now);
         if let Some((action, _)) = &ended
-            && turnaround::came_too_early(engine, cx.now, action, answer)
+            && pipelining::handle_early_load(engine, cx.now, action, answer)
         {
             return;
         }
         engine.count_answer(cx.now, answer);
         let Some((action, answered)) = ended else { return };
         match answered {
-            Answered::Accepted => self.note_accepted(cx, authority, id, &action),
-            Answered::Done => engine.note_done(cx.now, &action),
+            Answered::Accepted => self.on_accepted(cx, authority, id, &action),
+            Answered::Done => engine.record_done(cx.now, &action),
             Answered::InDoubt => cx.note("order_lost", id, format!("order={order}")),
-            Answered::NotDone => note_not_done(cx, engine, &mut self.tally, &action, answer),
+            Answered::NotDone => handle_not_executed(cx, engine, &mut self.load_metrics, &action, answer),
         }
     }
 
     /// Takes note that an engine carries an order out, and gives the one that may follow on it.
-    fn note_accepted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, id: &UpstreamId, action: &Order) {
-        self.with_engine(cx, authority, id, |cx, engine, beside| match action {
+    fn on_accepted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, id: &UpstreamId, action: &Order) {
+        self.with_engine(cx, authority, id, |cx, engine, context| match action {
             Order::Load { model, .. } => {
-                load::note_accepted(cx, engine, model);
-                if turnaround::unloaded(engine, cx.now, beside.load_times) {
+                load::on_accepted(cx, engine, model);
+                if pipelining::complete_unloads(engine, cx.now, context.load_times) {
                     cx.note("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
                 }
             }
-            Order::Unload { .. } => decide(cx, engine, beside),
+            Order::Unload { .. } => decide(cx, engine, context),
             _ => {}
         });
     }
@@ -198,37 +199,37 @@
         cx: &mut Cx<'_>,
         authority: &dyn Authority,
         id: &UpstreamId,
-        asked: Time,
+        requested_at: Time,
         report: Option<&EngineReport>,
     ) {
         let Some(report) = report else { return };
         let mut served = Vec::new();
-        self.with_engine(cx, authority, id, |cx, engine, beside| {
+        self.with_engine(cx, authority, id, |cx, engine, context| {
             let is_first = engine.report().is_none();
-            let news = engine.take_report(cx.now, asked, report);
-            if news == ReportNews::Unusable {
+            let status = engine.apply_report(cx.now, requested_at, report);
+            if status == ReportStatus::Stale {
                 return;
             }
             if is_first {
-                note_survey(cx, engine, report);
+                log_survey(cx, engine, report);
             }
-            turnaround::check_end(engine, asked, report, beside.load_times);
-            let settled = engine.ledger.settle(report, asked, cx.cfg.timings.order_settle);
-            engine.note_unexpected(cx, &settled);
-            engine.note_unshown(cx, &settled);
-            for seen in report.models.iter().filter(|seen| seen.running > 0) {
-                beside.history.used(cx.now, &seen.model);
+            pipelining::verify_assumed_end(engine, requested_at, report, context.load_times);
+            let settled = engine.pending_orders.settle(report, requested_at, cx.cfg.timings.order_settle);
+            engine.log_unexpected_models(cx, &settled);
+            engine.log_missing_adapters(cx, &settled);
+            for reported in report.models.iter().filter(|reported| reported.running > 0) {
+                context.history.record_use(cx.now, &reported.model);
             }
-            served = load::note_ended(cx, engine, beside);
-            if news == ReportNews::Restarted {
+            served = load::record_ended(cx, engine, context);
+            if status == ReportStatus::Restarted {
                 cx.note("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
                 engine.on_restart(cx.now);
             }
-            decide(cx, engine, beside);
-            views::tell_changes(cx, engine, beside.demand);
+            decide(cx, engine, context);
+            publishing::publish_changes(cx, engine, context.demand);
         });
         for model in served {
-            self.demand.serve(cx.now, &model);
+            self.demand.mark_served(cx.now, &model);
         }
     }
 
@@ -237,89 +238,89 @@
         cx: &mut Cx<'_>,
         authority: &dyn Authority,
         id: &UpstreamId,
-        f: impl FnOnce(&mut Cx<'_>, &mut Engine, &mut Beside<'_>),
+        f: impl FnOnce(&mut Cx<'_>, &mut Engine, &mut DecisionContext<'_>),
     ) {
         let Some(engine) = self.engines.get_mut(id) else { return };
-        let mut beside = Beside {
+        let mut context = DecisionContext {
             authority,
             demand: &self.demand,
             usage: &self.usage,
             history: &mut self.history,
-            own: &self.own,
-            shortages: &self.shortages,
-            pacing: &mut self.pacing,
+            owned_engines: &self.owned_engines,
+            power_shortages: &self.power_shortages,
+            load_slots: &mut self.load_slots,
             load_times: &mut self.load_times,
-            tally: &mut self.tally,
+            load_metrics: &mut self.load_metrics,
         };
-        f(cx, engine, &mut beside);
-        self.own.note(cx, engine);
+        f(cx, engine, &mut context);
+        self.owned_engines.update(cx, engine);
     }
 
     /// Tells what is believed.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        describe::dump(self, cx)
+        diagnostics::dump(self, cx)
     }
 
     /// Returns the numbers for the metrics.
     pub fn gauges(&self, _cx: &Cx<'_>) -> Vec<Gauge> {
-        describe::gauges(self)
+        diagnostics::gauges(self)
     }
 }
 
 /// Tells whether any host uses or awaits what an engine holds.
-fn is_in_use(engine: &Engine, beside: &Beside<'_>) -> bool {
+fn is_in_use(engine: &Engine, context: &DecisionContext<'_>) -> bool {
     let report = engine.report();
     let mut held = report.into_iter().flat_map(|report| &report.models);
-    held.any(|seen| beside.demand.listeners(&seen.model).next().is_some())
+    held.any(|reported| context.demand.subscribers(&reported.model).next().is_some())
 }
 
 /// Decides on loads and unloads of one engine, where this process may act.
-fn decide(cx: &mut Cx<'_>, engine: &mut Engine, beside: &mut Beside<'_>) {
+fn decide(cx: &mut Cx<'_>, engine: &mut Engine, context: &mut DecisionContext<'_>) {
     if engine.report().is_none() {
         return;
     }
     let is_review_due = engine.next_review.is_due(cx.now);
     if is_review_due {
-        engine.next_review = cx.now.after(REVIEW_EVERY);
-        wants::review_kept(cx, engine, beside);
-        replicas::review_hot(cx, engine, beside);
-        wants::review_uncopied(cx, engine, beside);
+        engine.next_review = cx.now.after(REVIEW_INTERVAL);
+        desired_loads::review_pinned(cx, engine, context);
+        replicas::review_hot(cx, engine, context);
+        desired_loads::review_missing_copies(cx, engine, context);
     }
-    let wants = wants::collect(cx, engine, beside);
-    engine.lacks = wants::lacking_power(engine, beside, &wants);
-    let Some(permit) = beside.authority.permit(cx.now, &engine.id) else {
+    let desired_loads = desired_loads::collect(cx, engine, context);
+    engine.lacks = desired_loads::missing_power(engine, context, &desired_loads);
+    let Some(permit) = context.authority.permit(cx.now, &engine.id) else {
         engine.planned.clear();
         return;
     };
     if is_review_due {
-        close::review_idle(cx, engine, beside, &wants);
-        wants::review_ahead(cx, engine, beside);
+        unload::review_idle(cx, engine, context, &desired_loads);
+        desired_loads::review_prewarm(cx, engine, context);
     }
-    close::decide(cx, engine, beside, &wants);
-    load::step(cx, engine, beside, permit, &wants);
-    close::unload_drained(cx, engine, beside, permit);
-    wishes::review(cx, engine, beside, &wants);
-    answer::plan(cx, engine, beside, &wants);
+    unload::decide(cx, engine, context, &desired_loads);
+    load::start_loads(cx, engine, context, permit, &desired_loads);
+    unload::unload_drained(cx, engine, context, permit);
+    rehoming::review(cx, engine, context, &desired_loads);
+    estimates::plan_ready_times(cx, engine, context, &desired_loads);
 }
 
 /// Notes what an engine has when it is first looked at.
-fn note_survey(cx: &mut Cx<'_>, engine: &Engine, report: &EngineReport) {
-    let held: Vec<&str> = report.models.iter().map(|seen| seen.model.as_str()).collect();
+fn log_survey(cx: &mut Cx<'_>, engine: &Engine, report: &EngineReport) {
+    let held: Vec<&str> = report.models.iter().map(|reported| reported.model.as_str()).collect();
     let copies = &report.copies;
     let (in_memory, on_disk) = (copies.in_memory.len(), copies.on_disk.len());
     let detail = format!("holds=[{}] copies_in_memory={in_memory} copies_on_disk={on_disk}", held.join(" "));
     cx.note("engine_surveyed", &engine.id, detail);
 }
 
-fn note_not_done(
+fn handle_not_executed(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
-    tally: &mut Tally,
+    load_metrics: &mut LoadMetrics,
     action: &Order,
     answer: &OrderAnswer,
 ) {
     if let OrderAnswer::FenceTooLow { seen } = answer {
-        engine.phase = stages::Phase::Superseded;
+        engine.phase = engine_state::Phase::Superseded;
         cx.note("engine_superseded", &engine.id, format!("fence={} seen={seen}", engine.fence));
     }
     let reason = match answer {
@@ -330,7 +331,7 @@
         OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OutOfTurn | OrderAnswer::Lost => return,
     };
     if let Order::Load { model, .. } | Order::LoadAdapter { model, .. } = action {
-        load::failed(cx, engine, tally, model, reason);
+        load::record_failure(cx, engine, load_metrics, model, reason);
     }
 }
 
@@ -340,7 +341,7 @@
     }
 
     fn is_settled(&self, engine: &UpstreamId) -> bool {
-        self.engines.get(engine).is_none_or(|engine| engine.ledger.is_empty())
+        self.engines.get(engine).is_none_or(|engine| engine.pending_orders.is_empty())
     }
 
     fn drawn(&self, engine: &UpstreamId) -> Watts {
@@ -356,6 +357,6 @@
     }
 
     fn home_wishes(&self) -> Vec<HomeWish> {
-        self.engines.values().flat_map(|engine| &engine.wishes.due).cloned().collect()
+        self.engines.values().flat_map(|engine| &engine.rehoming.due).cloned().collect()
     }
 }
--- a/crates/skylarkshore-core/src/loading/adapters.rs
+++ b/crates/skylarkshore-core/src/loading/adapters.rs
@@ -13,9 +13,9 @@
 /// An engine that is ordered to load more adapters than it has places for
 /// crashes, and takes every request on it along. So those on their way count,
 /// and so does one whose unload isn't settled.
-pub(crate) fn make_room(cx: &mut Cx<'_>, engine: &mut Engine, demand: &Demand, permit: Permit) -> bool {
+pub(crate) fn ensure_slot(cx: &mut Cx<'_>, engine: &mut Engine, demand: &Demand, permit: Permit) -> bool {
     let Some(slots) = engine.spec.as_ref().and_then(|spec| spec.adapter_slots) else { return true };
-    let held = held(engine);
+    let held = held_adapters(engine);
     if held.len() < usize::try_from(slots).unwrap_or(usize::MAX) {
         return true;
     }
@@ -23,11 +23,11 @@
         return false;
     }
     let last_use = |held: &(ModelName, AdapterName)| -> Time {
-        engine.adapter_uses.get(held).copied().unwrap_or(Time::START)
+        engine.adapter_last_used.get(held).copied().unwrap_or(Time::START)
     };
     let unwanted = held.iter().filter(|(model, adapter)| !demand.adapters(model).contains(adapter));
     let Some((model, adapter)) = unwanted.min_by_key(|held| last_use(held)).cloned() else { return false };
-    if engine.ledger.find(&model, |order| matches!(order, Order::UnloadAdapter { .. })).is_some() {
+    if engine.pending_orders.find(&model, |order| matches!(order, Order::UnloadAdapter { .. })).is_some() {
         return false;
     }
     cx.note("adapter_closing", format!("{model}/{adapter}@{}", engine.id), "its place is needed");
@@ -36,12 +36,12 @@
 }
 
 /// Returns the adapters on the engine, those on their way included.
-fn held(engine: &Engine) -> Vec<(ModelName, AdapterName)> {
+fn held_adapters(engine: &Engine) -> Vec<(ModelName, AdapterName)> {
     let models = engine.report().map_or(&[][..], |report| &report.models);
-    let shown = models
-        .iter()
-        .flat_map(|seen| seen.adapters.iter().map(|adapter| (seen.model.clone(), adapter.adapter.clone())));
-    let mut held: Vec<(ModelName, AdapterName)> = shown.chain(engine.ledger.adapters_loading()).collect();
+    let shown =
+        models.iter().flat_map(|base| base.adapters.iter().map(|a| (base.model.clone(), a.adapter.clone())));
+    let mut held: Vec<(ModelName, AdapterName)> =
+        shown.chain(engine.pending_orders.adapters_loading()).collect();
     held.sort_unstable();
     held.dedup();
     held
--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -10,17 +10,17 @@
 use crate::time::Time;
 
 /// After how many intervals without a router's word its waiting requests no longer count.
-const MISSED_MESSAGES: u32 = 4;
+const MAX_MISSED_MESSAGES: u32 = 4;
 
 /// How long it takes routers to send what waits, once they hear that a model can be used.
-const SERVED_WITHIN: Duration = Duration::from_millis(200);
+const DISPATCH_TIME: Duration = Duration::from_millis(200);
 
 /// How much later than told callers may ask again.
 const RETRY_GRACE: Duration = Duration::from_secs(2);
 
 /// The requests that wait at one router.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct HostDemand {
     count: u32,
     order: ServiceOrder,
     /// When the most patient of them gives up.
@@ -30,12 +30,12 @@
     /// When the router counts as silent.
     expires: Time,
     /// Whether the router was told to ask again, so that the load has to go on meanwhile.
-    promised: bool,
+    held_for_retry: bool,
 }
 
 /// What all routers together want of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Need {
+pub(crate) struct ModelDemand {
     /// The most urgent order of service.
     pub order: ServiceOrder,
     /// When the most patient of those who wait gives up.
@@ -46,8 +46,8 @@
     pub waiting: u32,
 }
 
-impl Need {
-    fn with(self, other: &Waiting) -> Self {
+impl ModelDemand {
+    fn with(self, other: &HostDemand) -> Self {
         Self {
             order: self.order.min(other.order),
             deadline: self.deadline.max(other.deadline),
@@ -59,7 +59,7 @@
 
 /// A router's word that requests wait.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct WaitReport<'a> {
     /// The router.
     pub from: &'a HostId,
     /// The model or adapter.
@@ -77,38 +77,38 @@
 /// Who waits and who listens.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    waiting: OrderedMap<ModelTarget, OrderedMap<HostId, Waiting>>,
-    interest: OrderedMap<ModelName, OrderedMap<HostId, Time>>,
+    waiting: OrderedMap<ModelTarget, OrderedMap<HostId, HostDemand>>,
+    subscriptions: OrderedMap<ModelName, OrderedMap<HostId, Time>>,
 }
 
 impl Demand {
     /// Takes a router's word; it replaces the router's earlier one.
-    pub(crate) fn wanted(&mut self, now: Time, wanted: Wanted<'_>, timings: &Timings) {
-        self.listens(now, wanted.from, &wanted.target.model, timings);
+    pub(crate) fn record(&mut self, now: Time, wanted: WaitReport<'_>, timings: &Timings) {
+        self.subscribe(now, wanted.from, &wanted.target.model, timings);
         if wanted.waiting == 0 {
-            return self.satisfied(wanted.from, wanted.target);
+            return self.clear_waiting(wanted.from, wanted.target);
         }
-        let waiting = Waiting {
+        let waiting = HostDemand {
             count: wanted.waiting,
             order: wanted.order,
             deadline: now.after(wanted.patience),
             aim: wanted.aim.map_or(Time::NEVER, |aim| now.after(aim)),
-            expires: now.after(timings.wanted_every * MISSED_MESSAGES),
-            promised: false,
+            expires: now.after(timings.wanted_every * MAX_MISSED_MESSAGES),
+            held_for_retry: false,
         };
         self.waiting.entry(wanted.target.clone()).or_default().insert(wanted.from.clone(), waiting);
     }
 
     /// Takes note that a router wants to hear of a model.
-    pub(crate) fn listens(&mut self, now: Time, from: &HostId, model: &ModelName, timings: &Timings) {
+    pub(crate) fn subscribe(&mut self, now: Time, from: &HostId, model: &ModelName, timings: &Timings) {
         let until = now.after(timings.interest);
-        self.interest.entry(model.clone()).or_default().insert(from.clone(), until);
+        self.subscriptions.entry(model.clone()).or_default().insert(from.clone(), until);
     }
 
     /// Takes note that nothing waits at a router any more, but for callers who were told to come back.
-    pub(crate) fn satisfied(&mut self, from: &HostId, target: &ModelTarget) {
+    pub(crate) fn clear_waiting(&mut self, from: &HostId, target: &ModelTarget) {
         if let Some(routers) = self.waiting.get_mut(target) {
-            routers.retain(|host, waiting| host != from || waiting.promised);
+            routers.retain(|host, waiting| host != from || waiting.held_for_retry);
         }
     }
 
@@ -116,11 +116,11 @@
     ///
     /// Callers with little patience are refused before a load has even begun. If
     /// the load were dropped with them, they would be refused for ever.
-    pub(crate) fn promise(&mut self, now: Time, wanted: &Wanted<'_>, retry_after: Duration) {
+    pub(crate) fn hold_for_retry(&mut self, now: Time, wanted: &WaitReport<'_>, retry_after: Duration) {
         let routers = self.waiting.get_mut(wanted.target);
         let Some(waiting) = routers.and_then(|routers| routers.get_mut(wanted.from)) else { return };
         let until = now.after(retry_after.saturating_add(RETRY_GRACE));
-        waiting.promised = true;
+        waiting.held_for_retry = true;
         waiting.deadline = waiting.deadline.max(until);
         waiting.expires = waiting.expires.max(until);
     }
@@ -130,8 +130,8 @@
     /// Routers don't tell that nobody waits any more. Until the usual time has
     /// passed, a model that has served them would look needed, and couldn't make
     /// way for the next one.
-    pub(crate) fn serve(&mut self, now: Time, model: &ModelName) {
-        let until = now.after(SERVED_WITHIN);
+    pub(crate) fn mark_served(&mut self, now: Time, model: &ModelName) {
+        let until = now.after(DISPATCH_TIME);
         let first = ModelTarget { model: model.clone(), adapter: None };
         let targets = self.waiting.range_mut(first..).take_while(|(target, _)| target.model == *model);
         for waiting in targets.flat_map(|(_, routers)| routers.values_mut()) {
@@ -145,33 +145,33 @@
             routers.retain(|_, waiting| !waiting.expires.is_due(now) && !waiting.deadline.is_due(now));
         }
         self.waiting.retain(|_, routers| !routers.is_empty());
-        for listeners in self.interest.values_mut() {
-            listeners.retain(|_, until| !until.is_due(now));
+        for subscribers in self.subscriptions.values_mut() {
+            subscribers.retain(|_, until| !until.is_due(now));
         }
-        self.interest.retain(|_, listeners| !listeners.is_empty());
+        self.subscriptions.retain(|_, subscribers| !subscribers.is_empty());
     }
 
     /// Returns what is wanted of a model, on its own or under adapters.
-    pub(crate) fn of_model(&self, model: &ModelName) -> Option<Need> {
+    pub(crate) fn of_model(&self, model: &ModelName) -> Option<ModelDemand> {
         let first = ModelTarget { model: model.clone(), adapter: None };
         let targets = self.waiting.range(first..).take_while(|(target, _)| target.model == *model);
         sum(targets.flat_map(|(_, routers)| routers.values()))
     }
 
     /// Returns what is wanted of a model once a router's word is taken.
-    pub(crate) fn with(&self, now: Time, wanted: &Wanted<'_>) -> Need {
-        let own = Need {
+    pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
+        let reported = ModelDemand {
             order: wanted.order,
             deadline: now.after(wanted.patience),
             aim: wanted.aim.map_or(Time::NEVER, |aim| now.after(aim)),
             waiting: wanted.waiting,
         };
-        let Some(others) = self.of_model(&wanted.target.model) else { return own };
-        Need {
-            order: own.order.min(others.order),
-            deadline: own.deadline.max(others.deadline),
-            aim: own.aim.min(others.aim),
-            waiting: own.waiting.saturating_add(others.waiting),
+        let Some(others) = self.of_model(&wanted.target.model) else { return reported };
+        ModelDemand {
+            order: reported.order.min(others.order),
+            deadline: reported.deadline.max(others.deadline),
+            aim: reported.aim.min(others.aim),
+            waiting: reported.waiting.saturating_add(others.waiting),
         }
     }
 
@@ -192,13 +192,14 @@
     }
 
     /// Returns the routers that want to hear of a model.
-    pub(crate) fn listeners(&self, model: &ModelName) -> impl Iterator<Item = &HostId> {
-        self.interest.get(model).into_iter().flat_map(OrderedMap::keys)
+    pub(crate) fn subscribers(&self, model: &ModelName) -> impl Iterator<Item = &HostId> {
+        self.subscriptions.get(model).into_iter().flat_map(OrderedMap::keys)
     }
 }
 
-fn sum<'a>(mut all: impl Iterator<Item = &'a Waiting>) -> Option<Need> {
+fn sum<'a>(mut all: impl Iterator<Item = &'a HostDemand>) -> Option<ModelDemand> {
     let first = all.next()?;
-    let need = Need { order: first.order, deadline: first.deadline, aim: first.aim, waiting: first.count };
-    Some(all.fold(need, Need::with))
+    let need =
+        ModelDemand { order: first.order, deadline: first.deadline, aim: first.aim, waiting: first.count };
+    Some(all.fold(need, ModelDemand::with))
 }
--- a/crates/skylarkshore-core/src/loading/wants.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -6,9 +6,9 @@
 use crate::cx::Cx;
 use crate::id::ModelName;
 use crate::loading::engine::Engine;
-use crate::loading::policy::{self, Use};
+use crate::loading::policy::{self, ModelUse};
 use crate::loading::replicas;
-use crate::loading::{Beside, demand::Need};
+use crate::loading::{DecisionContext, demand::ModelDemand};
 use crate::rules::{Outcome, Percent, ServiceOrder};
 use crate::time::Time;
 use crate::units::Watts;
@@ -17,49 +17,49 @@
 const WAITING_PER_SLOT: u32 = 2;
 
 /// From how many requests on a model is loaded before those that fewer wait for.
-const MANY_WAIT: u32 = 4;
+const MANY_WAITING: u32 = 4;
 
 /// Whether few wait, and the order of service: what decides first whose load goes first.
-type Turn = (bool, ServiceOrder);
+type Precedence = (bool, ServiceOrder);
 
 /// Returns when it is the turn of a model that so many wait for.
-fn turn(waiting: u32, order: ServiceOrder) -> Turn {
-    (waiting < MANY_WAIT, order)
+fn precedence(waiting: u32, order: ServiceOrder) -> Precedence {
+    (waiting < MANY_WAITING, order)
 }
 
 /// Why a model ought to be loaded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Cause {
+pub(crate) enum LoadCause {
     /// It is asked for so often that its few replicas can't keep up.
     #[display("scarce")]
-    Scarce,
+    UnderReplicated,
     /// Requests wait for it.
     #[display("waiting")]
     Waiting,
     /// The rules keep it loaded.
     #[display("kept")]
-    Kept,
+    Pinned,
     /// It is asked for so often that one replica is too few.
     #[display("spread")]
     Spread,
     /// A request is expected soon.
     #[display("ahead")]
-    Ahead,
+    Prewarm,
     /// The engine is to keep a copy of its weights, so that later loads are fast.
     #[display("copy")]
     Copy,
 }
 
 /// The order of service of loads that nobody waits for yet.
-const LAST: ServiceOrder = ServiceOrder(u16::MAX);
+const LAST_ORDER: ServiceOrder = ServiceOrder(u16::MAX);
 /// The order of service of loads without which many will wait.
-const FIRST: ServiceOrder = ServiceOrder(0);
+const FIRST_ORDER: ServiceOrder = ServiceOrder(0);
 
 /// A model that ought to be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Want {
+pub(crate) struct DesiredLoad {
     /// Why.
-    pub cause: Cause,
+    pub cause: LoadCause,
     /// The model.
     pub model: ModelName,
     /// The order of service of those who wait, or of the rule that keeps it loaded.
@@ -72,7 +72,7 @@
     pub waiting: u32,
 }
 
-impl Want {
+impl DesiredLoad {
     /// Returns what decides which want goes first.
     ///
     /// A model that many wait for is asked for often, and more will come while it
@@ -81,92 +81,97 @@
     /// out for good, and hundreds would run into their deadlines behind it.
     /// Those who can still be served with full value go before those who can't;
     /// the others lose nothing more by waiting a little longer.
-    pub(crate) fn rank(&self) -> (Cause, Rank) {
+    pub(crate) fn rank(&self) -> (LoadCause, Rank) {
         (self.cause, rank(self.waiting, self.order, self.aim, self.deadline))
     }
 }
 
 /// What decides which of two models that requests wait for is loaded first.
-pub(crate) type Rank = (Turn, bool, Time);
+pub(crate) type Rank = (Precedence, bool, Time);
 
 fn rank(waiting: u32, order: ServiceOrder, aim: Option<Time>, deadline: Time) -> Rank {
-    (turn(waiting, order), aim.is_none(), aim.unwrap_or(deadline))
+    (precedence(waiting, order), aim.is_none(), aim.unwrap_or(deadline))
 }
 
 /// Returns the rank of a model that requests wait for on an engine.
 pub(crate) fn rank_of(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
-    need: &Need,
+    need: &ModelDemand,
 ) -> Rank {
-    rank(need.waiting, need.order, attainable(cx, engine, beside, model, need.aim), need.deadline)
+    rank(need.waiting, need.order, attainable(cx, engine, context, model, need.aim), need.deadline)
 }
 
 /// Returns the time by which those who wait are best served, if a load that begins now ends by then.
 fn attainable(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
     aim: Time,
 ) -> Option<Time> {
-    let ready = cx.now.after(beside.load_times.on(cx, engine, model));
+    let ready = cx.now.after(context.load_times.expected_on(cx, engine, model));
     (ready <= aim && aim != Time::NEVER).then_some(aim)
 }
 
 /// Lists the models that ought to be loaded on an engine, the most urgent first.
-pub(crate) fn collect(cx: &Cx<'_>, engine: &Engine, beside: &Beside<'_>) -> Vec<Want> {
-    let mut models = beside.demand.models();
-    models.extend(engine.kept.iter().cloned());
-    models.extend(engine.expected_soon.iter().cloned());
+pub(crate) fn collect(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>) -> Vec<DesiredLoad> {
+    let mut models = context.demand.models();
+    models.extend(engine.pinned.iter().cloned());
+    models.extend(engine.prewarm.iter().cloned());
     models.extend(engine.hot.iter().cloned());
-    models.extend(engine.uncopied.iter().cloned());
-    let mut wants: Vec<Want> =
-        models.into_iter().filter_map(|model| want(cx, engine, beside, model)).collect();
-    wants.sort_by_key(Want::rank);
-    wants
+    models.extend(engine.missing_copies.iter().cloned());
+    let mut desired_loads: Vec<DesiredLoad> =
+        models.into_iter().filter_map(|model| desired_load(cx, engine, context, model)).collect();
+    desired_loads.sort_by_key(DesiredLoad::rank);
+    desired_loads
 }
 
-fn want(cx: &Cx<'_>, engine: &Engine, beside: &Beside<'_>, model: ModelName) -> Option<Want> {
+fn desired_load(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    model: ModelName,
+) -> Option<DesiredLoad> {
     let (_, homes) = cx.cache.homes(&model)?;
     let is_listed = cx.document.catalogue.models.contains_key(&model);
-    if !is_listed || !homes.engines.contains(&engine.id) || !beside.authority.is_home(&engine.id, &model) {
+    if !is_listed || !homes.engines.contains(&engine.id) || !context.authority.is_home(&engine.id, &model) {
         return None;
     }
-    let outcome = rule(cx, engine, beside, &model);
-    if let Some(need) = beside.demand.of_model(&model)
-        && beside.own.place(&engine.id, &model, homes) < replicas_needed(engine, &need, outcome)
+    let outcome = rule_outcome(cx, engine, context, &model);
+    if let Some(need) = context.demand.of_model(&model)
+        && context.owned_engines.position(&engine.id, &model, homes) < replicas_needed(engine, &need, outcome)
     {
-        let aim = attainable(cx, engine, beside, &model, need.aim);
-        let Need { order, deadline, waiting, .. } = need;
-        return Some(Want { cause: Cause::Waiting, model, order, deadline, aim, waiting });
+        let aim = attainable(cx, engine, context, &model, need.aim);
+        let ModelDemand { order, deadline, waiting, .. } = need;
+        return Some(DesiredLoad { cause: LoadCause::Waiting, model, order, deadline, aim, waiting });
     }
-    let (cause, order) = if engine.scarce.contains(&model) {
-        (Cause::Scarce, FIRST)
-    } else if engine.kept.contains(&model) {
-        (Cause::Kept, outcome.order)
+    let (cause, order) = if engine.under_replicated.contains(&model) {
+        (LoadCause::UnderReplicated, FIRST_ORDER)
+    } else if engine.pinned.contains(&model) {
+        (LoadCause::Pinned, outcome.order)
     } else if engine.hot.contains(&model) {
-        (Cause::Spread, outcome.order)
-    } else if engine.expected_soon.contains(&model) {
-        (Cause::Ahead, LAST)
-    } else if engine.uncopied.contains(&model) {
-        (Cause::Copy, LAST)
+        (LoadCause::Spread, outcome.order)
+    } else if engine.prewarm.contains(&model) {
+        (LoadCause::Prewarm, LAST_ORDER)
+    } else if engine.missing_copies.contains(&model) {
+        (LoadCause::Copy, LAST_ORDER)
     } else {
         return None;
     };
-    Some(Want { cause, model, order, deadline: Time::NEVER, aim: None, waiting: 0 })
+    Some(DesiredLoad { cause, model, order, deadline: Time::NEVER, aim: None, waiting: 0 })
 }
 
 /// Works out which models the rules keep loaded on the engine, requests or not.
-pub(crate) fn review_kept(cx: &Cx<'_>, engine: &mut Engine, beside: &Beside<'_>) {
+pub(crate) fn review_pinned(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     let homes = cx.cache.all_homes().filter(|(_, homes)| homes.engines.contains(&engine.id));
-    let kept = homes.filter(|(model, homes)| {
-        let least = rule(cx, engine, beside, model).replicas_min;
-        least > 0 && replicas::place(cx, engine, homes).is_some_and(|place| place < least)
+    let pinned = homes.filter(|(model, homes)| {
+        let least = rule_outcome(cx, engine, context, model).replicas_min;
+        least > 0 && replicas::position(cx, engine, homes).is_some_and(|position| position < least)
     });
-    engine.kept = kept.map(|(model, _)| model.clone()).collect();
+    engine.pinned = pinned.map(|(model, _)| model.clone()).collect();
 }
 
 /// Works out of which models the engine is to keep a copy that it doesn't have yet.
@@ -178,19 +183,19 @@
 /// store carries few loads: when engines were replaced one after the other, the
 /// new ones fetched models that others had on their disks, and the one that was
 /// asked for forty times a second lost its last replica meanwhile.
-pub(crate) fn review_uncopied(cx: &Cx<'_>, engine: &mut Engine, beside: &Beside<'_>) {
-    engine.uncopied.clear();
+pub(crate) fn review_missing_copies(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
+    engine.missing_copies.clear();
     // A load from the weight store keeps the engine from any other for seconds,
     // and while requests run, the next one for another model is never far.
     let is_quiet = engine.report().is_some_and(|report| report.running == 0 && report.waiting == 0);
-    if !engine.is_one_by_one() || !is_quiet {
+    if !engine.is_sequential() || !is_quiet {
         return;
     }
     for (model, homes) in cx.cache.all_homes() {
         let is_first = homes.engines.first() == Some(&engine.id);
-        let is_home = is_first && beside.authority.is_home(&engine.id, model);
+        let is_home = is_first && context.authority.is_home(&engine.id, model);
         if is_home && !engine.has_copy(model) && !has_copy_elsewhere(cx, engine, model) {
-            engine.uncopied.insert(model.clone());
+            engine.missing_copies.insert(model.clone());
         }
     }
 }
@@ -204,54 +209,59 @@
 ///
 /// Each is loaded once in the time without requests. A prediction that failed
 /// would otherwise be made again and again until the next request.
-pub(crate) fn review_ahead(cx: &Cx<'_>, engine: &mut Engine, beside: &Beside<'_>) {
+pub(crate) fn review_prewarm(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     let mut expected = OrderedSet::new();
     for (model, homes) in cx.cache.all_homes() {
         let is_first = homes.engines.first() == Some(&engine.id);
-        if !is_first || engine.model(model).is_some() || !beside.authority.is_home(&engine.id, model) {
+        if !is_first || engine.model(model).is_some() || !context.authority.is_home(&engine.id, model) {
             continue;
         }
-        let Some(last) = beside.history.last(model) else { continue };
+        let Some(last) = context.history.last(model) else { continue };
         if engine.prewarmed.get(model) == Some(&last) {
             continue;
         }
-        let outcome = rule(cx, engine, beside, model);
-        let load_time = beside.load_times.of(cx, model);
+        let outcome = rule_outcome(cx, engine, context, model);
+        let load_time = context.load_times.expected_from_store(cx, model);
         let idle = cx.now.since(last);
-        if policy::is_worth_prewarming(beside.history, model, outcome, load_time, idle) {
+        if policy::is_worth_prewarming(context.history, model, outcome, load_time, idle) {
             expected.insert(model.clone());
         }
     }
-    engine.expected_soon = expected;
+    engine.prewarm = expected;
 }
 
 /// Returns how many replicas the requests that wait are worth.
-fn replicas_needed(engine: &Engine, need: &Need, outcome: &Outcome) -> u32 {
+fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &Outcome) -> u32 {
     let worth = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
     worth.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
 
 /// Returns the power that is missing for the most urgent load, and its order of service.
-pub(crate) fn lacking_power(
+pub(crate) fn missing_power(
     engine: &Engine,
-    beside: &Beside<'_>,
-    wants: &[Want],
+    context: &DecisionContext<'_>,
+    desired_loads: &[DesiredLoad],
 ) -> Option<(Watts, ServiceOrder)> {
     let needs = engine.spec.as_ref()?.active_watts;
-    let granted = beside.authority.granted(&engine.id);
+    let granted = context.authority.granted(&engine.id);
     // A load ahead of any request isn't worth another engine's sleep.
-    let needed = wants.iter().filter(|want| want.cause != Cause::Ahead);
-    let unmet = needed.into_iter().find(|want| engine.model(&want.model).is_none())?;
+    let needed = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
+    let unmet = needed.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
     (granted < needs && !engine.is_leaving()).then(|| (needs.saturating_sub(granted), unmet.order))
 }
 
 /// Finds what the rules decide for a model on an engine.
-pub(crate) fn rule<'a>(cx: &Cx<'a>, engine: &Engine, beside: &Beside<'_>, model: &ModelName) -> &'a Outcome {
+pub(crate) fn rule_outcome<'a>(
+    cx: &Cx<'a>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    model: &ModelName,
+) -> &'a Outcome {
     let total = engine.memory();
     let taken = total.saturating_sub(engine.free_memory());
-    let usage = Use {
-        idle_for: beside.history.last(model).map(|last| cx.now.since(last)),
-        queue: beside.demand.of_model(model).map_or(0, |need| need.waiting),
+    let usage = ModelUse {
+        idle_for: context.history.last(model).map(|last| cx.now.since(last)),
+        queue: context.demand.of_model(model).map_or(0, |need| need.waiting),
         memory_pressure: Percent::of(taken.0, total.0),
     };
     policy::outcome(cx, model, usage)
--- a/crates/skylarkshore-core/src/loading/describe.rs
+++ b/crates/skylarkshore-core/src/loading/diagnostics.rs
@@ -5,8 +5,8 @@
 use crate::id::ModelName;
 use crate::loading::Loading;
 use crate::loading::engine::Engine;
+use crate::loading::engine_state::{LateOrders, Phase};
 use crate::loading::load;
-use crate::loading::stages::{LateOrders, Phase};
 use crate::time::Time;
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, ReportedModel};
@@ -16,15 +16,15 @@
     let mut beliefs = Vec::new();
     for engine in loading.engines.values() {
         beliefs.push(engine_belief(cx, engine));
-        beliefs.extend(engine.ledger.beliefs(&engine.id));
+        beliefs.extend(engine.pending_orders.beliefs(&engine.id));
         let shown = engine.report().into_iter().flat_map(|report| &report.models);
-        beliefs.extend(shown.map(|seen| model_belief(engine, seen)));
+        beliefs.extend(shown.map(|reported| model_belief(engine, reported)));
         let hidden = engine.loads.iter().filter(|(model, _)| engine.model(model).is_none());
         beliefs.extend(hidden.map(|(model, progress)| {
-            belief(engine, model, "load ordered, not seen yet".to_owned(), Some(progress.started))
+            belief(engine, model, "load ordered, not seen yet".to_owned(), Some(progress.ordered))
         }));
     }
-    beliefs.extend(loading.pacing.beliefs());
+    beliefs.extend(loading.load_slots.beliefs());
     beliefs
 }
 
@@ -32,8 +32,8 @@
     let phase = match engine.phase {
         Phase::RaisingFence { .. } => "raising the fence",
         Phase::FenceRaised { .. } => "waiting for its first report",
-        Phase::Known if engine.is_silent(cx.now, cx.cfg.timings.engine_timeout) => "silent",
-        Phase::Known => "known",
+        Phase::Surveyed if engine.is_silent(cx.now, cx.cfg.timings.engine_timeout) => "silent",
+        Phase::Surveyed => "known",
         Phase::Superseded => "taken over by another owner",
     };
     let late_orders = if engine.late_orders == LateOrders::None { "none" } else { "possible" };
@@ -44,27 +44,27 @@
         engine.free_memory(),
         reserved(engine),
     );
-    Belief { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired) }
+    Belief { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired_at) }
 }
 
-fn model_belief(engine: &Engine, seen: &ReportedModel) -> Belief {
-    if let Some(closing) = engine.closing.get(&seen.model) {
-        let text = format!("closing for {}; running={}", closing.reason, seen.running);
-        return belief(engine, &seen.model, text, Some(closing.since));
+fn model_belief(engine: &Engine, reported: &ReportedModel) -> Belief {
+    if let Some(closing) = engine.closing.get(&reported.model) {
+        let text = format!("closing for {}; running={}", closing.reason, reported.running);
+        return belief(engine, &reported.model, text, Some(closing.since));
     }
-    let adapters: Vec<&str> = seen.adapters.iter().map(|a| a.adapter.as_str()).collect();
-    let (stage, since) = match seen.state {
-        LoadState::Loading => ("loading", engine.loads.get(&seen.model).map(|load| load.started)),
-        LoadState::Ready => ("ready", engine.ready_since.get(&seen.model).copied()),
+    let adapters: Vec<&str> = reported.adapters.iter().map(|a| a.adapter.as_str()).collect();
+    let (stage, since) = match reported.state {
+        LoadState::Loading => ("loading", engine.loads.get(&reported.model).map(|load| load.ordered)),
+        LoadState::Ready => ("ready", engine.ready_since.get(&reported.model).copied()),
         LoadState::Unloading => ("unloading", None),
     };
     let text = format!(
         "{stage}; version={} running={} adapters=[{}]",
-        seen.version,
-        seen.running,
+        reported.version,
+        reported.running,
         adapters.join(" ")
     );
-    belief(engine, &seen.model, text, since)
+    belief(engine, &reported.model, text, since)
 }
 
 fn belief(engine: &Engine, model: &ModelName, state: String, since: Option<Time>) -> Belief {
@@ -79,23 +79,23 @@
     vec![
         gauge("loads_in_progress", count(in_progress)),
         gauge("memory_reserved_mebibytes", count(reserved.0)),
-        gauge("accelerator_idle_seconds_total", loading.tally.idle.as_secs_f64()),
-        gauge("loads_total", count(loading.tally.loads)),
-        gauge("unloads_total", count(loading.tally.unloads)),
-        gauge("unloads_unused_total", count(loading.tally.unused)),
-        gauge("loads_failed_total", count(loading.tally.failed)),
+        gauge("accelerator_idle_seconds_total", loading.load_metrics.idle.as_secs_f64()),
+        gauge("loads_total", count(loading.load_metrics.loads)),
+        gauge("unloads_total", count(loading.load_metrics.unloads)),
+        gauge("unloads_unused_total", count(loading.load_metrics.unused)),
+        gauge("loads_failed_total", count(loading.load_metrics.failed)),
         gauge("models_unserved", count(loading.unserved.len())),
     ]
 }
 
 fn loads_in_progress(engine: &Engine) -> usize {
-    let shown = engine.report().into_iter().flat_map(|report| &report.models).map(|seen| &seen.model);
+    let shown = engine.report().into_iter().flat_map(|report| &report.models).map(|reported| &reported.model);
     let hidden = engine.loads.keys().filter(|model| engine.model(model).is_none());
-    shown.chain(hidden).filter(|model| load::is_running(engine, model)).count()
+    shown.chain(hidden).filter(|model| load::is_load_pending(engine, model)).count()
 }
 
 fn reserved(engine: &Engine) -> Mebibytes {
-    engine.ledger.reserved(engine.report(), None) + engine.late_orders_memory
+    engine.pending_orders.reserved(engine.report(), None) + engine.late_orders_memory
 }
 
 const fn gauge(name: &'static str, value: f64) -> Gauge {
--- a/crates/skylarkshore-core/src/loading/engine/contact.rs
+++ b/crates/skylarkshore-core/src/loading/engine/orders.rs
@@ -7,34 +7,34 @@
 use crate::effect::Effect;
 use crate::id::OrderId;
 use crate::loading::engine::Engine;
-use crate::loading::stages::Phase;
+use crate::loading::engine_state::Phase;
 use crate::time::Time;
 use crate::upstream::{FenceCheck, Order, OrderAnswer};
 
 /// How long to wait before the fence is raised once more.
 const FENCE_RETRY: Duration = Duration::from_millis(500);
 /// How long before a load's expected end reports are asked for often.
-const REPORT_AHEAD: Duration = Duration::from_millis(50);
+const REPORT_LEAD: Duration = Duration::from_millis(50);
 /// How many times as often reports are asked for while a load is under way.
-const REPORTS_WHILE_LOADING: u32 = 4;
+const LOADING_POLL_SPEEDUP: u32 = 4;
 /// How many times as seldom reports are asked of an engine that takes orders one at a time and is at rest.
 ///
 /// Nothing changes there without an order, and its registration tells of its end.
-const REPORTS_AT_REST: u32 = 20;
+const QUIESCENT_POLL_SLOWDOWN: u32 = 20;
 
 impl Engine {
     /// Gives up for lost the orders whose answer never came.
     pub(crate) fn expire_orders(&mut self, cx: &mut Cx<'_>) {
-        let expired = self.ledger.expire(cx.now, cx.cfg.timings.order_settle);
+        let expired = self.pending_orders.expire(cx.now, cx.cfg.timings.order_settle);
         if expired > 0 {
             cx.note("order_lost", &self.id, format!("unanswered={expired}"));
         }
     }
 
     /// Raises the fence and asks for reports when these are due.
-    pub(crate) fn keep_in_touch(&mut self, cx: &mut Cx<'_>, permit: Option<Permit>) {
-        if !self.is_at_rest() {
-            self.next_ask = self.next_ask.min(cx.now.after(cx.cfg.timings.report_every));
+    pub(crate) fn poll(&mut self, cx: &mut Cx<'_>, permit: Option<Permit>) {
+        if !self.is_quiescent() {
+            self.next_poll = self.next_poll.min(cx.now.after(cx.cfg.timings.report_every));
         }
         if let (Phase::RaisingFence { order, retry }, Some(permit)) = (self.phase, permit)
             && retry.is_due(cx.now)
@@ -46,42 +46,42 @@
             let retry = cx.now.after(cx.cfg.timings.engine_timeout);
             self.phase = Phase::RaisingFence { order: Some(order), retry };
         }
-        if self.next_ask.is_due(cx.now) && !matches!(self.phase, Phase::RaisingFence { .. }) {
-            self.ask_report(cx);
+        if self.next_poll.is_due(cx.now) && !matches!(self.phase, Phase::RaisingFence { .. }) {
+            self.request_report(cx);
         }
     }
 
     /// Asks the engine how it stands.
-    pub(crate) fn ask_report(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn request_report(&mut self, cx: &mut Cx<'_>) {
         let every = cx.cfg.timings.report_every;
         // Those who wait for a load feel how late its end is noticed. Where the
         // length of loads is known, only the reports round the end tell anything;
         // asked for all along, they were 37,000 calls in a day of 48 s at 112 engines.
         let is_awaited =
-            if self.is_one_by_one() { self.awaits_report(cx.now) } else { !self.loads.is_empty() };
+            if self.is_sequential() { self.awaits_report(cx.now) } else { !self.loads.is_empty() };
         let every = match is_awaited {
-            true => every / REPORTS_WHILE_LOADING,
-            false if self.is_at_rest() => every * REPORTS_AT_REST,
+            true => every / LOADING_POLL_SPEEDUP,
+            false if self.is_quiescent() => every * QUIESCENT_POLL_SLOWDOWN,
             false => every,
         };
-        self.next_ask = cx.now.after(every);
+        self.next_poll = cx.now.after(every);
         self.unanswered_since.get_or_insert(cx.now);
         cx.push(Effect::AskReport { upstream: self.id.clone() });
     }
 
     /// Tells whether nothing runs, waits or is under way here, and nobody is interested.
-    fn is_at_rest(&self) -> bool {
+    fn is_quiescent(&self) -> bool {
         let is_quiet =
             self.report().is_some_and(|report| !report.busy && report.running == 0 && report.waiting == 0);
-        let is_done = self.ledger.is_empty() && self.loads.is_empty() && self.closing.is_empty();
-        self.is_one_by_one() && !self.is_in_use && is_quiet && is_done && self.accepted.is_some()
+        let is_done = self.pending_orders.is_empty() && self.loads.is_empty() && self.closing.is_empty();
+        self.is_sequential() && !self.is_in_use && is_quiet && is_done && self.accepted_count.is_some()
     }
 
     /// Tells whether something can only go on once a new report comes.
     pub(super) fn awaits_report(&self, now: Time) -> bool {
-        let expected = self.loads.values().map(|load| load.expected).min();
-        let is_near = expected.is_none_or(|expected| now.after(REPORT_AHEAD) >= expected);
-        self.accepted.is_none() || self.ledger.has_model_order() && is_near
+        let expected = self.loads.values().map(|load| load.expected_end).min();
+        let is_near = expected.is_none_or(|expected| now.after(REPORT_LEAD) >= expected);
+        self.accepted_count.is_none() || self.pending_orders.has_model_order() && is_near
     }
 
     /// Sends an order and enters it into the ledger; `again` repeats one whose answer was lost.
@@ -89,13 +89,13 @@
         &mut self,
         cx: &mut Cx<'_>,
         permit: Permit,
-        again: Option<OrderId>,
+        resend: Option<OrderId>,
         action: Order,
     ) -> OrderId {
-        let order = again.unwrap_or_else(|| cx.next_order());
+        let order = resend.unwrap_or_else(|| cx.next_order());
         let mut after = None;
         if action != Order::RaiseFence {
-            after = self.ledger.begin(order, action.clone(), self.accepted, cx.now);
+            after = self.pending_orders.begin(order, action.clone(), self.accepted_count, cx.now);
         }
         cx.push(Effect::Order {
             upstream: self.id.clone(),
@@ -131,7 +131,7 @@
 
     pub(super) fn on_fence_raised(&mut self, cx: &mut Cx<'_>) {
         self.phase = Phase::FenceRaised { at: cx.now };
-        self.ask_report(cx);
+        self.request_report(cx);
     }
 
     /// Takes the answer to an order, as far as it tells how many orders were accepted.
@@ -139,9 +139,9 @@
         match answer {
             OrderAnswer::Accepted => self.count_accepted(now),
             OrderAnswer::OutOfTurn | OrderAnswer::Refused { .. } | OrderAnswer::Lost => {
-                self.accepted = None;
-                self.recount_from = now;
-                self.next_ask = now;
+                self.accepted_count = None;
+                self.recount_after = now;
+                self.next_poll = now;
             }
             // Whether the engine has counted one that is done is told by what it was; see `note_done`.
             OrderAnswer::Done | OrderAnswer::FenceTooLow { .. } | OrderAnswer::NotSent => {}
--- a/crates/skylarkshore-core/src/loading/engine/reports.rs
+++ b/crates/skylarkshore-core/src/loading/engine/reports.rs
@@ -6,35 +6,36 @@
 use crate::cx::Cx;
 use crate::id::{AdapterName, Incarnation, ModelName};
 use crate::loading::engine::Engine;
-use crate::loading::ledger::{self, Settled};
-use crate::loading::stages::{LateOrders, Phase, ReportNews, Seen};
+use crate::loading::engine_state::{LastReport, LateOrders, Phase, ReportStatus};
+use crate::loading::pending_orders::{self, Settled};
 use crate::time::Time;
 use crate::upstream::{EngineReport, Order, ReportedModel};
 
 /// For how long reports are passed over that show fewer orders than were counted.
-const OUTDATED_FOR: Duration = Duration::from_secs(1);
+const MAX_OUTDATED: Duration = Duration::from_secs(1);
 
 impl Engine {
     /// Notes models that appeared without an order of this process.
     ///
     /// They are the work of a late order of the former owner; until none has
     /// been seen for long enough, another one may come.
-    pub(crate) fn note_unexpected(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
+    pub(crate) fn log_unexpected_models(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
         let Some(report) = self.report() else { return };
         let known = |model: &ModelName| {
-            self.expected.contains(model)
-                || self.ledger.concerns(model)
-                || settled.iter().any(|order| ledger::model_of(&order.action) == Some(model))
+            self.reported_models.contains(model)
+                || self.pending_orders.concerns(model)
+                || settled.iter().any(|order| pending_orders::model_of(&order.action) == Some(model))
         };
-        let shown: OrderedSet<ModelName> = report.models.iter().map(|seen| seen.model.clone()).collect();
+        let shown: OrderedSet<ModelName> =
+            report.models.iter().map(|reported| reported.model.clone()).collect();
         let unexpected: Vec<ModelName> = shown.iter().filter(|model| !known(model)).cloned().collect();
-        self.expected = shown;
+        self.reported_models = shown;
         let is_first = matches!(self.late_orders, LateOrders::UntilQuiet { since: None });
         if is_first || !unexpected.is_empty() && matches!(self.late_orders, LateOrders::UntilQuiet { .. }) {
             self.late_orders = LateOrders::UntilQuiet { since: Some(cx.now) };
         }
         // Engines that number their orders hold models from before anyone owned them.
-        if !is_first && !self.is_one_by_one() {
+        if !is_first && !self.is_sequential() {
             for model in unexpected {
                 cx.note(
                     "unexpected_model",
@@ -46,7 +47,7 @@
     }
 
     /// Takes note of adapters whose loads were accepted but that a report doesn't show.
-    pub(crate) fn note_unshown(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
+    pub(crate) fn log_missing_adapters(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
         for order in settled.iter().filter(|order| !order.shown) {
             if let Order::LoadAdapter { model, adapter, .. } = &order.action {
                 cx.note(
@@ -62,39 +63,39 @@
     ///
     /// Waiting for a report that shows it would hold the next order up for a
     /// quarter of a second, as reports lag.
-    pub(crate) fn note_done(&mut self, now: Time, action: &Order) {
+    pub(crate) fn record_done(&mut self, now: Time, action: &Order) {
         let held = match action {
-            Order::UnloadAdapter { model, adapter } => self.drop_adapter(model, adapter),
+            Order::UnloadAdapter { model, adapter } => self.remove_adapter(model, adapter),
             _ => false,
         };
         if held {
             self.count_accepted(now);
             return;
         }
-        self.accepted = None;
-        self.recount_from = now;
-        self.next_ask = now;
+        self.accepted_count = None;
+        self.recount_after = now;
+        self.next_poll = now;
     }
 
     /// Takes a model out of what the last report showed.
-    pub(crate) fn drop_model(&mut self, model: &ModelName) {
-        if let Some(seen) = &mut self.seen {
-            seen.report.models.retain(|held| held.model != *model);
+    pub(crate) fn remove_model(&mut self, model: &ModelName) {
+        if let Some(last) = &mut self.last_report {
+            last.report.models.retain(|held| held.model != *model);
         }
     }
 
     /// Adds a model to what the last report showed, and takes the order for it as carried out.
-    pub(crate) fn show_model(&mut self, model: ReportedModel) {
-        let Some(seen) = &mut self.seen else { return };
-        seen.report.busy = false;
-        seen.report.models.retain(|held| held.model != model.model);
-        seen.report.models.push(model);
+    pub(crate) fn insert_model(&mut self, model: ReportedModel) {
+        let Some(last) = &mut self.last_report else { return };
+        last.report.busy = false;
+        last.report.models.retain(|held| held.model != model.model);
+        last.report.models.push(model);
     }
 
     /// Takes an adapter out of what the last report showed; tells whether it was there.
-    pub(super) fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) -> bool {
-        let Some(seen) = &mut self.seen else { return false };
-        let Some(held) = seen.report.models.iter_mut().find(|held| held.model == *model) else {
+    pub(super) fn remove_adapter(&mut self, model: &ModelName, adapter: &AdapterName) -> bool {
+        let Some(last) = &mut self.last_report else { return false };
+        let Some(held) = last.report.models.iter_mut().find(|held| held.model == *model) else {
             return false;
         };
         let before = held.adapters.len();
@@ -106,101 +107,114 @@
     ///
     /// Its figures lag. One that shows an earlier number of orders shows models
     /// and adapters as they were then.
-    pub(super) fn is_outdated(&self, asked: Time, report: &EngineReport) -> bool {
-        let Some(told) = report.accepted else { return false };
-        let known_lately =
-            self.seen.as_ref().is_some_and(|seen| !seen.asked.after(OUTDATED_FOR).is_due(asked));
+    pub(super) fn is_outdated(&self, requested_at: Time, report: &EngineReport) -> bool {
+        let Some(reported) = report.accepted else { return false };
+        let reported_recently = self
+            .last_report
+            .as_ref()
+            .is_some_and(|last| !last.requested_at.after(MAX_OUTDATED).is_due(requested_at));
         // Where orders follow on one another, every report is from before the last one.
-        let ordered_lately = !self.last_accepted.after(report.lag).is_due(asked);
-        told < self.most_accepted
-            && (known_lately || ordered_lately)
+        let ordered_recently = !self.last_accepted_at.after(report.lag).is_due(requested_at);
+        reported < self.max_accepted_count
+            && (reported_recently || ordered_recently)
             && self.incarnation() == Some(report.incarnation)
     }
 
     /// Counts an order that the engine accepted.
     pub(super) fn count_accepted(&mut self, now: Time) {
-        self.last_accepted = now;
-        self.accepted = self.accepted.map(|accepted| accepted + 1);
-        self.most_accepted = self.most_accepted.max(self.accepted.unwrap_or_default());
+        self.last_accepted_at = now;
+        self.accepted_count = self.accepted_count.map(|accepted| accepted + 1);
+        self.max_accepted_count = self.max_accepted_count.max(self.accepted_count.unwrap_or_default());
     }
 
     /// Tells whether a report may be from before the end of a load that is taken to have ended.
-    pub(super) fn is_before_end(&self, asked: Time, report: &EngineReport) -> bool {
-        let Some(ended) = self.ended.as_ref().filter(|_| self.life == report.incarnation) else {
+    pub(super) fn predates_assumed_end(&self, requested_at: Time, report: &EngineReport) -> bool {
+        let Some(ended) = self.assumed_end.as_ref().filter(|_| self.latest_incarnation == report.incarnation)
+        else {
             return false;
         };
-        asked < ended.at.after(report.lag) && ledger::find(Some(report), &ended.model).is_none()
+        requested_at < ended.at.after(report.lag)
+            && pending_orders::find(Some(report), &ended.model).is_none()
     }
 
     /// Takes note that an engine answers, though what it tells is too old to be of use.
-    fn note_alive(&mut self, now: Time, report: &EngineReport) {
-        if let Some(seen) = self.seen.as_mut().filter(|seen| seen.report.incarnation == report.incarnation) {
-            seen.heard = now;
+    fn record_alive(&mut self, now: Time, report: &EngineReport) {
+        if let Some(last) =
+            self.last_report.as_mut().filter(|last| last.report.incarnation == report.incarnation)
+        {
+            last.received_at = now;
         }
     }
 
-    pub(super) fn recount(&mut self, asked: Time, report: &EngineReport) {
-        let is_ahead = report.accepted > self.accepted;
-        if is_ahead || self.accepted.is_none() && asked >= self.recount_from.after(report.lag) {
-            self.accepted = report.accepted;
-            self.most_accepted = report.accepted.unwrap_or_default();
+    pub(super) fn update_accepted_count(&mut self, requested_at: Time, report: &EngineReport) {
+        let is_ahead = report.accepted > self.accepted_count;
+        if is_ahead || self.accepted_count.is_none() && requested_at >= self.recount_after.after(report.lag) {
+            self.accepted_count = report.accepted;
+            self.max_accepted_count = report.accepted.unwrap_or_default();
         }
     }
 
     /// Takes a report over; tells what else it means.
-    pub(crate) fn take_report(&mut self, now: Time, asked: Time, report: &EngineReport) -> ReportNews {
+    pub(crate) fn apply_report(
+        &mut self,
+        now: Time,
+        requested_at: Time,
+        report: &EngineReport,
+    ) -> ReportStatus {
         self.unanswered_since = None;
         if let Phase::FenceRaised { at } = self.phase
-            && asked >= at
+            && requested_at >= at
         {
-            self.phase = Phase::Known;
+            self.phase = Phase::Surveyed;
         }
         // A report that was under way when the next life began tells of models
         // that are gone; orders and requests for them would all be refused.
-        if report.incarnation < self.life
-            || self.is_outdated(asked, report)
-            || self.is_before_end(asked, report)
+        if report.incarnation < self.latest_incarnation
+            || self.is_outdated(requested_at, report)
+            || self.predates_assumed_end(requested_at, report)
         {
-            self.note_alive(now, report);
-            return ReportNews::Unusable;
+            self.record_alive(now, report);
+            return ReportStatus::Stale;
         }
-        if self.phase != Phase::Known || self.seen.as_ref().is_some_and(|seen| seen.asked > asked) {
-            return ReportNews::Unusable;
+        if self.phase != Phase::Surveyed
+            || self.last_report.as_ref().is_some_and(|last| last.requested_at > requested_at)
+        {
+            return ReportStatus::Stale;
         }
-        for seen in report.models.iter().filter(|seen| seen.running > 0) {
-            self.last_busy.insert(seen.model.clone(), now);
+        for reported in report.models.iter().filter(|reported| reported.running > 0) {
+            self.last_busy.insert(reported.model.clone(), now);
         }
-        self.recount(asked, report);
+        self.update_accepted_count(requested_at, report);
         let restarted = self.incarnation().is_some_and(|known| known != report.incarnation);
-        self.life = report.incarnation;
-        self.seen = Some(Seen { asked, heard: now, report: report.clone() });
-        if restarted { ReportNews::Restarted } else { ReportNews::Usable }
+        self.latest_incarnation = report.incarnation;
+        self.last_report = Some(LastReport { requested_at, received_at: now, report: report.clone() });
+        if restarted { ReportStatus::Restarted } else { ReportStatus::Current }
     }
 
     /// Takes the host list's word that the engine has begun a new life, of which no report has come yet.
-    pub(super) fn on_listed_life(&mut self, now: Time, life: Incarnation) {
-        self.life = life;
-        self.seen = None;
-        self.next_ask = now;
+    pub(super) fn on_listed_incarnation(&mut self, now: Time, incarnation: Incarnation) {
+        self.latest_incarnation = incarnation;
+        self.last_report = None;
+        self.next_poll = now;
         self.on_restart(now);
     }
 
     /// Forgets what an earlier life of the engine had loaded, and raises the fence again.
     pub(crate) fn on_restart(&mut self, now: Time) {
-        self.ledger.begin_life();
+        self.pending_orders.begin_incarnation();
         // They ended with that life. Taken for loads that failed, each model would
         // have to wait for its next try while its callers do.
         self.loads.clear();
-        self.ended = None;
+        self.assumed_end = None;
         self.closing.clear();
         self.closing_adapters.clear();
         self.ready_since.clear();
-        self.stays_until.clear();
+        self.retain_until.clear();
         self.last_busy.clear();
-        self.adapter_uses.clear();
-        self.accepted = None;
-        self.most_accepted = 0;
-        self.recount_from = now;
+        self.adapter_last_used.clear();
+        self.accepted_count = None;
+        self.max_accepted_count = 0;
+        self.recount_after = now;
         // A new life may have forgotten the fence and would obey a former owner.
         self.phase = Phase::RaisingFence { order: None, retry: now };
     }
--- a/crates/skylarkshore-core/src/loading/stages.rs
+++ b/crates/skylarkshore-core/src/loading/engine_state.rs
@@ -12,7 +12,7 @@
 use crate::upstream::EngineReport;
 
 /// Which part of the time that an overdue load has taken it is expected to last yet.
-const OVERDUE_PART: u32 = 3;
+const OVERDUE_DIVISOR: u32 = 3;
 
 /// How far the taking over of an engine has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
         at: Time,
     },
     /// What is loaded is known.
-    Known,
+    Surveyed,
     /// The engine has seen a higher fence: somebody else has taken it over.
     Superseded,
 }
@@ -53,13 +53,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadProgress {
     /// When it was ordered.
-    pub started: Time,
+    pub ordered: Time,
     /// When the engine is expected to begin it, or took it.
     pub begins: Time,
     /// When it is expected to end.
-    pub expected: Time,
+    pub expected_end: Time,
     /// When it was last looked at.
-    pub checked: Time,
+    pub last_checked: Time,
     /// Whether the weights come from the weight store.
     pub is_from_store: bool,
 }
@@ -76,18 +76,18 @@
     /// tenths of a second late, and callers who had waited ten seconds were sent
     /// away just before the model was there.
     pub(crate) fn remaining(&self, now: Time) -> Duration {
-        if !self.expected.is_due(now) {
-            return self.expected.remaining(now);
+        if !self.expected_end.is_due(now) {
+            return self.expected_end.remaining(now);
         }
-        let whole = self.expected.since(self.begins);
-        let overdue = now.since(self.expected);
-        overdue.min(whole).min(now.since(self.started) / OVERDUE_PART)
+        let whole = self.expected_end.since(self.begins);
+        let overdue = now.since(self.expected_end);
+        overdue.min(whole).min(now.since(self.ordered) / OVERDUE_DIVISOR)
     }
 }
 
 /// A load that was taken to have ended before a report showed it.
 #[derive(Clone, Debug)]
-pub(crate) struct TakenForEnded {
+pub(crate) struct AssumedEnd {
     /// The model.
     pub model: ModelName,
     /// When it was taken to have ended.
@@ -122,9 +122,9 @@
     /// Why.
     pub reason: CloseReason,
     /// The order of service of those who need its memory.
-    pub room_for: Option<ServiceOrder>,
+    pub for_order: Option<ServiceOrder>,
     /// When its memory was last needed.
-    pub needed: Time,
+    pub last_needed: Time,
 }
 
 /// Loads that failed one after the other.
@@ -138,33 +138,33 @@
 
 /// The last report of an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct LastReport {
     /// When it was asked for.
-    pub asked: Time,
+    pub requested_at: Time,
     /// When it came.
-    pub heard: Time,
+    pub received_at: Time,
     /// What it tells.
     pub report: EngineReport,
 }
 
 /// What a report means beside its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReportNews {
+pub(crate) enum ReportStatus {
     /// It came too early or out of turn.
-    Unusable,
+    Stale,
     /// It is the newest.
-    Usable,
+    Current,
     /// It is the newest, and the engine has begun a new life.
     Restarted,
 }
 
 /// Since when an engine's models have needed another home.
 #[derive(Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct Rehoming {
     /// Where the replicas are full.
-    pub full: OrderedMap<ModelName, Time>,
+    pub saturated: OrderedMap<ModelName, Time>,
     /// Where no room can be made.
-    pub crowded: OrderedMap<ModelName, Time>,
+    pub memory_blocked: OrderedMap<ModelName, Time>,
     /// What has been wished for long enough.
     pub due: Vec<HomeWish>,
 }
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -8,7 +8,7 @@
 use crate::cx::Cx;
 use crate::dump::Belief;
 use crate::id::{HostId, ModelName, UpstreamId};
-use crate::loading::crowd::Crowd;
+use crate::loading::concurrency_limit::ConcurrencyLimit;
 use crate::peer::PeerMessage;
 use crate::rules::ServiceOrder;
 use crate::time::Time;
@@ -23,13 +23,13 @@
 /// that slot is the whole store: held for 35 s, nothing was fetched until long
 /// after a fault, and callers of models that lie on no disk were refused. A
 /// holder that is paused for longer goes on loading, beside one load more.
-const SLOT_LIFE: Duration = RENEW_EVERY.saturating_mul(3).saturating_add(Duration::from_secs(1));
+const SLOT_TTL: Duration = RENEW_EVERY.saturating_mul(3).saturating_add(Duration::from_secs(1));
 /// After how long without its holder's word a slot tells nothing about its load.
-const HOLDER_SILENT: Duration = RENEW_EVERY.saturating_mul(2).saturating_add(Duration::from_millis(500));
+const HOLDER_TIMEOUT: Duration = RENEW_EVERY.saturating_mul(2).saturating_add(Duration::from_millis(500));
 /// After how long between two looks this process has stood still.
-const OWN_PAUSE: Duration = Duration::from_secs(2);
+const OWN_PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 /// After how long a load that isn't asked for any more leaves the queue.
-pub(crate) const QUEUE_LIFE: Duration = Duration::from_secs(2);
+pub(crate) const QUEUE_TTL: Duration = Duration::from_secs(2);
 /// A load, as the gate knows it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{model}@{engine}")]
@@ -57,7 +57,7 @@
 
 /// A load in the gate's queue.
 #[derive(Clone, Debug)]
-struct Queued {
+struct QueuedLoad {
     from: HostId,
     order: ServiceOrder,
     deadline: Time,
@@ -67,7 +67,7 @@
 
 /// A load that may run.
 #[derive(Clone, Debug)]
-struct Granted {
+struct GrantedSlot {
     from: HostId,
     since: Time,
     /// When its holder was last heard of.
@@ -83,7 +83,7 @@
     /// longer itself. Counted by the most that ever ran beside it, a load that had
     /// begun alone and ended in time doubled the number let through on a store
     /// that carries one.
-    beside: usize,
+    concurrent_at_start: usize,
     expires: Time,
 }
 
@@ -91,61 +91,61 @@
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     /// When it last looked at what runs.
-    looked: Time,
-    queue: OrderedMap<LoadKey, Queued>,
-    granted: OrderedMap<LoadKey, Granted>,
+    last_checked: Time,
+    queue: OrderedMap<LoadKey, QueuedLoad>,
+    granted: OrderedMap<LoadKey, GrantedSlot>,
     /// When loads were let through within the last second.
     starts: Vec<Time>,
-    crowd: Crowd,
+    concurrency_limit: ConcurrencyLimit,
 }
 
 impl Gate {
-    pub(crate) fn wanted(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey, urgency: Urgency) {
+    pub(crate) fn request(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey, urgency: Urgency) {
         if self.granted.get(key).is_some_and(|granted| granted.from == *from) {
-            self.held(cx, from, key);
-            tell_granted(cx, from, key);
+            self.renew(cx, from, key);
+            send_granted(cx, from, key);
             return;
         }
         let since = self.queue.get(key).map_or(cx.now, |queued| queued.since);
-        let queued = Queued {
+        let queued = QueuedLoad {
             from: from.clone(),
             order: urgency.order,
             deadline: cx.now.after(urgency.patience),
             since,
-            expires: cx.now.after(QUEUE_LIFE),
+            expires: cx.now.after(QUEUE_TTL),
         };
         self.queue.insert(key.clone(), queued);
         self.grant_due(cx);
         if let Some(own) = self.queue.get(key) {
             let ahead = self.queue.values().filter(|other| rank(other) < rank(own)).count();
-            let wait = self.wait(cx, ahead);
+            let wait = self.expected_wait(cx, ahead);
             let (upstream, model) = (key.engine.clone(), key.model.clone());
             cx.tell(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
         }
     }
 
     /// Takes note that a load is in progress, whoever let it through.
-    pub(crate) fn held(&mut self, cx: &Cx<'_>, from: &HostId, key: &LoadKey) {
+    pub(crate) fn renew(&mut self, cx: &Cx<'_>, from: &HostId, key: &LoadKey) {
         self.queue.remove(key);
-        let granted = self.granted.entry(key.clone()).or_insert_with(|| Granted {
+        let granted = self.granted.entry(key.clone()).or_insert_with(|| GrantedSlot {
             from: from.clone(),
             since: cx.now,
             renewed: cx.now,
             // It began some time ago; what seems its length tells nothing.
             was_paused: true,
-            beside: 0,
+            concurrent_at_start: 0,
             expires: cx.now,
         });
-        granted.was_paused |= granted.renewed.after(HOLDER_SILENT).is_due(cx.now);
+        granted.was_paused |= granted.renewed.after(HOLDER_TIMEOUT).is_due(cx.now);
         granted.from.clone_from(from);
         granted.renewed = cx.now;
-        granted.expires = cx.now.after(SLOT_LIFE);
+        granted.expires = cx.now.after(SLOT_TTL);
     }
 
-    pub(crate) fn returned(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
-        self.note_own_pause(cx.now);
+    pub(crate) fn release(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
+        self.detect_own_pause(cx.now);
         if self.granted.get(key).is_some_and(|granted| granted.from == *from) {
-            self.note_end(cx, key);
+            self.record_end(cx, key);
         }
         if self.queue.get(key).is_some_and(|queued| queued.from == *from) {
             self.queue.remove(key);
@@ -158,29 +158,34 @@
     /// What came meanwhile is read before the next tick. A slot given back in that
     /// time would seem to have been in use until now, the store to be slow, and
     /// callers would be refused for want of a load.
-    fn note_own_pause(&mut self, now: Time) {
-        if self.looked.after(OWN_PAUSE).is_due(now) {
+    fn detect_own_pause(&mut self, now: Time) {
+        if self.last_checked.after(OWN_PAUSE_THRESHOLD).is_due(now) {
             self.granted.values_mut().for_each(|granted| granted.was_paused = true);
         }
-        self.looked = now;
+        self.last_checked = now;
     }
 
     /// Learns from the loads that are in progress.
-    pub(crate) fn look_at_running(&mut self, cx: &mut Cx<'_>) {
-        self.note_own_pause(cx.now);
+    pub(crate) fn learn_from_running(&mut self, cx: &mut Cx<'_>) {
+        self.detect_own_pause(cx.now);
         for (key, granted) in &self.granted {
             let Some(model) = cx.document.catalogue.models.get(&key.model) else { continue };
             // What counts is when its holder last said that it lasts.
             let so_far = granted.renewed.since(granted.since);
             if !granted.was_paused {
-                self.crowd.lasts(cx, model.load_time, so_far, granted.beside);
+                self.concurrency_limit.record_running(
+                    cx,
+                    model.load_time,
+                    so_far,
+                    granted.concurrent_at_start,
+                );
             }
         }
     }
 
     /// Estimates how long the load that has so many before it waits for its slot.
-    fn wait(&self, cx: &Cx<'_>, ahead: usize) -> Duration {
-        let at_once = self.crowd.most(cx);
+    fn expected_wait(&self, cx: &Cx<'_>, ahead: usize) -> Duration {
+        let at_once = self.concurrency_limit.limit(cx);
         let mut ends: Vec<Duration> = self
             .granted
             .iter()
@@ -198,13 +203,13 @@
         first + longest.unwrap_or_default() * rounds
     }
 
-    fn note_end(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
+    fn record_end(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let Some(granted) = self.granted.remove(key) else { return };
         let Some(model) = cx.document.catalogue.models.get(&key.model) else { return };
         let (listed, took) = (model.load_time, cx.now.since(granted.since));
         // A slot that was given back sooner wasn't used for a load.
         if took * 2 > listed && !granted.was_paused {
-            self.crowd.ended(cx, listed, took, granted.beside);
+            self.concurrency_limit.record_end(cx, listed, took, granted.concurrent_at_start);
         }
     }
 
@@ -226,26 +231,26 @@
         self.granted.retain(|_, granted| !granted.expires.is_due(cx.now));
         let (span, starts) = rate(cx).window();
         self.starts.retain(|start| !start.after(span).is_due(cx.now));
-        let at_once = self.crowd.most(cx);
+        let at_once = self.concurrency_limit.limit(cx);
         while self.granted.len() < at_once && self.starts.len() < starts {
             let first = self.queue.iter().min_by_key(|(_, queued)| rank(queued));
             let Some(key) = first.map(|(key, _)| key.clone()) else { return };
             let Some(queued) = self.queue.remove(&key) else { return };
             self.starts.push(cx.now);
-            let beside = self.granted.len();
+            let concurrent_at_start = self.granted.len();
             let (to, waiting) = (&queued.from, self.queue.len());
-            let detail = format!("to={to} running={beside} of={at_once} waiting={waiting}");
+            let detail = format!("to={to} running={concurrent_at_start} of={at_once} waiting={waiting}");
             cx.note("load_slot_granted", &key, detail);
-            tell_granted(cx, &queued.from, &key);
+            send_granted(cx, &queued.from, &key);
             self.granted.insert(
                 key,
-                Granted {
+                GrantedSlot {
                     from: queued.from,
                     since: cx.now,
                     renewed: cx.now,
                     was_paused: false,
-                    beside,
-                    expires: cx.now.after(SLOT_LIFE),
+                    concurrent_at_start,
+                    expires: cx.now.after(SLOT_TTL),
                 },
             );
         }
@@ -253,11 +258,11 @@
 }
 
 /// Returns what decides which load goes first: order of service, then deadline, then age.
-const fn rank(queued: &Queued) -> (ServiceOrder, Time, Time) {
+const fn rank(queued: &QueuedLoad) -> (ServiceOrder, Time, Time) {
     (queued.order, queued.deadline, queued.since)
 }
 
-fn tell_granted(cx: &mut Cx<'_>, to: &HostId, key: &LoadKey) {
+fn send_granted(cx: &mut Cx<'_>, to: &HostId, key: &LoadKey) {
     let granted = PeerMessage::LoadSlotGranted { upstream: key.engine.clone(), model: key.model.clone() };
     cx.tell(to, granted);
 }
--- a/crates/skylarkshore-core/src/loading/history.rs
+++ b/crates/skylarkshore-core/src/loading/history.rs
@@ -4,25 +4,25 @@
 
 use crate::collections::OrderedMap;
 use crate::id::ModelName;
-use crate::loading::gaps::{Expectation, Gaps};
+use crate::loading::inter_arrival::{InterArrivalDistribution, InterArrivalHistogram};
 use crate::time::Time;
 
 /// Uses that lie closer together than this belong together.
-const SHORTEST_GAP: Duration = Duration::from_secs(2);
+const MIN_GAP: Duration = Duration::from_secs(2);
 /// How many gaps of all models together make up for a model's missing history.
-const COMMON_LEAST: f32 = 8.0;
+const MIN_COMMON_WEIGHT: f32 = 8.0;
 /// As how many gaps of a model's own the common ones count.
-const PRIOR: f32 = 1.5;
+const PRIOR_WEIGHT: f32 = 1.5;
 /// The fewest gaps of a model's own that count as a history without common ones.
-const OWN_LEAST: f32 = 3.0;
+const MIN_OWN_WEIGHT: f32 = 3.0;
 /// How much a new burst counts against all earlier ones.
-const BURST_SHARE: f64 = 0.2;
+const BURST_WEIGHT: f64 = 0.2;
 
 /// One model's use.
 #[derive(Clone, Debug)]
-struct Usage {
+struct ModelHistory {
     last: Time,
-    gaps: Gaps,
+    gaps: InterArrivalHistogram,
     /// Requests that wait when a load begins, on average.
     burst: f64,
 }
@@ -30,55 +30,58 @@
 /// Every model's use.
 #[derive(Debug, Default)]
 pub(crate) struct History {
-    models: OrderedMap<ModelName, Usage>,
-    common: Gaps,
+    models: OrderedMap<ModelName, ModelHistory>,
+    common: InterArrivalHistogram,
 }
 
 impl History {
     /// Takes note that a model is in use or waited for.
-    pub(crate) fn used(&mut self, now: Time, model: &ModelName) {
-        let Some(usage) = self.models.get_mut(model) else {
-            self.models.insert(model.clone(), Usage { last: now, gaps: Gaps::default(), burst: 1.0 });
+    pub(crate) fn record_use(&mut self, now: Time, model: &ModelName) {
+        let Some(history) = self.models.get_mut(model) else {
+            self.models.insert(
+                model.clone(),
+                ModelHistory { last: now, gaps: InterArrivalHistogram::default(), burst: 1.0 },
+            );
             return;
         };
-        let gap = now.since(usage.last);
-        usage.last = usage.last.max(now);
-        if gap >= SHORTEST_GAP {
-            usage.gaps.add(gap);
+        let gap = now.since(history.last);
+        history.last = history.last.max(now);
+        if gap >= MIN_GAP {
+            history.gaps.add(gap);
             self.common.add(gap);
         }
     }
 
     /// Takes note of how many requests felt a cold start.
-    pub(crate) fn felt(&mut self, model: &ModelName, requests: u32) {
-        if let Some(usage) = self.models.get_mut(model) {
-            usage.burst += (f64::from(requests.max(1)) - usage.burst) * BURST_SHARE;
+    pub(crate) fn record_cold_start(&mut self, model: &ModelName, requests: u32) {
+        if let Some(history) = self.models.get_mut(model) {
+            history.burst += (f64::from(requests.max(1)) - history.burst) * BURST_WEIGHT;
         }
     }
 
     /// Returns when the model was last used.
     pub(crate) fn last(&self, model: &ModelName) -> Option<Time> {
-        self.models.get(model).map(|usage| usage.last)
+        self.models.get(model).map(|history| history.last)
     }
 
     /// Returns how many requests a cold start of the model makes wait, on average.
     pub(crate) fn burst(&self, model: &ModelName) -> f64 {
-        self.models.get(model).map_or(1.0, |usage| usage.burst)
+        self.models.get(model).map_or(1.0, |history| history.burst)
     }
 
     /// Returns what is expected of the model's gap, if anything is known that helps.
-    pub(crate) fn expectation(&self, model: &ModelName) -> Option<Expectation> {
-        let none = Gaps::default();
-        let own = self.models.get(model).map_or(&none, |usage| &usage.gaps);
-        if self.common.weight() >= COMMON_LEAST {
-            return Some(Expectation::new(own, &self.common, PRIOR));
+    pub(crate) fn gap_distribution(&self, model: &ModelName) -> Option<InterArrivalDistribution> {
+        let none = InterArrivalHistogram::default();
+        let own = self.models.get(model).map_or(&none, |history| &history.gaps);
+        if self.common.weight() >= MIN_COMMON_WEIGHT {
+            return Some(InterArrivalDistribution::new(own, &self.common, PRIOR_WEIGHT));
         }
-        (own.weight() >= OWN_LEAST).then(|| Expectation::new(own, &none, 0.0))
+        (own.weight() >= MIN_OWN_WEIGHT).then(|| InterArrivalDistribution::new(own, &none, 0.0))
     }
 
     /// Returns what is expected of the model's gap from its own history alone.
-    pub(crate) fn own_expectation(&self, model: &ModelName) -> Option<Expectation> {
-        let usage = self.models.get(model).filter(|usage| usage.gaps.weight() >= OWN_LEAST)?;
-        Some(Expectation::new(&usage.gaps, &self.common, PRIOR))
+    pub(crate) fn own_gap_distribution(&self, model: &ModelName) -> Option<InterArrivalDistribution> {
+        let history = self.models.get(model).filter(|history| history.gaps.weight() >= MIN_OWN_WEIGHT)?;
+        Some(InterArrivalDistribution::new(&history.gaps, &self.common, PRIOR_WEIGHT))
     }
 }
--- a/crates/skylarkshore-core/src/loading/tally.rs
+++ b/crates/skylarkshore-core/src/loading/load_metrics.rs
@@ -4,7 +4,7 @@
 
 /// What the process has done with its engines so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct LoadMetrics {
     /// Loads that were ordered.
     pub loads: u64,
     /// Unloads that were ordered.
--- a/crates/skylarkshore-core/src/loading/pacing.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -19,29 +19,29 @@
 use crate::cx::Cx;
 use crate::dump::Belief;
 use crate::id::{HostId, UpstreamId};
-use crate::loading::gate::{Gate, LoadKey, QUEUE_LIFE, RENEW_EVERY, Urgency, rate};
+use crate::loading::gate::{Gate, LoadKey, QUEUE_TTL, RENEW_EVERY, Urgency, rate};
 use crate::peer::PeerMessage;
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
 /// How often a waiting load asks again.
-const ASK_EVERY: Duration = Duration::from_millis(150);
+const ASK_INTERVAL: Duration = Duration::from_millis(150);
 /// After how long without an answer to repeated questions a gate counts as silent.
-const GATE_SILENT: Duration = Duration::from_millis(300);
+const GATE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a silent gate isn't asked again; hosts are paused for some seconds.
-const GATE_AVOIDED: Duration = Duration::from_secs(5);
+const GATE_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// How many gates are asked before the fixed share is used.
 ///
 /// Callers of a cold model wait for as many times [`GATE_SILENT`] where all are away.
-const GATES: usize = 2;
+const MAX_GATES: usize = 2;
 /// For how long the gate's word on one load is believed for others.
-const GATE_BELIEVED: Duration = Duration::from_secs(1);
+const ESTIMATE_TTL: Duration = Duration::from_secs(1);
 /// How far apart loads of the fixed share start at least.
-const LOCAL_SPACING: Duration = Duration::from_secs(1);
+const MIN_LOCAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Whether a load may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Slot {
+pub(crate) enum SlotStatus {
     /// It may.
     Granted,
     /// It has to wait.
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Share {
+enum SlotSource {
     None,
     /// Of the gate.
     Gate,
@@ -59,34 +59,34 @@
 
 /// One load of this process.
 #[derive(Clone, Debug)]
-struct Ask {
+struct SlotRequest {
     /// When the caller last wanted it.
-    wanted: Time,
-    next: Time,
+    last_wanted: Time,
+    next_message: Time,
     /// The gate that was asked last, or granted the share.
     gate: Option<HostId>,
     /// When it was asked last.
-    asked: Option<Time>,
+    last_asked: Option<Time>,
     /// Since when questions to it have had no answer.
-    unanswered: Option<Time>,
+    unanswered_since: Option<Time>,
     /// When the gate is expected to grant it.
-    granted_by: Time,
-    share: Share,
+    expected_grant: Time,
+    source: SlotSource,
     /// Whether the load has begun.
     started: bool,
     urgency: Urgency,
 }
 
-impl Ask {
+impl SlotRequest {
     const fn new(now: Time, urgency: Urgency) -> Self {
         Self {
-            wanted: now,
-            next: now,
+            last_wanted: now,
+            next_message: now,
             gate: None,
-            asked: None,
-            unanswered: None,
-            granted_by: now,
-            share: Share::None,
+            last_asked: None,
+            unanswered_since: None,
+            expected_grant: now,
+            source: SlotSource::None,
             started: false,
             urgency,
         }
@@ -95,69 +95,70 @@
 
 /// What the process asks of the gate, and the gate itself.
 #[derive(Debug, Default)]
-pub(crate) struct Pacing {
-    asks: OrderedMap<LoadKey, Ask>,
-    last_local: Option<Time>,
+pub(crate) struct LoadSlots {
+    requests: OrderedMap<LoadKey, SlotRequest>,
+    last_local_grant: Option<Time>,
     /// Until when the weight store is taken, as the gate last told.
-    busy_until: Time,
+    store_busy_until: Time,
     /// Until when that is believed.
-    believed_until: Time,
+    estimate_valid_until: Time,
     /// The gates that gave no answer, and until when they aren't asked.
-    silent: OrderedMap<HostId, Time>,
+    silent_gates: OrderedMap<HostId, Time>,
     gate: Gate,
 }
 
-impl Pacing {
+impl LoadSlots {
     /// Asks for a slot, or learns whether it has been granted.
-    pub(crate) fn request(&mut self, cx: &mut Cx<'_>, key: &LoadKey, urgency: Urgency) -> Slot {
+    pub(crate) fn request(&mut self, cx: &mut Cx<'_>, key: &LoadKey, urgency: Urgency) -> SlotStatus {
         let now = cx.now;
-        let ask = self.asks.entry(key.clone()).or_insert_with(|| Ask::new(now, urgency));
-        ask.wanted = now;
-        ask.urgency = urgency;
-        if ask.share != Share::None {
-            return Slot::Granted;
+        let request = self.requests.entry(key.clone()).or_insert_with(|| SlotRequest::new(now, urgency));
+        request.last_wanted = now;
+        request.urgency = urgency;
+        if request.source != SlotSource::None {
+            return SlotStatus::Granted;
         }
-        self.ask_gate(cx, key);
-        if self.is_gate_silent(cx, key) && self.take_local(cx, key) {
-            return Slot::Granted;
+        self.request_from_gate(cx, key);
+        if self.has_no_gate(cx, key) && self.grant_local(cx, key) {
+            return SlotStatus::Granted;
         }
-        Slot::Waiting
+        SlotStatus::Waiting
     }
 
     /// Tells whether no gate answers; if only the last one doesn't, the next one is asked.
-    fn is_gate_silent(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
+    fn has_no_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
-        let Some(ask) = self.asks.get_mut(key) else { return false };
-        if ask.unanswered.is_some_and(|since| since.after(GATE_SILENT).is_due(now)) {
-            ask.unanswered = None;
-            ask.next = now;
-            if let Some(gate) = ask.gate.clone() {
+        let Some(request) = self.requests.get_mut(key) else { return false };
+        if request.unanswered_since.is_some_and(|since| since.after(GATE_TIMEOUT).is_due(now)) {
+            request.unanswered_since = None;
+            request.next_message = now;
+            if let Some(gate) = request.gate.clone() {
                 cx.note("store_gate_silent", &gate, format!("asked for {key}"));
-                self.silent.insert(gate, now.after(GATE_AVOIDED));
+                self.silent_gates.insert(gate, now.after(GATE_RETRY_AFTER));
             }
-            self.ask_gate(cx, key);
+            self.request_from_gate(cx, key);
         }
-        let is_one_heard = self.silent.is_empty() && cx.cache.members().next().is_some();
+        let is_one_heard = self.silent_gates.is_empty() && cx.cache.members().next().is_some();
         !is_one_heard && self.gate_host(cx).is_none()
     }
 
     /// Takes note that a load has begun.
-    pub(crate) fn started(&mut self, key: &LoadKey) {
-        if let Some(ask) = self.asks.get_mut(key) {
-            ask.started = true;
+    pub(crate) fn record_started(&mut self, key: &LoadKey) {
+        if let Some(request) = self.requests.get_mut(key) {
+            request.started = true;
         }
     }
 
     /// Takes note that a load is in progress, also one whose slot was given back.
     ///
     /// An order in doubt that is sent again may be taken after all.
-    pub(crate) fn runs(&mut self, now: Time, key: &LoadKey) {
-        if self.asks.contains_key(key) {
+    pub(crate) fn record_running(&mut self, now: Time, key: &LoadKey) {
+        if self.requests.contains_key(key) {
             return;
         }
         let urgency = Urgency { order: ServiceOrder::default(), patience: Duration::ZERO };
-        let ask = Ask { share: Share::Gate, started: true, ..Ask::new(now, urgency) };
-        self.asks.insert(key.clone(), ask);
+        let request =
+            SlotRequest { source: SlotSource::Gate, started: true, ..SlotRequest::new(now, urgency) };
+        self.requests.insert(key.clone(), request);
     }
 
     /// Returns the process that keeps the gate, if one of the first in the hash's order isn't silent.
@@ -169,21 +170,21 @@
             .map(|host| (FixedState::default().hash_one(("weight-store", host.as_str())), host))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let is_heard = |host: &&HostId| !self.silent.contains_key(*host);
-        ranked.into_iter().take(GATES).map(|(_, host)| host).find(is_heard).cloned()
+        let is_heard = |host: &&HostId| !self.silent_gates.contains_key(*host);
+        ranked.into_iter().take(MAX_GATES).map(|(_, host)| host).find(is_heard).cloned()
     }
 
-    fn take_local(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
+    fn grant_local(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
-        let spacing = local_spacing(cx);
-        let is_taken = self.asks.values().any(|ask| ask.share == Share::Local);
-        let is_early = self.last_local.is_some_and(|last| !last.after(spacing).is_due(now));
+        let spacing = local_interval(cx);
+        let is_taken = self.requests.values().any(|request| request.source == SlotSource::Local);
+        let is_early = self.last_local_grant.is_some_and(|last| !last.after(spacing).is_due(now));
         if is_taken || is_early {
             return false;
         }
-        self.last_local = Some(now);
-        if let Some(ask) = self.asks.get_mut(key) {
-            ask.share = Share::Local;
+        self.last_local_grant = Some(now);
+        if let Some(request) = self.requests.get_mut(key) {
+            request.source = SlotSource::Local;
         }
         cx.note("store_gates_away", key, "the load begins without a gate");
         true
@@ -191,74 +192,74 @@
 
     /// Tells whether the gate is to hear of a load now; if so, gates that were silent long ago are asked again.
     fn is_message_due(&mut self, now: Time, key: &LoadKey) -> bool {
-        if self.asks.get(key).is_none_or(|ask| !ask.next.is_due(now)) {
+        if self.requests.get(key).is_none_or(|request| !request.next_message.is_due(now)) {
             return false;
         }
-        self.silent.retain(|_, until| !until.is_due(now));
+        self.silent_gates.retain(|_, until| !until.is_due(now));
         true
     }
 
     /// Asks the gate for a slot, if that is due.
-    fn ask_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
+    fn request_from_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let now = cx.now;
         if !self.is_message_due(now, key) {
             return;
         }
         let gate = self.gate_host(cx);
-        let Some(ask) = self.asks.get_mut(key) else { return };
-        ask.next = now.after(ASK_EVERY);
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.next_message = now.after(ASK_INTERVAL);
         let Some(gate) = gate else { return };
         // What was asked before a pause tells nothing: an engine that is busy with
         // another order asks for nothing meanwhile.
-        let is_repeated = ask.asked.is_some_and(|asked| !asked.after(GATE_SILENT).is_due(now));
-        if !is_repeated || ask.gate.as_ref() != Some(&gate) {
-            ask.unanswered = None;
+        let is_repeated = request.last_asked.is_some_and(|asked| !asked.after(GATE_TIMEOUT).is_due(now));
+        if !is_repeated || request.gate.as_ref() != Some(&gate) {
+            request.unanswered_since = None;
         }
-        ask.unanswered.get_or_insert(now);
-        ask.asked = Some(now);
-        ask.gate = Some(gate.clone());
+        request.unanswered_since.get_or_insert(now);
+        request.last_asked = Some(now);
+        request.gate = Some(gate.clone());
         let wanted = PeerMessage::LoadSlotWanted {
             upstream: key.engine.clone(),
             model: key.model.clone(),
-            order: ask.urgency.order,
-            patience: ask.urgency.patience,
+            order: request.urgency.order,
+            patience: request.urgency.patience,
         };
         cx.tell(&gate, wanted);
     }
 
     /// Gives a share back that a load can't use, unless it has begun.
-    pub(crate) fn forgo(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
-        if self.asks.get(key).is_some_and(|ask| !ask.started) {
+    pub(crate) fn release_unstarted(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
+        if self.requests.get(key).is_some_and(|request| !request.started) {
             self.release(cx, key);
         }
     }
 
     /// Gives a slot back, or leaves the queue.
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
-        let Some(ask) = self.asks.remove(key) else { return };
-        if let Some(gate) = ask.gate {
-            cx.tell(&gate, returned(key));
+        let Some(request) = self.requests.remove(key) else { return };
+        if let Some(gate) = request.gate {
+            cx.tell(&gate, slot_returned(key));
         }
     }
 
     /// Tells what this process asks of the gate, and what it grants where it keeps the gate itself.
     pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        let asks = self.asks.iter().map(|(key, ask)| {
-            let gate = ask.gate.as_ref().map_or("none", HostId::as_str);
-            let standing = match (ask.share, ask.started) {
-                (Share::None, _) => "waits",
+        let requests = self.requests.iter().map(|(key, request)| {
+            let gate = request.gate.as_ref().map_or("none", HostId::as_str);
+            let standing = match (request.source, request.started) {
+                (SlotSource::None, _) => "waits",
                 (_, false) => "may begin",
                 (_, true) => "in progress",
             };
             let state = format!("{standing}; gate={gate}");
-            Belief { kind: "load_slot", subject: key.to_string(), state, since: ask.asked }
+            Belief { kind: "load_slot", subject: key.to_string(), state, since: request.last_asked }
         });
-        asks.chain(self.gate.beliefs())
+        requests.chain(self.gate.beliefs())
     }
 
     /// Gives back every slot of an engine.
     pub(crate) fn release_engine(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
-        let keys: Vec<LoadKey> = self.asks.keys().filter(|key| key.engine == *engine).cloned().collect();
+        let keys: Vec<LoadKey> = self.requests.keys().filter(|key| key.engine == *engine).cloned().collect();
         for key in keys {
             self.release(cx, &key);
         }
@@ -271,11 +272,11 @@
     /// be refused on account of loads that nobody wants any more, and as all are
     /// refused, nobody would ask the gate anew.
     pub(crate) fn expected_wait(&self, cx: &Cx<'_>, key: &LoadKey) -> Duration {
-        match self.asks.get(key) {
-            Some(ask) if ask.share == Share::None => ask.granted_by.remaining(cx.now),
+        match self.requests.get(key) {
+            Some(request) if request.source == SlotSource::None => request.expected_grant.remaining(cx.now),
             Some(_) => Duration::ZERO,
-            None if self.believed_until.is_due(cx.now) => Duration::ZERO,
-            None => self.busy_until.remaining(cx.now),
+            None if self.estimate_valid_until.is_due(cx.now) => Duration::ZERO,
+            None => self.store_busy_until.remaining(cx.now),
         }
     }
 
@@ -283,18 +284,18 @@
     ///
     /// `running` names the loads that have begun.
     pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>, running: impl Fn(&LoadKey) -> bool) {
-        let keys: Vec<LoadKey> = self.asks.keys().cloned().collect();
+        let keys: Vec<LoadKey> = self.requests.keys().cloned().collect();
         for key in keys {
-            let Some(ask) = self.asks.get(&key) else { continue };
-            let stale = ask.wanted.after(QUEUE_LIFE).is_due(cx.now);
-            match (ask.started, running(&key)) {
+            let Some(request) = self.requests.get(&key) else { continue };
+            let stale = request.last_wanted.after(QUEUE_TTL).is_due(cx.now);
+            match (request.started, running(&key)) {
                 (true, true) => self.renew(cx, &key),
                 (true, false) => self.release(cx, &key),
                 (false, _) if stale => self.release(cx, &key),
                 (false, _) => {}
             }
         }
-        self.gate.look_at_running(cx);
+        self.gate.learn_from_running(cx);
         self.gate.grant_due(cx);
     }
 
@@ -307,14 +308,14 @@
             return;
         }
         let gate = self.gate_host(cx);
-        let Some(ask) = self.asks.get_mut(key) else { return };
-        ask.next = cx.now.after(RENEW_EVERY);
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.next_message = cx.now.after(RENEW_EVERY);
         let Some(gate) = gate else { return };
-        let former = ask.gate.replace(gate.clone()).filter(|former| *former != gate);
+        let former = request.gate.replace(gate.clone()).filter(|former| *former != gate);
         if let Some(former) = former {
-            cx.tell(&former, returned(key));
+            cx.tell(&former, slot_returned(key));
         }
-        cx.tell(&gate, held(key));
+        cx.tell(&gate, slot_held(key));
     }
 
     /// Takes a peer's message about slots.
@@ -322,15 +323,15 @@
         match message {
             PeerMessage::LoadSlotWanted { upstream, model, order, patience } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.gate.wanted(cx, from, &key, Urgency { order: *order, patience: *patience });
+                self.gate.request(cx, from, &key, Urgency { order: *order, patience: *patience });
             }
             PeerMessage::LoadSlotReturned { upstream, model } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.gate.returned(cx, from, &key);
+                self.gate.release(cx, from, &key);
             }
             PeerMessage::LoadSlotHeld { upstream, model } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.gate.held(cx, from, &key);
+                self.gate.renew(cx, from, &key);
             }
             PeerMessage::LoadSlotGranted { upstream, model } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
@@ -338,11 +339,11 @@
             }
             PeerMessage::LoadSlotQueued { upstream, model, wait } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.busy_until = cx.now.after(*wait);
-                self.believed_until = cx.now.after(GATE_BELIEVED);
-                if let Some(ask) = self.asks.get_mut(&key) {
-                    ask.unanswered = None;
-                    ask.granted_by = cx.now.after(*wait);
+                self.store_busy_until = cx.now.after(*wait);
+                self.estimate_valid_until = cx.now.after(ESTIMATE_TTL);
+                if let Some(request) = self.requests.get_mut(&key) {
+                    request.unanswered_since = None;
+                    request.expected_grant = cx.now.after(*wait);
                 }
             }
             _ => {}
@@ -350,28 +351,28 @@
     }
 
     fn on_granted(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
-        let Some(ask) = self.asks.get_mut(key) else {
+        let Some(request) = self.requests.get_mut(key) else {
             // The load isn't wanted any more; others could use the slot.
-            cx.tell(from, returned(key));
+            cx.tell(from, slot_returned(key));
             return;
         };
-        ask.unanswered = None;
-        if ask.share == Share::None {
-            ask.share = Share::Gate;
-            ask.gate = Some(from.clone());
-            ask.next = cx.now.after(RENEW_EVERY);
-        } else if ask.gate.as_ref() != Some(from) {
+        request.unanswered_since = None;
+        if request.source == SlotSource::None {
+            request.source = SlotSource::Gate;
+            request.gate = Some(from.clone());
+            request.next_message = cx.now.after(RENEW_EVERY);
+        } else if request.gate.as_ref() != Some(from) {
             // Another gate has let it through meanwhile, and only that one is told of its end.
-            cx.tell(from, returned(key));
+            cx.tell(from, slot_returned(key));
         }
     }
 }
 
-fn returned(key: &LoadKey) -> PeerMessage {
+fn slot_returned(key: &LoadKey) -> PeerMessage {
     PeerMessage::LoadSlotReturned { upstream: key.engine.clone(), model: key.model.clone() }
 }
 
-fn held(key: &LoadKey) -> PeerMessage {
+fn slot_held(key: &LoadKey) -> PeerMessage {
     PeerMessage::LoadSlotHeld { upstream: key.engine.clone(), model: key.model.clone() }
 }
 
@@ -379,9 +380,9 @@
 ///
 /// Every process may be without it at the same moment, and all of them together
 /// have to keep to the rate.
-fn local_spacing(cx: &Cx<'_>) -> Duration {
+fn local_interval(cx: &Cx<'_>) -> Duration {
     let (span, starts) = rate(cx).window();
     let hosts = u32::try_from(cx.cache.members().count()).unwrap_or(u32::MAX).max(1);
     let starts = u32::try_from(starts).unwrap_or(u32::MAX).max(1);
-    (span * hosts / starts).max(LOCAL_SPACING)
+    (span * hosts / starts).max(MIN_LOCAL_INTERVAL)
 }
--- a/crates/skylarkshore-core/src/loading/own.rs
+++ b/crates/skylarkshore-core/src/loading/owned_engines.rs
@@ -8,30 +8,30 @@
 
 /// An engine's use for loads, as last looked at.
 #[derive(Debug, Default)]
-struct Standing {
+struct LoadAbility {
     is_able: bool,
-    crowded: OrderedSet<ModelName>,
+    memory_blocked: OrderedSet<ModelName>,
 }
 
 /// The process's engines, as far as decisions on other ones need them.
 #[derive(Debug, Default)]
-pub(crate) struct OwnEngines {
-    engines: OrderedMap<UpstreamId, Standing>,
+pub(crate) struct OwnedEngines {
+    engines: OrderedMap<UpstreamId, LoadAbility>,
 }
 
-impl OwnEngines {
+impl OwnedEngines {
     /// Takes note of how an engine stands.
-    pub(crate) fn note(&mut self, cx: &Cx<'_>, engine: &Engine) {
+    pub(crate) fn update(&mut self, cx: &Cx<'_>, engine: &Engine) {
         let is_able = engine.report().is_some()
             && !engine.is_silent(cx.now, cx.cfg.timings.engine_timeout)
             && !engine.is_leaving()
             && engine.lacks.is_none();
-        let standing = Standing { is_able, crowded: engine.crowded.clone() };
-        self.engines.insert(engine.id.clone(), standing);
+        let ability = LoadAbility { is_able, memory_blocked: engine.memory_blocked.clone() };
+        self.engines.insert(engine.id.clone(), ability);
     }
 
     /// Forgets an engine that the process owns no longer.
-    pub(crate) fn forget(&mut self, engine: &UpstreamId) {
+    pub(crate) fn remove(&mut self, engine: &UpstreamId) {
         self.engines.remove(engine);
     }
 
@@ -39,10 +39,10 @@
     ///
     /// Routers ask one owner after the other, so that other owners' homes don't
     /// count; but an owner of several homes of a model begins with one of them.
-    pub(crate) fn place(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
+    pub(crate) fn position(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
         let before = homes.engines.iter().take_while(|home| *home != engine);
         let able = before.filter(|home| {
-            self.engines.get(*home).is_some_and(|home| home.is_able && !home.crowded.contains(model))
+            self.engines.get(*home).is_some_and(|home| home.is_able && !home.memory_blocked.contains(model))
         });
         u32::try_from(able.count()).unwrap_or(u32::MAX)
     }
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::{Loading, answer, decide, views};
+use super::{Loading, decide, estimates, publishing};
 use crate::authority::Authority;
 use crate::catalogue::ModelTarget;
 use crate::cx::Cx;
 use crate::id::{HostId, ModelName, UpstreamId};
-use crate::loading::demand::Wanted;
-use crate::loading::usage::Counted;
+use crate::loading::demand::WaitReport;
+use crate::loading::usage::UsageSample;
 use crate::peer::{CannotLoad, PeerMessage};
 use crate::time::Time;
 
@@ -21,47 +21,53 @@
         from: &HostId,
         message: &PeerMessage,
     ) {
-        self.pacing.on_peer(cx, from, message);
+        self.load_slots.on_peer(cx, from, message);
         match message {
             PeerMessage::Used { target, arrived, late, worked, waited_for } => {
-                self.usage.count(
+                self.usage.record(
                     cx.now,
                     &target.model,
-                    Counted { arrived: *arrived, late: *late, worked: *worked },
+                    UsageSample { arrived: *arrived, late: *late, worked: *worked },
                 );
-                self.unserved.asked(cx.now, target, *arrived, *worked);
-                self.note_use(cx, &target.model);
-                self.note_adapter_use(cx.now, target);
-                self.demand.listens(cx.now, from, &target.model, &cx.cfg.timings);
+                self.unserved.record(cx.now, target, *arrived, *worked);
+                self.record_use(cx, &target.model);
+                self.record_adapter_use(cx.now, target);
+                self.demand.subscribe(cx.now, from, &target.model, &cx.cfg.timings);
                 if !*waited_for {
-                    self.demand.satisfied(from, target);
+                    self.demand.clear_waiting(from, target);
                 }
             }
             PeerMessage::Wanted { target, waiting, order, patience, aim } => {
                 if *waiting > 0 {
-                    self.history.used(cx.now, &target.model);
+                    self.history.record_use(cx.now, &target.model);
                 }
-                self.note_adapter_use(cx.now, target);
-                let wanted =
-                    Wanted { from, target, waiting: *waiting, order: *order, patience: *patience, aim: *aim };
-                if let Some(busy) = self.busy(cx, authority, &wanted) {
-                    self.demand.wanted(cx.now, Wanted { waiting: 0, ..wanted }, &cx.cfg.timings);
-                    return cx.tell(from, busy);
+                self.record_adapter_use(cx.now, target);
+                let wanted = WaitReport {
+                    from,
+                    target,
+                    waiting: *waiting,
+                    order: *order,
+                    patience: *patience,
+                    aim: *aim,
+                };
+                if let Some(busy_refusal) = self.busy_refusal(cx, authority, &wanted) {
+                    self.demand.record(cx.now, WaitReport { waiting: 0, ..wanted }, &cx.cfg.timings);
+                    return cx.tell(from, busy_refusal);
                 }
-                self.demand.wanted(cx.now, wanted, &cx.cfg.timings);
+                self.demand.record(cx.now, wanted, &cx.cfg.timings);
                 self.answer_wanted(cx, authority, &wanted);
             }
-            PeerMessage::PowerWanted { site, .. } => self.shortages.called(cx.now, site),
+            PeerMessage::PowerWanted { site, .. } => self.power_shortages.record(cx.now, site),
             PeerMessage::ReservationWanted { upstream, patience } => {
                 let Some(engine) = self.engines.get_mut(upstream) else { return };
-                engine.reservation.wanted(cx.now, from, *patience);
-                views::tell_changes(cx, engine, &self.demand);
-                views::tell_one(cx, engine, from);
+                engine.reservation.reserve(cx.now, from, *patience);
+                publishing::publish_changes(cx, engine, &self.demand);
+                publishing::publish_to(cx, engine, from);
             }
             PeerMessage::ReservationReturned { upstream } => {
                 let Some(engine) = self.engines.get_mut(upstream) else { return };
-                engine.reservation.returned(from);
-                views::tell_changes(cx, engine, &self.demand);
+                engine.reservation.release(from);
+                publishing::publish_changes(cx, engine, &self.demand);
             }
             _ => {}
         }
@@ -71,49 +77,49 @@
     ///
     /// Requests that don't wait are only told now and then, and are seen in the
     /// engine's reports before that, unless they are short.
-    fn note_use(&mut self, cx: &Cx<'_>, model: &ModelName) {
-        let told_every = cx.cfg.timings.usage_every;
-        let unseen = self.history.last(model).is_none_or(|last| last.after(told_every).is_due(cx.now));
-        if unseen {
-            self.history.used(cx.now, model);
+    fn record_use(&mut self, cx: &Cx<'_>, model: &ModelName) {
+        let usage_interval = cx.cfg.timings.usage_every;
+        let is_unseen = self.history.last(model).is_none_or(|last| last.after(usage_interval).is_due(cx.now));
+        if is_unseen {
+            self.history.record_use(cx.now, model);
         }
     }
 
-    fn note_adapter_use(&mut self, now: Time, target: &ModelTarget) {
+    fn record_adapter_use(&mut self, now: Time, target: &ModelTarget) {
         let Some(adapter) = &target.adapter else { return };
-        for engine in self.engines.values_mut().filter(|engine| engine.is_one_by_one()) {
-            engine.adapter_uses.insert((target.model.clone(), adapter.clone()), now);
+        for engine in self.engines.values_mut().filter(|engine| engine.is_sequential()) {
+            engine.adapter_last_used.insert((target.model.clone(), adapter.clone()), now);
         }
     }
 
     /// Says that a target would come later than those who wait would like, where another home may be faster.
-    fn busy(
+    fn busy_refusal(
         &mut self,
         cx: &mut Cx<'_>,
         authority: &dyn Authority,
-        wanted: &Wanted<'_>,
+        wanted: &WaitReport<'_>,
     ) -> Option<PeerMessage> {
         let aim = wanted.aim.filter(|_| wanted.waiting > 0)?;
         let model = &wanted.target.model;
         let homes = cx.cache.homes(model).map_or(0, |(_, homes)| homes.engines.len());
         let concerned = self.engines.values().filter(|engine| authority.is_home(&engine.id, model));
         let concerned: Vec<UpstreamId> = concerned.map(|engine| engine.id.clone()).collect();
-        if homes < 2 || concerned.is_empty() || concerned.iter().any(|id| !self.engines[id].is_one_by_one()) {
+        if homes < 2 || concerned.is_empty() || concerned.iter().any(|id| !self.engines[id].is_sequential()) {
             return None;
         }
-        let own = self.demand.with(cx.now, wanted);
-        let mut soonest = Duration::MAX;
+        let combined = self.demand.combined_with(cx.now, wanted);
+        let mut min_cost = Duration::MAX;
         for id in &concerned {
-            self.with_engine(cx, authority, id, |cx, engine, beside| {
-                soonest = soonest.min(answer::price(cx, engine, beside, model, &own));
+            self.with_engine(cx, authority, id, |cx, engine, context| {
+                min_cost = min_cost.min(estimates::placement_cost(cx, engine, context, model, &combined));
             });
         }
-        let (target, retry_after) = (wanted.target.clone(), soonest);
-        (soonest > aim).then_some(PeerMessage::CannotLoad { target, reason: CannotLoad::Busy, retry_after })
+        let (target, retry_after) = (wanted.target.clone(), min_cost);
+        (min_cost > aim).then_some(PeerMessage::CannotLoad { target, reason: CannotLoad::Busy, retry_after })
     }
 
     /// Acts on a router's word at once and tells it how matters stand.
-    fn answer_wanted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, wanted: &Wanted<'_>) {
+    fn answer_wanted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, wanted: &WaitReport<'_>) {
         let model = &wanted.target.model;
         let concerned: Vec<UpstreamId> = self
             .engines
@@ -121,18 +127,18 @@
             .filter(|engine| authority.is_home(&engine.id, model) || engine.model(model).is_some())
             .map(|engine| engine.id.clone())
             .collect();
-        let mut verdicts = Vec::new();
+        let mut assessments = Vec::new();
         for id in &concerned {
-            self.with_engine(cx, authority, id, |cx, engine, beside| {
-                decide(cx, engine, beside);
-                views::tell_changes(cx, engine, beside.demand);
-                views::tell_one(cx, engine, wanted.from);
-                verdicts.push(answer::assess(cx, engine, beside, wanted));
+            self.with_engine(cx, authority, id, |cx, engine, context| {
+                decide(cx, engine, context);
+                publishing::publish_changes(cx, engine, context.demand);
+                publishing::publish_to(cx, engine, wanted.from);
+                assessments.push(estimates::assess(cx, engine, context, wanted));
             });
         }
-        let Some(refusal) = answer::refusal(&verdicts, wanted) else { return };
+        let Some(refusal) = estimates::refusal(&assessments, wanted) else { return };
         if let PeerMessage::CannotLoad { reason: CannotLoad::TooSlow, retry_after, .. } = &refusal {
-            self.demand.promise(cx.now, wanted, *retry_after);
+            self.demand.hold_for_retry(cx.now, wanted, *retry_after);
         }
         cx.tell(wanted.from, refusal);
     }
--- a/crates/skylarkshore-core/src/loading/ledger.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -31,13 +31,13 @@
     /// When a copy of it was last given up for lost; that copy may still arrive.
     lost: Option<Time>,
     /// The life of the engine that it was meant for.
-    life: Life,
+    target: TargetIncarnation,
 }
 
 /// Whether an order was meant for the engine's present life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Present,
+enum TargetIncarnation {
+    Current,
     Former,
 }
 
@@ -77,11 +77,11 @@
 /// requests for want of memory; so every order keeps its memory here until a
 /// report that was asked late enough settles it.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct PendingOrders {
     orders: OrderedMap<OrderId, PendingOrder>,
 }
 
-impl Ledger {
+impl PendingOrders {
     /// Enters an order that is about to be sent, or sent once more.
     ///
     /// Returns how many orders the engine must have accepted before it: the same
@@ -104,7 +104,7 @@
                 after,
                 progress: Progress::InFlight,
                 lost,
-                life: Life::Present,
+                target: TargetIncarnation::Current,
             },
         );
         after
@@ -118,7 +118,7 @@
         now: Time,
     ) -> Option<(Order, Answered)> {
         let pending = self.orders.get_mut(&order)?;
-        if pending.life == Life::Former {
+        if pending.target == TargetIncarnation::Former {
             return None;
         }
         let action = pending.action.clone();
@@ -156,21 +156,21 @@
     /// new life may have the same name and reach the number that it states. Were
     /// its memory given away, that load would be one too many and end the engine
     /// with all that runs on it; so the memory stays reserved.
-    pub(crate) fn begin_life(&mut self) {
+    pub(crate) fn begin_incarnation(&mut self) {
         let is_over = |pending: &PendingOrder| {
             pending.after.is_some() && matches!(pending.progress, Progress::Accepted { .. })
         };
         self.orders.retain(|_, pending| !is_over(pending));
         for pending in self.orders.values_mut().filter(|pending| pending.after.is_some()) {
-            pending.life = Life::Former;
+            pending.target = TargetIncarnation::Former;
             pending.progress = Progress::Unanswered;
             pending.lost = pending.lost.max(Some(pending.sent));
         }
     }
 
     /// Returns the orders that were meant for the engine's present life.
-    fn present(&self) -> impl Iterator<Item = (&OrderId, &PendingOrder)> {
-        self.orders.iter().filter(|(_, pending)| pending.life == Life::Present)
+    fn current(&self) -> impl Iterator<Item = (&OrderId, &PendingOrder)> {
+        self.orders.iter().filter(|(_, pending)| pending.target == TargetIncarnation::Current)
     }
 
     /// Gives up for lost what was sent too long ago to be answered any more.
@@ -187,26 +187,26 @@
     }
 
     /// Takes out what the report, asked for at `asked`, settles.
-    pub(crate) fn settle(&mut self, report: &EngineReport, asked: Time, settle: Duration) -> Vec<Settled> {
-        let is_settled = |order: &OrderId, pending: &mut PendingOrder| {
+    pub(crate) fn settle(&mut self, report: &EngineReport, as_of: Time, settle: Duration) -> Vec<Settled> {
+        let is_resolved = |order: &OrderId, pending: &mut PendingOrder| {
             let named = report.settled.contains(order);
             if let Some((accepted, after)) = report.accepted.zip(pending.after) {
-                let taken = accepted > after && asked >= pending.sent && !report.busy;
-                let expired = pending.lost.is_some_and(|lost| asked >= lost.after(settle));
+                let taken = accepted > after && as_of >= pending.sent && !report.busy;
+                let expired = pending.lost.is_some_and(|lost| as_of >= lost.after(settle));
                 return taken || expired && !matches!(pending.progress, Progress::InFlight);
             }
             match (pending.progress, pending.lost) {
                 (Progress::InFlight, _) => false,
-                (Progress::Accepted { at }, None) => asked >= at,
+                (Progress::Accepted { at }, None) => as_of >= at,
                 (Progress::Accepted { at }, Some(lost)) => {
-                    asked >= at && (named || asked >= lost.after(settle))
+                    as_of >= at && (named || as_of >= lost.after(settle))
                 }
-                (Progress::Unanswered, Some(lost)) => asked >= lost && (named || asked >= lost.after(settle)),
+                (Progress::Unanswered, Some(lost)) => as_of >= lost && (named || as_of >= lost.after(settle)),
                 (Progress::Unanswered, None) => true,
             }
         };
         self.orders
-            .extract_if(.., is_settled)
+            .extract_if(.., is_resolved)
             .map(|(_, pending)| Settled { shown: is_shown(report, &pending.action), action: pending.action })
             .collect()
     }
@@ -219,12 +219,12 @@
         let mut models: OrderedMap<&ModelName, Mebibytes> = OrderedMap::new();
         let mut adapters: OrderedMap<(&ModelName, &AdapterName), Mebibytes> = OrderedMap::new();
         for pending in self.orders.values() {
-            if pending.life == Life::Former && model_of(&pending.action) == model {
+            if pending.target == TargetIncarnation::Former && model_of(&pending.action) == model {
                 continue;
             }
             match &pending.action {
                 Order::Load { model, memory, .. } => {
-                    let shown = find(report, model).map_or(Mebibytes(0), |seen| seen.memory);
+                    let shown = find(report, model).map_or(Mebibytes(0), |reported| reported.memory);
                     let entry = models.entry(model).or_default();
                     *entry = (*entry).max(memory.saturating_sub(shown));
                 }
@@ -257,7 +257,7 @@
 
     /// Returns an unsettled order for the model with its number, if there is one that `wanted` accepts.
     pub(crate) fn find(&self, model: &ModelName, wanted: fn(&Order) -> bool) -> Option<UnsettledOrder<'_>> {
-        self.present()
+        self.current()
             .find(|(_, pending)| model_of(&pending.action) == Some(model) && wanted(&pending.action))
             .map(|(id, pending)| pending.unsettled(*id))
     }
@@ -273,25 +273,25 @@
             | Order::UnloadAdapter { model: base, adapter: name } => base == model && name == adapter,
             _ => false,
         };
-        let found = self.present().find(|(_, pending)| is_it(&pending.action));
+        let found = self.current().find(|(_, pending)| is_it(&pending.action));
         found.map(|(id, pending)| pending.unsettled(*id))
     }
 
     /// Tells whether an unsettled order concerns the model.
     pub(crate) fn concerns(&self, model: &ModelName) -> bool {
-        self.present().any(|(_, pending)| model_of(&pending.action) == Some(model))
+        self.current().any(|(_, pending)| model_of(&pending.action) == Some(model))
     }
 
     /// Tells whether an order that loads or unloads a base model isn't settled.
     pub(crate) fn has_model_order(&self) -> bool {
-        self.present().any(|(_, pending)| matches!(pending.action, Order::Load { .. } | Order::Unload { .. }))
+        self.current().any(|(_, pending)| matches!(pending.action, Order::Load { .. } | Order::Unload { .. }))
     }
 
     /// Returns the model whose unload the engine accepted, if that is the only order for a base model,
     /// and when it was sent.
     pub(crate) fn accepted_unload(&self) -> Option<(&ModelName, Time)> {
         let mut orders = self
-            .present()
+            .current()
             .map(|(_, pending)| pending)
             .filter(|pending| matches!(pending.action, Order::Load { .. } | Order::Unload { .. }));
         let only = orders.next().filter(|_| orders.next().is_none())?;
@@ -306,7 +306,7 @@
         let is_over = |_: &OrderId, pending: &mut PendingOrder| {
             matches!(pending.action, Order::Unload { .. })
                 && matches!(pending.progress, Progress::Accepted { .. })
-                && pending.life == Life::Present
+                && pending.target == TargetIncarnation::Current
         };
         let over = self.orders.extract_if(.., is_over);
         over.filter_map(|(_, pending)| Some((model_of(&pending.action)?.clone(), pending.sent))).collect()
@@ -314,7 +314,7 @@
 
     /// Tells whether the engine accepted a load of a model.
     pub(crate) fn has_accepted_load(&self, model: &ModelName) -> bool {
-        self.present().any(|(_, pending)| {
+        self.current().any(|(_, pending)| {
             let is_it = matches!(&pending.action, Order::Load { model: named, .. } if named == model);
             is_it && matches!(pending.progress, Progress::Accepted { .. })
         })
@@ -322,7 +322,7 @@
 
     /// Tells whether an order to load the model or its adapters is on its way or was accepted.
     pub(crate) fn is_loading(&self, model: &ModelName) -> bool {
-        self.present().any(|(_, pending)| {
+        self.current().any(|(_, pending)| {
             let is_load = matches!(pending.action, Order::Load { .. } | Order::LoadAdapter { .. });
             is_load && model_of(&pending.action) == Some(model) && pending.progress != Progress::Unanswered
         })
@@ -331,13 +331,13 @@
     /// Takes out the load of a model that has ended; returns it.
     pub(crate) fn finish_load(&mut self, model: &ModelName) -> Option<Order> {
         let is_it = |pending: &PendingOrder| matches!(&pending.action, Order::Load { model: named, .. } if named == model);
-        let id = self.present().find(|(_, pending)| is_it(pending)).map(|(id, _)| *id)?;
+        let id = self.current().find(|(_, pending)| is_it(pending)).map(|(id, _)| *id)?;
         self.orders.remove(&id).map(|pending| pending.action)
     }
 
     /// Tells whether any order hasn't been answered.
     pub(crate) fn has_unanswered(&self) -> bool {
-        self.present().any(|(_, pending)| !matches!(pending.progress, Progress::Accepted { .. }))
+        self.current().any(|(_, pending)| !matches!(pending.progress, Progress::Accepted { .. }))
     }
 
     /// Returns the adapters that unsettled orders load.
@@ -362,8 +362,8 @@
     ///
     /// There is at most one at a time, so that whoever takes the engine over
     /// knows that no more than one late order can be on its way.
-    pub(crate) fn awaits_answer(&self) -> bool {
-        self.present().any(|(_, pending)| {
+    pub(crate) fn has_unanswered_load(&self) -> bool {
+        self.current().any(|(_, pending)| {
             matches!(pending.action, Order::Load { .. } | Order::LoadAdapter { .. })
                 && !matches!(pending.progress, Progress::Accepted { .. })
         })
@@ -396,11 +396,11 @@
 
 /// Finds a model in a report.
 pub(crate) fn find<'a>(report: Option<&'a EngineReport>, model: &ModelName) -> Option<&'a ReportedModel> {
-    report?.models.iter().find(|seen| seen.model == *model)
+    report?.models.iter().find(|reported| reported.model == *model)
 }
 
 fn has_adapter(report: Option<&EngineReport>, model: &ModelName, adapter: &AdapterName) -> bool {
-    find(report, model).is_some_and(|seen| seen.adapters.iter().any(|a| a.adapter == *adapter))
+    find(report, model).is_some_and(|reported| reported.adapters.iter().any(|a| a.adapter == *adapter))
 }
 
 fn is_shown(report: &EngineReport, action: &Order) -> bool {
--- a/crates/skylarkshore-core/src/loading/turnaround.rs
+++ b/crates/skylarkshore-core/src/loading/pipelining.rs
@@ -16,8 +16,8 @@
 use crate::cx::Cx;
 use crate::id::ModelName;
 use crate::loading::engine::{Engine, memory_of};
+use crate::loading::engine_state::{AssumedEnd, LoadProgress};
 use crate::loading::load_times::LoadTimes;
-use crate::loading::stages::{LoadProgress, TakenForEnded};
 use crate::time::Time;
 use crate::units::Mebibytes;
 use crate::upstream::{EngineReport, LoadState, Order, OrderAnswer, ReportedModel};
@@ -26,43 +26,51 @@
 ///
 /// An unload waits for requests of some hundred milliseconds; more tries would
 /// only be more orders.
-const TRY_AGAIN: Duration = Duration::from_millis(40);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Returns the memory that an accepted unload is about to free, if a load may be tried behind it.
-pub(crate) fn room(engine: &Engine, now: Time) -> Option<Mebibytes> {
-    let is_open = engine.is_one_by_one() && engine.accepted.is_some() && engine.next_try.is_due(now);
-    let (model, _) =
-        engine.ledger.accepted_unload().filter(|_| is_open && !engine.ledger.has_unanswered())?;
+pub(crate) fn memory_freed_by_unload(engine: &Engine, now: Time) -> Option<Mebibytes> {
+    let accepts_load =
+        engine.is_sequential() && engine.accepted_count.is_some() && engine.next_load_retry.is_due(now);
+    let (model, _) = engine
+        .pending_orders
+        .accepted_unload()
+        .filter(|_| accepts_load && !engine.pending_orders.has_unanswered())?;
     Some(engine.model(model).map_or(Mebibytes(0), memory_of))
 }
 
 /// Returns how long an unload that is in progress is expected to last yet.
 pub(crate) fn unload_remaining(engine: &Engine, now: Time, times: &LoadTimes) -> Duration {
-    let unload = engine.ledger.accepted_unload();
-    unload.map_or(Duration::ZERO, |(_, sent)| sent.after(times.unload()).remaining(now))
+    let unload = engine.pending_orders.accepted_unload();
+    unload.map_or(Duration::ZERO, |(_, sent)| sent.after(times.expected_unload()).remaining(now))
 }
 
 /// Takes note that a load came while the engine still unloads; tells whether it did.
-pub(crate) fn came_too_early(engine: &mut Engine, now: Time, action: &Order, answer: &OrderAnswer) -> bool {
+pub(crate) fn handle_early_load(
+    engine: &mut Engine,
+    now: Time,
+    action: &Order,
+    answer: &OrderAnswer,
+) -> bool {
     let Order::Load { model, .. } = action else { return false };
-    if *answer != OrderAnswer::OutOfTurn || engine.ledger.accepted_unload().is_none() {
+    if *answer != OrderAnswer::OutOfTurn || engine.pending_orders.accepted_unload().is_none() {
         return false;
     }
     engine.loads.remove(model);
-    engine.next_try = now.after(TRY_AGAIN);
+    engine.next_load_retry = now.after(RETRY_INTERVAL);
     true
 }
 
 /// Takes note that the engine took a load, so that the unload before it is over; tells whether there was one.
-pub(crate) fn unloaded(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
-    if !engine.is_one_by_one() {
+pub(crate) fn complete_unloads(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
+    if !engine.is_sequential() {
         return false;
     }
-    let unloads = engine.ledger.finish_unloads();
+    let unloads = engine.pending_orders.finish_unloads();
     for (model, sent) in &unloads {
-        times.unloaded(now.since(*sent));
+        times.record_unload(now.since(*sent));
         engine.closing.remove(model);
-        engine.drop_model(model);
+        engine.remove_model(model);
     }
     !unloads.is_empty()
 }
@@ -72,21 +80,21 @@
 ///
 /// Were their ends only noticed with a report, callers would wait 0.15 s longer
 /// for a swap of 0.65 s, and the engine be idle for as long.
-pub(crate) fn end_due_loads(cx: &Cx<'_>, engine: &mut Engine) -> bool {
-    if !engine.is_one_by_one() {
+pub(crate) fn complete_due_loads(cx: &Cx<'_>, engine: &mut Engine) -> bool {
+    if !engine.is_sequential() {
         return false;
     }
     let is_due = |(model, load): (&ModelName, &LoadProgress)| {
-        let is_accepted = engine.ledger.has_accepted_load(model);
-        let is_over = is_accepted && !load.is_from_store && load.expected.is_due(cx.now);
+        let is_accepted = engine.pending_orders.has_accepted_load(model);
+        let is_over = is_accepted && !load.is_from_store && load.expected_end.is_due(cx.now);
         is_over.then(|| model.clone())
     };
     let due: Vec<ModelName> = engine.loads.iter().filter_map(is_due).collect();
     for model in due.iter().cloned() {
-        if let Some(Order::Load { version, memory, .. }) = engine.ledger.finish_load(&model) {
-            engine.ended = Some(TakenForEnded { model: model.clone(), at: cx.now });
+        if let Some(Order::Load { version, memory, .. }) = engine.pending_orders.finish_load(&model) {
+            engine.assumed_end = Some(AssumedEnd { model: model.clone(), at: cx.now });
             let adapters = Vec::new();
-            engine.show_model(ReportedModel {
+            engine.insert_model(ReportedModel {
                 model,
                 version,
                 state: LoadState::Ready,
@@ -100,12 +108,17 @@
 }
 
 /// Compares a report with the load that was last taken to have ended.
-pub(crate) fn check_end(engine: &mut Engine, asked: Time, report: &EngineReport, times: &mut LoadTimes) {
-    let is_told = |ended: &mut TakenForEnded| asked >= ended.at.after(report.lag);
-    let Some(ended) = engine.ended.take_if(is_told) else { return };
-    if report.models.iter().any(|seen| seen.model == ended.model) {
-        times.ended_as_taken();
+pub(crate) fn verify_assumed_end(
+    engine: &mut Engine,
+    requested_at: Time,
+    report: &EngineReport,
+    times: &mut LoadTimes,
+) {
+    let is_verifiable = |ended: &mut AssumedEnd| requested_at >= ended.at.after(report.lag);
+    let Some(ended) = engine.assumed_end.take_if(is_verifiable) else { return };
+    if report.models.iter().any(|reported| reported.model == ended.model) {
+        times.record_on_time();
     } else if report.busy {
-        times.ended_later();
+        times.record_late();
     }
 }
--- a/crates/skylarkshore-core/src/loading/policy.rs
+++ b/crates/skylarkshore-core/src/loading/policy.rs
@@ -4,9 +4,9 @@
 
 use crate::cx::Cx;
 use crate::id::ModelName;
-use crate::loading::gaps::Expectation;
 use crate::loading::history::History;
-use crate::loading::shortage::Margin;
+use crate::loading::inter_arrival::InterArrivalDistribution;
+use crate::loading::power_shortage::Margin;
 use crate::rules::{Facts, IdleAfter, Outcome, Percent};
 
 /// The times ahead that are looked at, in seconds.
@@ -21,7 +21,7 @@
 
 /// What is known of a model's use when a rule is looked for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Use {
+pub(crate) struct ModelUse {
     /// How long it has had no request.
     pub idle_for: Option<Duration>,
     /// How many requests wait for it.
@@ -31,7 +31,7 @@
 }
 
 /// Finds what the rules decide for a model.
-pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: Use) -> &'a Outcome {
+pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: ModelUse) -> &'a Outcome {
     let facts = Facts {
         model: Some(model),
         data_centre: Some(&cx.cfg.data_centre),
@@ -46,15 +46,15 @@
 
 /// An idle model that could stay loaded.
 #[derive(Clone, Debug)]
-pub(crate) struct Stay {
+pub(crate) struct IdleModel {
     /// How long it hasn't been used.
     idle: Duration,
     /// What a cold start that is avoided is worth, in seconds of an idle accelerator.
-    worth: f64,
-    expected: Option<Expectation>,
+    cold_start_cost: f64,
+    expected: Option<InterArrivalDistribution>,
 }
 
-impl Stay {
+impl IdleModel {
     /// Describes an idle model whose load takes `load_time`.
     pub(crate) fn new(
         history: &History,
@@ -63,30 +63,30 @@
         load_time: Duration,
         idle: Duration,
     ) -> Self {
-        let worth = worth(history, model, outcome, load_time);
-        Self { idle, worth, expected: history.expectation(model) }
+        let cold_start_cost = cold_start_cost(history, model, outcome, load_time);
+        Self { idle, cold_start_cost, expected: history.gap_distribution(model) }
     }
 
     /// Returns the chance that no request comes for `d` more.
-    fn lasts(&self, d: Duration) -> f64 {
+    fn idle_probability(&self, d: Duration) -> f64 {
         match &self.expected {
-            Some(expected) => expected.lasts(self.idle, d),
+            Some(expected) => expected.conditional_survival(self.idle, d),
             // Without a history the break-even time is kept: staying then costs at
             // most as much again as the best decision in hindsight.
-            None if self.idle.as_secs_f64() < self.worth => 0.0,
+            None if self.idle.as_secs_f64() < self.cold_start_cost => 0.0,
             None => 1.0,
         }
     }
 
     /// Returns what staying for a while saves for each second, to compare models that could make room.
     pub(crate) fn value(&self) -> f64 {
-        let while_ahead = Duration::from_mins(10);
-        self.worth * (1.0 - self.lasts(while_ahead))
+        let look_ahead = Duration::from_mins(10);
+        self.cold_start_cost * (1.0 - self.idle_probability(look_ahead))
     }
 }
 
 /// Returns what an avoided cold start is worth, in seconds of an idle accelerator.
-fn worth(history: &History, model: &ModelName, outcome: &Outcome, load_time: Duration) -> f64 {
+fn cold_start_cost(history: &History, model: &ModelName, outcome: &Outcome, load_time: Duration) -> f64 {
     if outcome.idle_weight == 0 {
         return f64::INFINITY;
     }
@@ -99,9 +99,9 @@
 /// An awake engine costs the same whatever it holds, so its models are looked
 /// at together: what they save with the cold starts that they avoid, against
 /// the time until the first of them is used, for the best time to look ahead.
-pub(crate) fn is_worth_staying(idle: &[Stay], margin: Margin) -> bool {
+pub(crate) fn is_worth_keeping(idle_models: &[IdleModel], margin: Margin) -> bool {
     let Margin::Times(margin) = margin else { return false };
-    if idle.iter().any(|stay| stay.worth.is_infinite()) {
+    if idle_models.iter().any(|model| model.cold_start_cost.is_infinite()) {
         return true;
     }
     let mut cost = 0.0;
@@ -109,9 +109,12 @@
     let mut unused_before = 1.0;
     for horizon in HORIZONS {
         let ahead = Duration::from_secs_f64(horizon);
-        let unused: f64 = idle.iter().map(|stay| stay.lasts(ahead)).product();
+        let unused: f64 = idle_models.iter().map(|model| model.idle_probability(ahead)).product();
         cost += (horizon - earlier) * f64::midpoint(unused_before, unused);
-        let saved: f64 = idle.iter().map(|stay| stay.worth * (1.0 - stay.lasts(ahead))).sum();
+        let saved: f64 = idle_models
+            .iter()
+            .map(|model| model.cold_start_cost * (1.0 - model.idle_probability(ahead)))
+            .sum();
         if saved >= margin * cost {
             return true;
         }
@@ -132,17 +135,17 @@
     if outcome.idle_after != IdleAfter::Adaptive {
         return false;
     }
-    let Some(expected) = history.own_expectation(model) else { return false };
-    let worth = worth(history, model, outcome, load_time);
+    let Some(expected) = history.own_gap_distribution(model) else { return false };
+    let cold_start_cost = cold_start_cost(history, model, outcome, load_time);
     let lead = load_time.mul_f64(PREWARM_LEAD);
     let mut cost = lead.as_secs_f64();
     let mut earlier = 0.0;
-    let at_ready = expected.lasts(idle, lead);
+    let at_ready = expected.conditional_survival(idle, lead);
     let mut unused_before = at_ready;
     for horizon in HORIZONS {
-        let unused = expected.lasts(idle, lead + Duration::from_secs_f64(horizon));
+        let unused = expected.conditional_survival(idle, lead + Duration::from_secs_f64(horizon));
         cost += (horizon - earlier) * f64::midpoint(unused_before, unused);
-        if worth * (at_ready - unused) >= PREWARM_MARGIN * cost {
+        if cold_start_cost * (at_ready - unused) >= PREWARM_MARGIN * cost {
             return true;
         }
         earlier = horizon;
--- a/crates/skylarkshore-core/src/loading/told.rs
+++ b/crates/skylarkshore-core/src/loading/published_view.rs
@@ -7,13 +7,13 @@
 
 /// What was last told of an engine.
 #[derive(Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct PublishedView {
     /// The account itself.
     pub last: Option<EngineView>,
     /// Since when it has stood.
-    pub at: Time,
+    pub changed_at: Time,
     /// How many accounts there have been.
     pub number: u64,
     /// The routers that know the last account, and since when.
-    pub to: OrderedMap<HostId, Time>,
+    pub sent_to: OrderedMap<HostId, Time>,
 }
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -2,7 +2,7 @@
 
 use crate::cx::Cx;
 use crate::id::{ModelName, UpstreamId};
-use crate::loading::Beside;
+use crate::loading::DecisionContext;
 use crate::loading::engine::Engine;
 use crate::store::HomesRecord;
 use crate::units::Mebibytes;
@@ -16,49 +16,49 @@
 /// How many replicas such a model has at least.
 const HOT_REPLICAS: u32 = 2;
 /// The part of a model's replicas below which the others are loaded before all else, as its inverse.
-const SCARCE_SHARE: u32 = 2;
+const UNDER_REPLICATED_DIVISOR: u32 = 2;
 /// On how many engines a model in constant use has at least a copy.
-const COPIES_LEAST: usize = 2;
+const MIN_COPIES: usize = 2;
 /// From which share of answers on that engines begin late a model has too few replicas.
 const LATE_SHARE: f64 = 0.15;
 /// From which share on a further replica is loaded before all else.
-const SCARCE_LATE_SHARE: f64 = 0.4;
+const CRITICAL_LATE_SHARE: f64 = 0.4;
 /// How full a replica may be, as a share of the requests that it runs at a time, before one more helps.
 ///
 /// Requests that run beside each other slow each other down, and prompts are
 /// read between the steps of all. Counted by the time that requests take, models
 /// that make tokens slowly get as many replicas as their work needs.
-const FULL_SHARE: f64 = 0.4;
+const TARGET_UTILIZATION: f64 = 0.4;
 /// Into how many parts an engine's memory is divided, of which one is for models that are asked for often.
 ///
 /// Were all of it theirs, none of the rarely used models that have their home
 /// there could ever be loaded.
-const HOT_SHARE: u64 = 2;
+const HOT_MEMORY_DIVISOR: u64 = 2;
 
 /// Works out which models are asked for so often that this engine has to hold them beside others.
-pub(crate) fn review_hot(cx: &Cx<'_>, engine: &mut Engine, beside: &Beside<'_>) {
+pub(crate) fn review_hot(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     engine.hot.clear();
-    engine.scarce.clear();
-    if !engine.is_one_by_one() {
+    engine.under_replicated.clear();
+    if !engine.is_sequential() {
         return;
     }
-    let mut often: Vec<(f64, ModelName)> = beside
+    let mut frequent: Vec<(f64, ModelName)> = context
         .usage
-        .above(cx.now, HOT_RATE)
-        .map(|model| (beside.usage.per_second(cx.now, model), model.clone()))
+        .models_above(cx.now, HOT_RATE)
+        .map(|model| (context.usage.request_rate(cx.now, model), model.clone()))
         .collect();
-    often.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-    let mut room = Mebibytes(engine.memory().0 / HOT_SHARE);
-    for (_, model) in often {
+    frequent.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+    let mut room = Mebibytes(engine.memory().0 / HOT_MEMORY_DIVISOR);
+    for (_, model) in frequent {
         let Some(known) = cx.document.catalogue.models.get(&model) else { continue };
         let Some((_, homes)) = cx.cache.homes(&model) else { continue };
-        let wanted = replicas_for(cx, engine, beside, &model, homes);
-        let is_among = place(cx, engine, homes).is_some_and(|place| place < wanted);
+        let wanted = replicas_for(cx, engine, context, &model, homes);
+        let is_within_wanted = position(cx, engine, homes).is_some_and(|position| position < wanted);
         let fits = engine.hot.is_empty() || known.footprint() <= room;
-        if homes.engines.contains(&engine.id) && is_among && fits {
+        if homes.engines.contains(&engine.id) && is_within_wanted && fits {
             room = room.saturating_sub(known.footprint());
-            if is_scarce(cx, engine, beside, &model, homes) {
-                engine.scarce.insert(model.clone());
+            if is_under_replicated(cx, engine, context, &model, homes) {
+                engine.under_replicated.insert(model.clone());
             }
             engine.hot.insert(model);
         }
@@ -71,16 +71,17 @@
 /// copy, all its callers wait for the weight store once that engine goes: 42 a
 /// second for six seconds, seen where engines were replaced one after the other
 /// and the new ones loaded for single callers first.
-fn is_scarce(
+fn is_under_replicated(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
     homes: &HomesRecord,
 ) -> bool {
-    cx.upstreams.keepers(model).take(COPIES_LEAST).count() < COPIES_LEAST
-        || beside.usage.late_share(cx.now, model) > SCARCE_LATE_SHARE
-        || holders(cx, model, homes) * SCARCE_SHARE < replicas_by_use(cx, engine, beside, model, homes)
+    cx.upstreams.keepers(model).take(MIN_COPIES).count() < MIN_COPIES
+        || context.usage.late_share(cx.now, model) > CRITICAL_LATE_SHARE
+        || holders(cx, model, homes) * UNDER_REPLICATED_DIVISOR
+            < replicas_by_use(cx, engine, context, model, homes)
 }
 
 /// Tells whether more callers would wait for a model's return than wait now for the one that takes its place.
@@ -92,19 +93,19 @@
 pub(crate) fn is_needed_more(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
     waiting: u32,
 ) -> bool {
-    let rate = beside.usage.per_second(cx.now, model);
-    let away = beside.load_times.unload() + beside.load_times.on(cx, engine, model);
-    if !engine.is_one_by_one() || rate * away.as_secs_f64() < f64::from(waiting.max(1)) {
+    let rate = context.usage.request_rate(cx.now, model);
+    let away = context.load_times.expected_unload() + context.load_times.expected_on(cx, engine, model);
+    if !engine.is_sequential() || rate * away.as_secs_f64() < f64::from(waiting.max(1)) {
         return false;
     }
     let Some((_, homes)) = cx.cache.homes(model) else { return true };
     let earlier = homes.engines.iter().take_while(|home| **home != engine.id);
     let holding = earlier.filter(|home| is_holding(cx, home, model));
-    u32::try_from(holding.count()).unwrap_or(u32::MAX) < replicas_by_use(cx, engine, beside, model, homes)
+    u32::try_from(holding.count()).unwrap_or(u32::MAX) < replicas_by_use(cx, engine, context, model, homes)
 }
 
 /// Tells whether an engine holds a model and stays, as far as the list tells.
@@ -123,14 +124,14 @@
 pub(crate) fn replicas_for(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
     homes: &HomesRecord,
 ) -> u32 {
-    if beside.usage.per_second(cx.now, model) < HOT_RATE {
+    if context.usage.request_rate(cx.now, model) < HOT_RATE {
         return 1;
     }
-    replicas_by_use(cx, engine, beside, model, homes).max(HOT_REPLICAS)
+    replicas_by_use(cx, engine, context, model, homes).max(HOT_REPLICAS)
 }
 
 /// Returns how many replicas a model's requests keep busy.
@@ -140,19 +141,19 @@
 fn replicas_by_use(
     cx: &Cx<'_>,
     engine: &Engine,
-    beside: &Beside<'_>,
+    context: &DecisionContext<'_>,
     model: &ModelName,
     homes: &HomesRecord,
 ) -> u32 {
-    let capacity = f64::from(engine.concurrency()) * FULL_SHARE;
-    let running = beside.usage.running(cx.now, model);
+    let capacity = f64::from(engine.concurrency()) * TARGET_UTILIZATION;
+    let running = context.usage.running(cx.now, model);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "such numbers are small and positive"
     )]
     let replicas = (running / capacity.max(1.0)).ceil() as u32;
-    let is_late = beside.usage.late_share(cx.now, model) > LATE_SHARE;
+    let is_late = context.usage.late_share(cx.now, model) > LATE_SHARE;
     if is_late { replicas.max(holders(cx, model, homes) + 1) } else { replicas.max(1) }
 }
 
@@ -162,8 +163,8 @@
 }
 
 /// Returns an engine's place among the homes that can load at all.
-pub(crate) fn place(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
-    usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, place)| place)
+pub(crate) fn position(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
+    usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, position)| position)
 }
 
 fn usable<'a>(
--- a/crates/skylarkshore-core/src/loading/reservation.rs
+++ b/crates/skylarkshore-core/src/loading/reservation.rs
@@ -7,31 +7,31 @@
 use crate::time::Time;
 
 /// The longest time for which an engine is reserved at once.
-const LONGEST: Duration = Duration::from_mins(5);
+const MAX_RESERVATION: Duration = Duration::from_mins(5);
 
 /// Who has an engine to itself.
 #[derive(Debug, Default)]
 pub(crate) struct Reservation {
-    held: Option<Held>,
+    held: Option<Holder>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Holder {
     by: HostId,
     until: Time,
 }
 
 impl Reservation {
     /// Gives the engine to a router, unless another one has it; that one asks again.
-    pub(crate) fn wanted(&mut self, now: Time, from: &HostId, patience: Duration) {
+    pub(crate) fn reserve(&mut self, now: Time, from: &HostId, patience: Duration) {
         if self.held.as_ref().is_some_and(|held| held.by != *from) {
             return;
         }
-        self.held = Some(Held { by: from.clone(), until: now.after(patience.min(LONGEST)) });
+        self.held = Some(Holder { by: from.clone(), until: now.after(patience.min(MAX_RESERVATION)) });
     }
 
     /// Opens the engine to all again.
-    pub(crate) fn returned(&mut self, from: &HostId) {
+    pub(crate) fn release(&mut self, from: &HostId) {
         self.held.take_if(|held| held.by == *from);
     }
 
--- /dev/null
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -0,0 +1,390 @@
+//! Unloads: which models leave an engine, and when nobody uses them any more.
+
+use std::cmp::Reverse;
+use std::time::Duration;
+
+use crate::authority::Permit;
+use crate::collections::{OrderedMap, OrderedSet};
+use crate::cx::Cx;
+use crate::id::ModelName;
+use crate::loading::DecisionContext;
+use crate::loading::desired_loads::{self, DesiredLoad, LoadCause};
+use crate::loading::engine::{Engine, memory_of};
+use crate::loading::engine_state::{CloseReason, Closing};
+use crate::loading::policy::{self, IdleModel};
+use crate::loading::power_shortage::Margin;
+use crate::loading::replicas;
+use crate::rules::{IdleAfter, Outcome, ServiceOrder};
+use crate::time::Time;
+use crate::units::Mebibytes;
+use crate::upstream::{LoadState, Order, ReportedModel};
+
+/// After how long room that nobody asks for any more is given back.
+const ROOM_REQUEST_TTL: Duration = Duration::from_secs(1);
+/// How long a model has to be unused to make way for a copy that nobody waits for yet.
+const COPY_EVICTION_IDLE: Duration = Duration::from_secs(2);
+/// How long an engine that was just used keeps its power, whoever calls for it.
+const RECENT_USE: Duration = Duration::from_secs(5);
+/// How long to wait before an unload whose answer was lost is sent again.
+const RESEND_AFTER: Duration = Duration::from_millis(500);
+
+/// Decides which models are to leave, and takes back what is needed after all.
+pub(crate) fn decide(
+    cx: &mut Cx<'_>,
+    engine: &mut Engine,
+    context: &DecisionContext<'_>,
+    desired_loads: &[DesiredLoad],
+) {
+    let Some(report) = engine.report() else { return };
+    let ready: Vec<ReportedModel> =
+        report.models.iter().filter(|reported| reported.state == LoadState::Ready).cloned().collect();
+    engine.closing.retain(|model, _| ready.iter().any(|reported| reported.model == *model));
+    for reported in &ready {
+        let known = engine.closing.get(&reported.model).copied();
+        let wanted = desired_loads.iter().any(|desired| desired.model == reported.model);
+        match (close_reason(cx, engine, context, reported, wanted), known) {
+            (Some(reason), None) => start_closing(cx, engine, &reported.model, reason, None),
+            (None, Some(closing)) if may_reopen(cx, engine, context, &reported.model, &closing) => {
+                engine.closing.remove(&reported.model);
+            }
+            _ => {}
+        }
+    }
+}
+
+fn start_closing(
+    cx: &mut Cx<'_>,
+    engine: &mut Engine,
+    model: &ModelName,
+    reason: CloseReason,
+    for_order: Option<ServiceOrder>,
+) {
+    cx.note("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
+    engine.closing.insert(model.clone(), Closing { since: cx.now, reason, for_order, last_needed: cx.now });
+}
+
+/// Returns why a ready model has to leave, apart from others that need its memory.
+fn close_reason(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    reported: &ReportedModel,
+    wanted: bool,
+) -> Option<CloseReason> {
+    let Some(known) = cx.document.catalogue.models.get(&reported.model) else {
+        return Some(CloseReason::NoHome);
+    };
+    // Where engines hold models from before, the first homes are yet to be written.
+    // Were those models taken for surplus, a fresh deployment would begin empty.
+    let is_placed = !engine.is_sequential() || cx.cache.homes(&reported.model).is_some();
+    if !is_placed {
+        return None;
+    }
+    // A home that is only unconfirmed isn't lost. After an engine has changed
+    // hands its homes are written anew one by one; were its models taken for
+    // homeless meanwhile, each take-over would empty the engine.
+    if context.authority.must_close(&engine.id, &reported.model)
+        && !may_become_home(cx, engine, context, reported)
+    {
+        return Some(CloseReason::Surplus);
+    }
+    if reported.version != known.version {
+        return Some(CloseReason::Version);
+    }
+    let is_used = wanted || reported.running > 0 || context.demand.of_model(&reported.model).is_some();
+    (!is_used && engine.unneeded.contains(&reported.model)).then_some(CloseReason::Idle)
+}
+
+/// Tells whether the engine holds the model from before and is about to become its home.
+fn may_become_home(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    reported: &ReportedModel,
+) -> bool {
+    let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.holds_live(&reported.model));
+    let Some((_, homes)) = cx.cache.homes(&reported.model) else { return false };
+    let most = desired_loads::rule_outcome(cx, engine, context, &reported.model).replicas_max as usize;
+    engine.is_sequential() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < most
+}
+
+/// Works out which idle models the policy would rather unload.
+pub(crate) fn review_idle(
+    cx: &Cx<'_>,
+    engine: &mut Engine,
+    context: &DecisionContext<'_>,
+    desired_loads: &[DesiredLoad],
+) {
+    let Some(report) = engine.report() else { return };
+    let is_used = |reported: &&ReportedModel| {
+        reported.state != LoadState::Ready
+            || reported.running > 0
+            || desired_loads.iter().any(|desired| desired.model == reported.model)
+            || context.demand.of_model(&reported.model).is_some()
+    };
+    let is_awake_anyway = report.models.iter().any(|reported| is_used(&reported));
+    let idle = report.models.iter().filter(|reported| !is_used(reported));
+    let mut unneeded = OrderedSet::new();
+    let mut adaptive = Vec::new();
+    let mut must_stay = is_awake_anyway;
+    for reported in idle {
+        let outcome = desired_loads::rule_outcome(cx, engine, context, &reported.model);
+        match outcome.idle_after {
+            IdleAfter::Fixed(idle)
+                if last_use(engine, context, &reported.model).after(idle).is_due(cx.now) =>
+            {
+                unneeded.insert(reported.model.clone());
+            }
+            IdleAfter::Fixed(_) | IdleAfter::Never => must_stay = true,
+            IdleAfter::Adaptive => {
+                adaptive.push((
+                    reported.model.clone(),
+                    idle_model(cx, engine, context, &reported.model, outcome),
+                ));
+            }
+        }
+    }
+    let margin =
+        engine.site.as_ref().map_or(Margin::Times(1.0), |site| context.power_shortages.margin(cx.now, site));
+    let idle_models: Vec<IdleModel> = adaptive.iter().map(|(_, idle)| idle.clone()).collect();
+    if margin == Margin::Unreachable && !is_awake_anyway && !was_just_used(cx.now, engine) {
+        unneeded.extend(report.models.iter().map(|reported| reported.model.clone()));
+    } else if !must_stay && !policy::is_worth_keeping(&idle_models, margin) {
+        unneeded.extend(adaptive.into_iter().map(|(model, _)| model));
+    }
+    engine.unneeded = unneeded;
+}
+
+/// Tells whether more requests of a burst may still be on their way.
+fn was_just_used(now: Time, engine: &Engine) -> bool {
+    let ready = engine.ready_since.values();
+    engine.last_busy.values().chain(ready).any(|used| !used.after(RECENT_USE).is_due(now))
+}
+
+fn idle_model(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    model: &ModelName,
+    outcome: &Outcome,
+) -> IdleModel {
+    let used = context.history.last(model);
+    let since = used.unwrap_or_else(|| last_use(engine, context, model));
+    let load_time = context.load_times.expected_on(cx, engine, model);
+    IdleModel::new(context.history, model, outcome, load_time, cx.now.since(since))
+}
+
+/// Returns when the model was last used here, or became ready.
+fn last_use(engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> Time {
+    let arrived = context.history.last(model);
+    let busy = engine.last_busy.get(model).copied();
+    let ready = engine.ready_since.get(model).copied();
+    arrived.max(busy).max(ready).unwrap_or(engine.acquired_at)
+}
+
+/// Tells whether a closing model may be used again: it is wanted, and no unload is on its way.
+fn may_reopen(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    model: &ModelName,
+    closing: &Closing,
+) -> bool {
+    if engine.pending_orders.concerns(model) {
+        return false;
+    }
+    let need = context.demand.of_model(model);
+    match (closing.reason, closing.for_order) {
+        (CloseReason::Memory, Some(order)) => {
+            need.is_some_and(|need| need.order <= order)
+                || closing.last_needed.after(ROOM_REQUEST_TTL).is_due(cx.now)
+        }
+        _ => true,
+    }
+}
+
+/// Tells whether closing idle models would free `missing` memory.
+pub(crate) fn can_make_room(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    desired: &DesiredLoad,
+    missing: Mebibytes,
+) -> bool {
+    let missing = missing.saturating_sub(memory_being_freed(engine));
+    let victims = victims(cx, engine, context, desired);
+    victims.values().copied().sum::<Mebibytes>() >= missing
+}
+
+/// Closes idle models until `missing` memory will be free; tells whether that will be enough.
+pub(crate) fn make_room(
+    cx: &mut Cx<'_>,
+    engine: &mut Engine,
+    context: &DecisionContext<'_>,
+    desired: &DesiredLoad,
+    missing: Mebibytes,
+) -> bool {
+    let coming = memory_being_freed(engine);
+    for closing in engine.closing.values_mut() {
+        closing.last_needed = cx.now;
+    }
+    let mut missing = missing.saturating_sub(coming);
+    if missing == Mebibytes(0) {
+        return true;
+    }
+    let victims = victims(cx, engine, context, desired);
+    if victims.values().copied().sum::<Mebibytes>() < missing {
+        return false;
+    }
+    for (victim, memory) in victims {
+        if missing == Mebibytes(0) {
+            break;
+        }
+        missing = missing.saturating_sub(memory);
+        start_closing(cx, engine, &victim.model, CloseReason::Memory, Some(desired.order));
+    }
+    true
+}
+
+/// Returns the memory of the models that are on their way out.
+fn memory_being_freed(engine: &Engine) -> Mebibytes {
+    let Some(report) = engine.report() else { return Mebibytes(0) };
+    let leaving = report
+        .models
+        .iter()
+        .filter(|held| held.state == LoadState::Unloading || engine.closing.contains_key(&held.model));
+    leaving.map(memory_of).sum()
+}
+
+/// A model that may make room, ordered by how little its callers lose.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Victim {
+    /// Those served last come first.
+    order: Reverse<ServiceOrder>,
+    /// What staying saves for each gibibyte, in milliseconds of an idle accelerator.
+    value: u64,
+    last_use: Time,
+    model: ModelName,
+}
+
+fn victims(
+    cx: &Cx<'_>,
+    engine: &Engine,
+    context: &DecisionContext<'_>,
+    desired: &DesiredLoad,
+) -> OrderedMap<Victim, Mebibytes> {
+    let Some(report) = engine.report() else { return OrderedMap::new() };
+    let idle = report.models.iter().filter(|reported| {
+        reported.state == LoadState::Ready
+            && reported.running == 0
+            && reported.model != desired.model
+            && !engine.closing.contains_key(&reported.model)
+    });
+    idle.filter_map(|reported| {
+        let outcome = desired_loads::rule_outcome(cx, engine, context, &reported.model);
+        let order = outcome.order;
+        let waiting = context.demand.of_model(&reported.model);
+        let pinned = engine.pinned.contains(&reported.model);
+        let is_evictable = match waiting {
+            _ if desired.cause == LoadCause::Prewarm => false,
+            _ if engine.retain_until.contains_key(&reported.model) => false,
+            _ if desired.cause == LoadCause::Copy => {
+                waiting.is_none()
+                    && !pinned
+                    && !engine.hot.contains(&reported.model)
+                    && engine.has_copy(&reported.model)
+                    && !is_widely_held(cx, &reported.model)
+                    && last_use(engine, context, &reported.model).after(COPY_EVICTION_IDLE).is_due(cx.now)
+            }
+            _ if engine.hot.contains(&reported.model) => false,
+            _ if replicas::is_needed_more(cx, engine, context, &reported.model, desired.waiting) => false,
+            Some(need) => desired.waiting > 0 && desired.order < need.order,
+            None if pinned => desired.waiting > 0 && desired.order < order,
+            None => true,
+        };
+        let last_use = last_use(engine, context, &reported.model);
+        let memory = memory_of(reported);
+        let value = value_per_gibibyte(&idle_model(cx, engine, context, &reported.model, outcome), memory);
+        let victim = Victim { order: Reverse(order), value, last_use, model: reported.model.clone() };
+        is_evictable.then_some((victim, memory))
+    })
+    .collect()
+}
+
+/// Tells whether other engines hold the model as well.
+///
+/// Where engines come with models, those that are on several are asked for
+/// often, which no process has seen yet when it starts. Were they unloaded for
+/// copies of rarely used ones, the first callers of the former would all wait.
+fn is_widely_held(cx: &Cx<'_>, model: &ModelName) -> bool {
+    cx.upstreams.holders(model).nth(1).is_some()
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::cast_precision_loss,
+    reason = "only the order of the values counts"
+)]
+fn value_per_gibibyte(idle: &IdleModel, memory: Mebibytes) -> u64 {
+    const MILLIS_PER_MEBIBYTE: f64 = 1000.0 * 1024.0;
+    (idle.value() * MILLIS_PER_MEBIBYTE / memory.0.max(1) as f64) as u64
+}
+
+/// Unloads closing models once routers have had time to stop and nothing runs any more.
+pub(crate) fn unload_drained(
+    cx: &mut Cx<'_>,
+    engine: &mut Engine,
+    context: &mut DecisionContext<'_>,
+    permit: Permit,
+) {
+    let closing: Vec<(ModelName, Closing)> = engine.closing.iter().map(|(m, c)| (m.clone(), *c)).collect();
+    for (model, closing) in closing {
+        if let Some(unsettled) =
+            engine.pending_orders.find(&model, |order| matches!(order, Order::Unload { .. }))
+        {
+            if unsettled.resend && unsettled.sent.after(RESEND_AFTER).is_due(cx.now) {
+                let (id, action) = (unsettled.id, unsettled.action.clone());
+                engine.send(cx, permit, Some(id), action);
+            }
+            continue;
+        }
+        if engine.pending_orders.concerns(&model) || !engine.is_free_for_orders() {
+            continue;
+        }
+        if !engine.is_sequential() && !is_drained(cx, engine, &model, &closing) {
+            continue;
+        }
+        engine.send(cx, permit, None, Order::Unload { model: model.clone() });
+        log_unload(cx, engine, context, &model, closing.reason);
+    }
+}
+
+/// Notes an unload, with what shows whether the load before it was of use to anybody.
+fn log_unload(
+    cx: &mut Cx<'_>,
+    engine: &Engine,
+    context: &mut DecisionContext<'_>,
+    model: &ModelName,
+    reason: CloseReason,
+) {
+    let ready = engine.ready_since.get(model).copied();
+    let is_used = context.usage.last_worked(model).zip(ready).is_some_and(|(worked, ready)| worked >= ready);
+    let ready_for = ready.map_or(Duration::ZERO, |ready| cx.now.since(ready)).as_millis();
+    let waiting = context.demand.of_model(model).map_or(0, |need| need.waiting);
+    let detail = format!("reason={reason} ready_for_ms={ready_for} used={is_used} waiting={waiting}");
+    cx.note("model_unloaded", format!("{model}@{}", engine.id), detail);
+    context.load_metrics.unloads += 1;
+    context.load_metrics.unused += u64::from(!is_used);
+}
+
+/// Tells whether a report, asked for after routers had time to stop, shows that nothing runs.
+///
+/// The report's load figures lag; one that was asked for too early would miss a
+/// request that a router had sent just before it heard of the closing, and that
+/// request would be cut off.
+fn is_drained(cx: &Cx<'_>, engine: &Engine, model: &ModelName, closing: &Closing) -> bool {
+    let Some(last) = &engine.last_report else { return false };
+    let stopped = closing.since.after(cx.cfg.timings.close_grace).after(last.report.lag);
+    last.requested_at >= stopped && engine.model(model).is_some_and(|reported| reported.running == 0)
+}
--- a/crates/skylarkshore-core/src/loading/usage.rs
+++ b/crates/skylarkshore-core/src/loading/usage.rs
@@ -10,11 +10,11 @@
 ///
 /// Demand moves to other models within seconds; a mean over minutes would keep
 /// replicas of yesterday's models while today's callers wait.
-const MEMORY: Duration = Duration::from_secs(5);
+const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
 /// One model's use.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct UsageRate {
     /// Requests that arrive in a second.
     requests: f64,
     /// Those of them that engines began to answer late.
@@ -26,9 +26,9 @@
     at: Time,
 }
 
-impl Rate {
+impl UsageRate {
     fn at(self, now: Time) -> Self {
-        let age = now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64();
+        let age = now.since(self.at).as_secs_f64() / TIME_CONSTANT.as_secs_f64();
         let left = (-age).exp();
         Self {
             requests: self.requests * left,
@@ -42,7 +42,7 @@
 
 /// What a router tells of a model's use since it last did.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Counted {
+pub(crate) struct UsageSample {
     /// Requests that arrived.
     pub arrived: u32,
     /// Answers that began late for the engine's sake.
@@ -54,24 +54,24 @@
 /// How much each model is used.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
-    rates: OrderedMap<ModelName, Rate>,
+    rates: OrderedMap<ModelName, UsageRate>,
 }
 
 impl Usage {
     /// Counts what a router tells.
-    pub(crate) fn count(&mut self, now: Time, model: &ModelName, told: Counted) {
+    pub(crate) fn record(&mut self, now: Time, model: &ModelName, sample: UsageSample) {
         let mut rate = self.rate(now, model);
-        rate.requests += f64::from(told.arrived) / MEMORY.as_secs_f64();
-        rate.late += f64::from(told.late) / MEMORY.as_secs_f64();
-        rate.running += told.worked.as_secs_f64() / MEMORY.as_secs_f64();
-        if told.worked > Duration::ZERO {
+        rate.requests += f64::from(sample.arrived) / TIME_CONSTANT.as_secs_f64();
+        rate.late += f64::from(sample.late) / TIME_CONSTANT.as_secs_f64();
+        rate.running += sample.worked.as_secs_f64() / TIME_CONSTANT.as_secs_f64();
+        if sample.worked > Duration::ZERO {
             rate.worked_at = Some(now);
         }
         self.rates.insert(model.clone(), rate);
     }
 
     /// Returns how many requests for the model arrive in a second.
-    pub(crate) fn per_second(&self, now: Time, model: &ModelName) -> f64 {
+    pub(crate) fn request_rate(&self, now: Time, model: &ModelName) -> f64 {
         self.rate(now, model).requests
     }
 
@@ -92,11 +92,11 @@
     }
 
     /// Returns the models that are asked for at least as often as this.
-    pub(crate) fn above(&self, now: Time, per_second: f64) -> impl Iterator<Item = &ModelName> {
-        self.rates.keys().filter(move |model| self.per_second(now, model) >= per_second)
+    pub(crate) fn models_above(&self, now: Time, request_rate: f64) -> impl Iterator<Item = &ModelName> {
+        self.rates.keys().filter(move |model| self.request_rate(now, model) >= request_rate)
     }
 
-    fn rate(&self, now: Time, model: &ModelName) -> Rate {
+    fn rate(&self, now: Time, model: &ModelName) -> UsageRate {
         self.rates.get(model).copied().unwrap_or_default().at(now)
     }
 }
