--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -1,4 +1,9 @@
-//! What is loaded on the engines that this process owns.
+//! Loads and unloads models on the engines that this process owns.
+//!
+//! [`Loading`] is the entry point. For each engine it tracks reports, pending orders
+//! and demand, and sends load and unload orders. `desired_loads` decides what to
+//! load, `load` and `unload` carry it out, and `publishing` sends the resulting
+//! views to the routers.
 
 mod adapters;
 mod concurrency_limit;
@@ -56,10 +61,10 @@
 use crate::units::{Mebibytes, Watts};
 use crate::upstream::{EngineReport, Order, OrderAnswer};
 
-/// How often the policy looks at what is idle.
+/// How often idle models and replica counts are reviewed.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The loads, unloads and memory of the engines that one process owns.
+/// Load state of all engines that this process owns.
 #[derive(Debug, Default)]
 pub struct Loading {
     engines: OrderedMap<UpstreamId, Engine>,
@@ -74,7 +79,7 @@
     unserved: UnservedTargets,
 }
 
-/// What a decision on one engine needs beside the engine.
+/// Process-wide state that a decision on one engine reads or updates.
 struct DecisionContext<'a> {
     authority: &'a dyn Authority,
     demand: &'a Demand,
@@ -88,12 +93,12 @@
 }
 
 impl Loading {
-    /// Makes the state of a process that owns nothing.
+    /// Creates the state of a process that owns no engine.
     pub fn new(_cfg: &NodeConfig) -> Self {
         Self::default()
     }
 
-    /// Takes note of an engine gained or lost.
+    /// Adds an acquired engine or removes a lost one.
     pub fn on_ownership(&mut self, cx: &mut Cx<'_>, change: &OwnershipChange) {
         match change {
             OwnershipChange::Acquired { engine, fence, late_orders_until } => {
@@ -110,7 +115,7 @@
         }
     }
 
-    /// Does what is due: asks for reports, loads, unloads, tells routers.
+    /// Runs everything that is due: report requests, loads, unloads and view updates.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority) {
         self.demand.expire(cx.now);
         for engine in self.engines.values() {
@@ -150,7 +155,7 @@
         });
     }
 
-    /// Takes the end of an order.
+    /// Handles the answer to an order.
     pub fn on_order(
         &mut self,
         cx: &mut Cx<'_>,
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Takes note that an engine carries an order out, and gives the one that may follow on it.
+    /// Handles the acceptance of an order, and sends the order that can follow at once.
     fn on_accepted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, id: &UpstreamId, action: &Order) {
         self.with_engine(cx, authority, id, |cx, engine, context| match action {
             Order::Load { model, .. } => {
@@ -193,7 +198,7 @@
         });
     }
 
-    /// Takes an engine's report, or its silence.
+    /// Handles an engine's report; no report means that the engine did not answer.
     pub fn on_report(
         &mut self,
         cx: &mut Cx<'_>,
@@ -256,25 +261,25 @@
         self.owned_engines.update(cx, engine);
     }
 
-    /// Tells what is believed.
+    /// Returns the state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
         diagnostics::dump(self, cx)
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the values of the metrics.
     pub fn gauges(&self, _cx: &Cx<'_>) -> Vec<Gauge> {
         diagnostics::gauges(self)
     }
 }
 
-/// Tells whether any host uses or awaits what an engine holds.
+/// Reports whether any host subscribes to a model on the engine.
 fn is_in_use(engine: &Engine, context: &DecisionContext<'_>) -> bool {
     let report = engine.report();
     let mut held = report.into_iter().flat_map(|report| &report.models);
     held.any(|reported| context.demand.subscribers(&reported.model).next().is_some())
 }
 
-/// Decides on loads and unloads of one engine, where this process may act.
+/// Decides which models to load and unload on one engine. Orders require a permit.
 fn decide(cx: &mut Cx<'_>, engine: &mut Engine, context: &mut DecisionContext<'_>) {
     if engine.report().is_none() {
         return;
@@ -303,7 +308,7 @@
     estimates::plan_ready_times(cx, engine, context, &desired_loads);
 }
 
-/// Notes what an engine has when it is first looked at.
+/// Logs what an engine holds at its first report.
 fn log_survey(cx: &mut Cx<'_>, engine: &Engine, report: &EngineReport) {
     let held: Vec<&str> = report.models.iter().map(|reported| reported.model.as_str()).collect();
     let copies = &report.copies;
@@ -327,7 +332,7 @@
         OrderAnswer::Refused { reason } => reason.as_str(),
         OrderAnswer::NotSent => "the engine refuses connections",
         OrderAnswer::FenceTooLow { .. } => "the engine has seen a higher fence",
-        // One out of turn is tried again as soon as a report tells how things stand.
+        // An order out of sequence is retried once a report shows the engine's order count.
         OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OutOfTurn | OrderAnswer::Lost => return,
     };
     if let Order::Load { model, .. } | Order::LoadAdapter { model, .. } = action {
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -1,4 +1,5 @@
-//! Which models ought to be loaded on an engine, the most urgent first.
+//! Computes which models should be loaded on an engine, in order of priority. Start
+//! with [`DesiredLoad`] and [`collect`].
 
 use derive_more::Display;
 
@@ -13,87 +14,87 @@
 use crate::time::Time;
 use crate::units::Watts;
 
-/// How many requests may wait for each slot of a replica before one more replica helps.
+/// Waiting requests per slot of a replica above which one more replica is loaded.
 const WAITING_PER_SLOT: u32 = 2;
 
-/// From how many requests on a model is loaded before those that fewer wait for.
+/// Number of waiting requests from which a model is loaded before models with fewer.
 const MANY_WAITING: u32 = 4;
 
-/// Whether few wait, and the order of service: what decides first whose load goes first.
+/// The first sort key of a load: whether few requests wait, then the service order.
 type Precedence = (bool, ServiceOrder);
 
-/// Returns when it is the turn of a model that so many wait for.
 fn precedence(waiting: u32, order: ServiceOrder) -> Precedence {
     (waiting < MANY_WAITING, order)
 }
 
-/// Why a model ought to be loaded.
+/// Why a model should be loaded, in order of priority.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LoadCause {
-    /// It is asked for so often that its few replicas can't keep up.
+    /// Its replicas cannot serve the current request rate.
     #[display("scarce")]
     UnderReplicated,
     /// Requests wait for it.
     #[display("waiting")]
     Waiting,
-    /// The rules keep it loaded.
+    /// The rules require a minimum number of replicas.
     #[display("kept")]
     Pinned,
-    /// It is asked for so often that one replica is too few.
+    /// Its request rate requires more than one replica.
     #[display("spread")]
     Spread,
     /// A request is expected soon.
     #[display("ahead")]
     Prewarm,
-    /// The engine is to keep a copy of its weights, so that later loads are fast.
+    /// The engine has to fetch a copy of its weights, so that later loads are fast.
     #[display("copy")]
     Copy,
 }
 
-/// The order of service of loads that nobody waits for yet.
+/// The service order of loads without waiting requests.
 const LAST_ORDER: ServiceOrder = ServiceOrder(u16::MAX);
-/// The order of service of loads without which many will wait.
+/// The service order of loads whose absence would make many requests wait.
 const FIRST_ORDER: ServiceOrder = ServiceOrder(0);
 
-/// A model that ought to be loaded.
+/// A model that should be loaded on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct DesiredLoad {
-    /// Why.
+    /// Why the model should be loaded.
     pub cause: LoadCause,
     /// The model.
     pub model: ModelName,
-    /// The order of service of those who wait, or of the rule that keeps it loaded.
+    /// The service order of the waiting requests, or of the matching rule.
     pub order: ServiceOrder,
-    /// When the most patient of those who wait gives up; never when nobody waits.
+    /// The latest deadline of the waiting requests; never if none wait.
     pub deadline: Time,
-    /// By when those who wait are best served, if that can still be done.
+    /// The earliest time at which an answer loses value, if the load can end before.
     pub aim: Option<Time>,
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
 impl DesiredLoad {
-    /// Returns what decides which want goes first.
+    /// Returns the sort key; the lowest goes first.
     ///
-    /// A model that many wait for is asked for often, and more will come while it
-    /// isn't there. Its load takes the engine a second or two; were those who are
-    /// served first let past one by one, a steady trickle of them would keep it
-    /// out for good, and hundreds would run into their deadlines behind it.
-    /// Those who can still be served with full value go before those who can't;
-    /// the others lose nothing more by waiting a little longer.
+    /// A model with many waiting requests goes first, because more arrive until it
+    /// is loaded. A load takes a second or two: if single requests with a better
+    /// service order always went first, a steady trickle would starve that model,
+    /// and hundreds of requests would miss their deadlines.
+    ///
+    /// Requests that can still be answered at full value go before those that
+    /// cannot, which lose nothing by waiting longer.
     pub(crate) fn rank(&self) -> (LoadCause, Rank) {
         (self.cause, rank(self.waiting, self.order, self.aim, self.deadline))
     }
 }
 
-/// What decides which of two models that requests wait for is loaded first.
+/// Sort key of a model among those that requests wait for.
 pub(crate) type Rank = (Precedence, bool, Time);
 
 fn rank(waiting: u32, order: ServiceOrder, aim: Option<Time>, deadline: Time) -> Rank {
     (precedence(waiting, order), aim.is_none(), aim.unwrap_or(deadline))
 }
 
-/// Returns the rank of a model that requests wait for on an engine.
+/// Returns the rank on an engine of a model that requests wait for.
 pub(crate) fn rank_of(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -104,7 +105,7 @@
     rank(need.waiting, need.order, attainable(cx, engine, context, model, need.aim), need.deadline)
 }
 
-/// Returns the time by which those who wait are best served, if a load that begins now ends by then.
+/// Returns `aim` if a load started now would end by then.
 fn attainable(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -116,7 +117,7 @@
     (ready <= aim && aim != Time::NEVER).then_some(aim)
 }
 
-/// Lists the models that ought to be loaded on an engine, the most urgent first.
+/// Returns the loads an engine should make, the most urgent first.
 pub(crate) fn collect(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>) -> Vec<DesiredLoad> {
     let mut models = context.demand.models();
     models.extend(engine.pinned.iter().cloned());
@@ -164,7 +165,7 @@
     Some(DesiredLoad { cause, model, order, deadline: Time::NEVER, aim: None, waiting: 0 })
 }
 
-/// Works out which models the rules keep loaded on the engine, requests or not.
+/// Updates the models that the rules keep loaded on the engine regardless of requests.
 pub(crate) fn review_pinned(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     let homes = cx.cache.all_homes().filter(|(_, homes)| homes.engines.contains(&engine.id));
     let pinned = homes.filter(|(model, homes)| {
@@ -174,19 +175,20 @@
     engine.pinned = pinned.map(|(model, _)| model.clone()).collect();
 }
 
-/// Works out of which models the engine is to keep a copy that it doesn't have yet.
+/// Updates the models of which the engine has to fetch a copy.
+///
+/// A model's first load comes from the weight store and takes several times as long
+/// as a load from a copy. The first home fetches a copy in advance while the engine
+/// is idle, so that callers of a rarely used model do not wait for it.
 ///
-/// The first load of a model comes from the weight store and takes several
-/// times as long as the next one. Callers of a rarely used model would feel it
-/// on every engine that loads it for the first time, so its first home loads it
-/// once when nothing else is to be loaded, unless another engine has a copy. The
-/// store carries few loads: when engines were replaced one after the other, the
-/// new ones fetched models that others had on their disks, and the one that was
-/// asked for forty times a second lost its last replica meanwhile.
+/// The model is skipped if another engine has a copy, because the store runs few
+/// loads at a time. During a rolling replacement, new engines fetched models that
+/// others had on disk, and a model with forty requests a second lost its last
+/// replica meanwhile.
 pub(crate) fn review_missing_copies(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     engine.missing_copies.clear();
-    // A load from the weight store keeps the engine from any other for seconds,
-    // and while requests run, the next one for another model is never far.
+    // A load from the weight store occupies the engine for seconds. While requests
+    // run, a request for another model is likely to follow soon.
     let is_quiet = engine.report().is_some_and(|report| report.running == 0 && report.waiting == 0);
     if !engine.is_sequential() || !is_quiet {
         return;
@@ -200,15 +202,16 @@
     }
 }
 
-/// Tells whether an engine that stays has the model or a copy of it, as far as the list tells.
+/// Reports whether another engine that is not leaving has the model or a copy,
+/// according to the host list.
 fn has_copy_elsewhere(cx: &Cx<'_>, engine: &Engine, model: &ModelName) -> bool {
     cx.upstreams.keepers(model).any(|known| known.id != engine.id)
 }
 
-/// Works out which models are better loaded ahead of their next request.
+/// Updates the models to load ahead of their next request.
 ///
-/// Each is loaded once in the time without requests. A prediction that failed
-/// would otherwise be made again and again until the next request.
+/// A model is prewarmed once per idle period; a wrong prediction would otherwise
+/// repeat until the next request.
 pub(crate) fn review_prewarm(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     let mut expected = OrderedSet::new();
     for (model, homes) in cx.cache.all_homes() {
@@ -230,13 +233,13 @@
     engine.prewarm = expected;
 }
 
-/// Returns how many replicas the requests that wait are worth.
+/// Returns the number of replicas that the waiting requests justify.
 fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &Outcome) -> u32 {
     let worth = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
     worth.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
 
-/// Returns the power that is missing for the most urgent load, and its order of service.
+/// Returns the missing power for the most urgent load, and the service order of that load.
 pub(crate) fn missing_power(
     engine: &Engine,
     context: &DecisionContext<'_>,
@@ -244,13 +247,13 @@
 ) -> Option<(Watts, ServiceOrder)> {
     let needs = engine.spec.as_ref()?.active_watts;
     let granted = context.authority.granted(&engine.id);
-    // A load ahead of any request isn't worth another engine's sleep.
+    // Prewarming does not justify putting another engine to sleep.
     let needed = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
     let unmet = needed.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
     (granted < needs && !engine.is_leaving()).then(|| (needs.saturating_sub(granted), unmet.order))
 }
 
-/// Finds what the rules decide for a model on an engine.
+/// Returns the rules' outcome for a model on an engine.
 pub(crate) fn rule_outcome<'a>(
     cx: &Cx<'a>,
     engine: &Engine,
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of one engine that this process owns.
+//! State of one engine that this process owns. Start with [`Engine`].
 
 mod orders;
 mod reports;
@@ -20,11 +20,11 @@
 use crate::units::{Mebibytes, Watts};
 use crate::upstream::{EngineReport, EngineSpec, LoadState, OrderMode, ReportedModel, Standing};
 
-/// How long an adapter takes to answer after its order was accepted; engines
-/// state 5 to 10 ms.
+/// How long an accepted adapter load takes until the adapter answers requests.
+/// Engines state 5 to 10 ms.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(20);
 
-/// One engine that this process owns.
+/// State of one owned engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub id: UpstreamId,
@@ -32,70 +32,71 @@
     pub acquired_at: Time,
     pub phase: Phase,
     pub late_orders: LateOrders,
-    /// What may be taken by a late order of the former owner; worked out at every tick.
+    /// Memory reserved for a late order of the former owner; recomputed at every tick.
     pub late_orders_memory: Mebibytes,
     pub spec: Option<EngineSpec>,
     pub site: Option<SiteName>,
     pub standing: Standing,
     pub pending_orders: PendingOrders,
     pub last_report: Option<LastReport>,
-    /// The latest life that is known of.
+    /// The highest incarnation known from reports or the host list.
     pub latest_incarnation: Incarnation,
     pub next_poll: Time,
     pub loads: OrderedMap<ModelName, LoadProgress>,
     pub closing: OrderedMap<ModelName, Closing>,
     pub closing_adapters: OrderedMap<(ModelName, AdapterName), Time>,
     pub failures: OrderedMap<ModelName, Failures>,
-    /// Since when each model is ready here.
+    /// When each model became ready.
     pub ready_since: OrderedMap<ModelName, Time>,
-    /// Until when models that came from the weight store aren't unloaded for others.
+    /// Until when models loaded from the weight store are not evicted.
     pub retain_until: OrderedMap<ModelName, Time>,
-    /// When each model last had a request in progress here.
+    /// When each model last had a request in progress.
     pub last_busy: OrderedMap<ModelName, Time>,
     pub lacks: Option<(Watts, ServiceOrder)>,
-    /// The models that the last report showed.
+    /// Models in the last report.
     pub reported_models: OrderedSet<ModelName>,
-    /// Idle models that the policy would rather unload.
+    /// Idle models that the keep-alive policy wants to unload.
     pub unneeded: OrderedSet<ModelName>,
-    /// Models that the rules keep loaded here.
+    /// Models that the rules keep loaded on this engine.
     pub pinned: OrderedSet<ModelName>,
-    /// Models that are better loaded ahead of their next request.
+    /// Models to load ahead of their next request.
     pub prewarm: OrderedSet<ModelName>,
-    /// Models that are asked for so often that they are to be loaded here too.
+    /// Models whose request rate requires a replica on this engine.
     pub hot: OrderedSet<ModelName>,
-    /// Those of them whose few replicas can't keep up.
+    /// Hot models whose replicas cannot serve the current demand.
     pub under_replicated: OrderedSet<ModelName>,
-    /// Models of which the engine is to keep a copy and doesn't.
+    /// Models of which the engine has to fetch a copy.
     pub missing_copies: OrderedSet<ModelName>,
-    /// Models that were loaded ahead, with the last use before that.
+    /// Prewarmed models, with their last use before the prewarm.
     pub prewarmed: OrderedMap<ModelName, Time>,
-    /// Whether any host uses or awaits what the engine holds.
+    /// Whether any host subscribes to a model on this engine.
     pub is_in_use: bool,
-    /// Since when the engine has been asked for a report in vain.
+    /// When the oldest unanswered report request was sent.
     pub unanswered_since: Option<Time>,
-    /// When the policy is to be asked again.
+    /// When the policy is evaluated next.
     pub next_review: Time,
-    /// Models that wait for memory, power or the weight store, and when they should be ready.
+    /// When models that wait for memory, power or the weight store are expected to be ready.
     pub planned: OrderedMap<ModelName, Time>,
-    /// Models for which no room can be made.
+    /// Models for which not enough memory can be freed.
     pub memory_blocked: OrderedSet<ModelName>,
-    /// Until when idle time has been counted.
+    /// The time up to which idle time has been counted.
     pub idle_counted_until: Time,
-    /// How many orders it has accepted, where it numbers them and that is known.
+    /// How many orders the engine has accepted. None if it does not count them, or
+    /// the count is unknown.
     pub accepted_count: Option<u64>,
-    /// The most orders that it is known to have accepted in this life.
+    /// The highest accepted count seen in this incarnation.
     pub max_accepted_count: u64,
-    /// When it last accepted one.
+    /// When the engine last accepted an order.
     pub last_accepted_at: Time,
-    /// Reports that were asked for earlier don't tell how many orders it has accepted.
+    /// Reports requested before this time do not contain a valid accepted count.
     pub recount_after: Time,
-    /// When a load may be tried again that came while another order was carried out.
+    /// When a load that arrived during another order is retried.
     pub next_load_retry: Time,
-    /// When the last load of a model was ordered.
+    /// When the last model load was ordered.
     pub last_load_at: Time,
-    /// The last load that was taken to have ended before a report showed it.
+    /// The last load that was assumed to have ended before a report confirmed it.
     pub assumed_end: Option<AssumedEnd>,
-    /// When each adapter on it was last asked for.
+    /// When each adapter was last requested.
     pub adapter_last_used: OrderedMap<(ModelName, AdapterName), Time>,
     pub rehoming: Rehoming,
     pub reservation: Reservation,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Takes the host list's word and works out what depends on the time.
+    /// Updates the state from the host list and the clock.
     pub(crate) fn refresh(&mut self, cx: &Cx<'_>) {
         if let Some(upstream) = cx.upstreams.get(&self.id) {
             self.spec = upstream.engine().cloned();
@@ -176,15 +177,16 @@
                 since.is_some_and(|since| since.after(cx.cfg.timings.order_settle).is_due(cx.now))
             }
         };
-        // A numbered order that comes late finds another number than it expects,
-        // or else the next order of this process does and is refused.
+        // Sequential engines check the order count: a late order of the former owner
+        // is refused, or the next order of this process is.
         if is_over || self.is_sequential() {
             self.late_orders = LateOrders::None;
         }
         self.late_orders_memory = self.late_orders_reserve(cx, None);
     }
 
-    /// Tells whether the model is neither loaded nor loading nor possibly so.
+    /// Reports whether the model is certainly absent: not loaded, not loading, and
+    /// with no pending order.
     pub(crate) fn is_free_of(&self, model: &ModelName) -> bool {
         self.report().is_some()
             && self.late_orders == LateOrders::None
@@ -192,13 +194,13 @@
             && !self.pending_orders.concerns(model)
     }
 
-    /// Returns the power that the engine may be drawing now.
+    /// Returns the power that the engine may be drawing.
     pub(crate) fn drawn(&self) -> Watts {
         let Some(spec) = &self.spec else { return Watts(0) };
         if self.may_hold_models() { spec.active_watts } else { spec.sleep_watts }
     }
 
-    /// Counts the time in which something is loaded or loading and nothing runs.
+    /// Adds the time since the last call to the idle time if models are loaded and no request runs.
     pub(crate) fn count_idle(&mut self, now: Time, load_metrics: &mut LoadMetrics) {
         let since = std::mem::replace(&mut self.idle_counted_until, now);
         let Some(report) = self.report() else { return };
@@ -207,15 +209,15 @@
         }
     }
 
-    /// Tells whether the engine keeps a copy of the model's weights.
+    /// Reports whether the engine has a copy of the model's weights, in memory or on disk.
     pub(crate) fn has_copy(&self, model: &ModelName) -> bool {
         self.report().is_some_and(|report| report.copies.has(model))
     }
 
-    /// Tells whether the host of the engine is known to keep the model's weights in memory.
+    /// Reports whether the weights are known to be in the memory of the engine's host.
     ///
-    /// There is room for a few only, and each load drops one of them, so that a
-    /// report from before the last load tells nothing.
+    /// Only a few models fit there and each load evicts one, so a report from before
+    /// the last load does not count.
     pub(crate) fn is_in_memory(&self, model: &ModelName) -> bool {
         let is_newer = |last: &LastReport| last.requested_at >= self.last_load_at.after(last.report.lag);
         let last =
@@ -223,7 +225,7 @@
         last.is_some_and(|last| last.report.copies.in_memory.contains(model))
     }
 
-    /// Tells whether an adapter answers requests.
+    /// Reports whether an adapter answers requests.
     pub(crate) fn has_adapter(&self, now: Time, model: &ModelName, adapter: &AdapterName) -> bool {
         let reported = self.model(model);
         let reported = reported
@@ -231,22 +233,22 @@
         reported || self.assumed_adapters(now).any(|(base, name)| base == model && name == adapter)
     }
 
-    /// Returns the adapters that should answer by now, though no report has shown them.
+    /// Returns the adapters that should be ready by now although no report shows them yet.
     ///
-    /// An adapter takes a hundredth of a second; waiting for a report that shows
-    /// it would take ten times as long, and callers would feel each of them.
+    /// An adapter loads in about 10 ms. Waiting for a report takes ten times as
+    /// long, which every caller would notice.
     pub(crate) fn assumed_adapters(&self, now: Time) -> impl Iterator<Item = (&ModelName, &AdapterName)> {
         let accepted = self.pending_orders.accepted_adapters().filter(|_| self.is_sequential());
         let due = accepted.filter(move |(_, _, at)| at.after(ADAPTER_LOAD_TIME).is_due(now));
         due.map(|(model, adapter, _)| (model, adapter))
     }
 
-    /// Tells whether the engine numbers its orders and carries them out one at a time.
+    /// Reports whether the engine counts its orders and executes one at a time.
     pub(crate) fn is_sequential(&self) -> bool {
         self.spec.as_ref().is_some_and(|spec| spec.order_mode == OrderMode::OneByOne)
     }
 
-    /// Tells whether an order for a base model would be carried out at once.
+    /// Reports whether an order for a base model would be executed at once.
     pub(crate) fn is_free_for_orders(&self) -> bool {
         if !self.is_sequential() {
             return true;
@@ -254,7 +256,8 @@
         self.is_free_for_adapter_orders() && self.report().is_some_and(|report| !report.busy)
     }
 
-    /// Tells whether an order for an adapter can be sent: its number is known, and no other is unanswered.
+    /// Reports whether an adapter order can be sent: the accepted count is known,
+    /// and no other order is unanswered.
     pub(crate) fn is_free_for_adapter_orders(&self) -> bool {
         !self.is_sequential()
             || self.accepted_count.is_some()
@@ -262,40 +265,40 @@
                 && !self.pending_orders.has_model_order()
     }
 
-    /// Returns the report, once it may be relied on.
+    /// Returns the last report, once the engine has been surveyed.
     pub(crate) fn report(&self) -> Option<&EngineReport> {
         self.last_report.as_ref().filter(|_| self.phase == Phase::Surveyed).map(|last| &last.report)
     }
 
-    /// Finds a model in the report.
+    /// Returns a model from the last report.
     pub(crate) fn model(&self, model: &ModelName) -> Option<&ReportedModel> {
         pending_orders::find(self.report(), model)
     }
 
-    /// Tells whether a model answers requests and isn't about to leave.
+    /// Reports whether a model accepts new requests: it is ready and not closing.
     pub(crate) fn is_ready(&self, model: &ModelName) -> bool {
         self.model(model).is_some_and(|reported| reported.state == LoadState::Ready)
             && !self.closing.contains_key(model)
     }
 
-    /// Tells whether the engine has left questions unanswered for too long.
+    /// Reports whether the engine has not answered report requests for `timeout`.
     pub(crate) fn is_silent(&self, now: Time, timeout: Duration) -> bool {
         let received_at = self.last_report.as_ref().map_or(self.acquired_at, |last| last.received_at);
         let since = self.unanswered_since.unwrap_or(now).max(received_at);
         since.after(timeout).is_due(now)
     }
 
-    /// Tells whether the engine gets no new work.
+    /// Reports whether the engine gets no new work.
     pub(crate) fn is_leaving(&self) -> bool {
         self.standing == Standing::Leaving || self.report().is_some_and(|report| report.leaving)
     }
 
-    /// Returns how many requests the engine runs at a time.
+    /// Returns how many requests the engine runs concurrently.
     pub(crate) fn concurrency(&self) -> u32 {
         self.spec.as_ref().map_or(1, |spec| spec.concurrency.max(1))
     }
 
-    /// Returns the memory in all.
+    /// Returns the total memory.
     pub(crate) fn memory(&self) -> Mebibytes {
         let reported = self.report().map(|report| report.memory);
         let listed = self.spec.as_ref().map(|spec| spec.memory);
@@ -306,39 +309,39 @@
         }
     }
 
-    /// Returns the memory that isn't spoken for; none before the first report.
+    /// Returns the memory that is not reserved; zero before the first report.
     pub(crate) fn free_memory(&self) -> Mebibytes {
         self.unreserved_memory(None).saturating_sub(self.late_orders_memory)
     }
 
-    /// Returns the memory that neither models nor unsettled orders take.
+    /// Returns the memory not used by models or reserved for pending orders.
     ///
-    /// What late orders of the former owner may take has to be subtracted from
-    /// this, never added back to [`free_memory`](Self::free_memory): that stops
-    /// at zero, and the sum would show memory that a loaded model uses.
+    /// The reserve for late orders is subtracted from this value. It must not be
+    /// added back to [`free_memory`](Self::free_memory), which saturates at zero:
+    /// the sum would include memory in use.
     fn unreserved_memory(&self, model: Option<&ModelName>) -> Mebibytes {
         let Some(report) = self.report() else { return Mebibytes(0) };
         let loaded: Mebibytes = report.models.iter().map(memory_of).sum();
         self.memory().saturating_sub(loaded + self.pending_orders.reserved(Some(report), model))
     }
 
-    /// Returns the memory that a load of the model may use.
+    /// Returns the memory available for a load of the model.
     pub(crate) fn free_memory_for(&self, cx: &Cx<'_>, model: &ModelName) -> Mebibytes {
-        // A late order of the former owner for the same model would change nothing.
+        // A late order of the former owner for the same model has no effect.
         self.unreserved_memory(Some(model)).saturating_sub(self.late_orders_reserve(cx, Some(model)))
     }
 
-    /// Tells whether anything is or may be loaded.
+    /// Reports whether any model is or may be loaded.
     pub(crate) fn may_hold_models(&self) -> bool {
         let Some(report) = self.report() else { return true };
         !report.models.is_empty() || !self.pending_orders.is_empty() || self.late_orders_memory > Mebibytes(0)
     }
 
-    /// Returns the memory that a late order of the former owner may take beside what is seen.
+    /// Returns the memory that a late order of the former owner may take.
     ///
-    /// The former owner had at most one unanswered load. Which one isn't known,
-    /// so it is taken to be the largest model that may be loaded here, `except`
-    /// the one whose load makes no difference as it would only be doubled.
+    /// The former owner had at most one unanswered load, of an unknown model. The
+    /// reserve is the largest footprint among the models whose home is this engine.
+    /// A late load of `except` is a duplicate and needs no reserve.
     pub(crate) fn late_orders_reserve(&self, cx: &Cx<'_>, except: Option<&ModelName>) -> Mebibytes {
         if self.late_orders == LateOrders::None {
             return Mebibytes(0);
@@ -352,13 +355,13 @@
             .unwrap_or_default()
     }
 
-    /// Returns which life of the engine the last report spoke of.
+    /// Returns the incarnation in the last report.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.last_report.as_ref().map(|last| last.report.incarnation)
     }
 }
 
-/// Returns the memory that a model takes with its adapters.
+/// Returns the memory of a model and its adapters.
 pub(crate) fn memory_of(reported: &ReportedModel) -> Mebibytes {
     reported.memory + reported.adapters.iter().map(|a| a.memory).sum()
 }
--- a/crates/skylarkshore-core/src/loading/engine/orders.rs
+++ b/crates/skylarkshore-core/src/loading/engine/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that an engine is given, and the reports that it is asked for.
+//! Sends orders to an engine, requests its reports and raises its fence.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use crate::time::Time;
 use crate::upstream::{FenceCheck, Order, OrderAnswer};
 
-/// How long to wait before the fence is raised once more.
+/// Delay before the fence order is retried.
 const FENCE_RETRY: Duration = Duration::from_millis(500);
-/// How long before a load's expected end reports are asked for often.
+/// How long before the expected end of a load reports are requested more often.
 const REPORT_LEAD: Duration = Duration::from_millis(50);
-/// How many times as often reports are asked for while a load is under way.
+/// Factor by which the report interval shrinks while a load is in progress.
 const LOADING_POLL_SPEEDUP: u32 = 4;
-/// How many times as seldom reports are asked of an engine that takes orders one at a time and is at rest.
+/// Factor by which the report interval grows for a quiescent sequential engine.
 ///
-/// Nothing changes there without an order, and its registration tells of its end.
+/// Its state changes only by orders, and its registration shows when it ends.
 const QUIESCENT_POLL_SLOWDOWN: u32 = 20;
 
 impl Engine {
-    /// Gives up for lost the orders whose answer never came.
+    /// Marks orders as lost whose answer never came.
     pub(crate) fn expire_orders(&mut self, cx: &mut Cx<'_>) {
         let expired = self.pending_orders.expire(cx.now, cx.cfg.timings.order_settle);
         if expired > 0 {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Raises the fence and asks for reports when these are due.
+    /// Raises the fence and requests a report when either is due.
     pub(crate) fn poll(&mut self, cx: &mut Cx<'_>, permit: Option<Permit>) {
         if !self.is_quiescent() {
             self.next_poll = self.next_poll.min(cx.now.after(cx.cfg.timings.report_every));
@@ -39,9 +39,9 @@
         if let (Phase::RaisingFence { order, retry }, Some(permit)) = (self.phase, permit)
             && retry.is_due(cx.now)
         {
-            // The same number again: an engine that always answers later than the next
-            // try would otherwise never give the answer that is waited for, and its
-            // models could not be loaded.
+            // A retry reuses the order number. An engine that always answers after
+            // the retry was sent would otherwise never match the expected number,
+            // and no model could be loaded.
             let order = self.send(cx, permit, order, Order::RaiseFence);
             let retry = cx.now.after(cx.cfg.timings.engine_timeout);
             self.phase = Phase::RaisingFence { order: Some(order), retry };
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Asks the engine how it stands.
+    /// Requests a report from the engine.
     pub(crate) fn request_report(&mut self, cx: &mut Cx<'_>) {
         let every = cx.cfg.timings.report_every;
-        // Those who wait for a load feel how late its end is noticed. Where the
-        // length of loads is known, only the reports round the end tell anything;
-        // asked for all along, they were 37,000 calls in a day of 48 s at 112 engines.
+        // Callers wait for as long as the end of a load stays undetected. If the
+        // load's length is known, only reports around its end are useful; polling
+        // during the whole load cost 37,000 calls in a day of 48 s at 112 engines.
         let is_awaited =
             if self.is_sequential() { self.awaits_report(cx.now) } else { !self.loads.is_empty() };
         let every = match is_awaited {
@@ -69,7 +69,7 @@
         cx.push(Effect::AskReport { upstream: self.id.clone() });
     }
 
-    /// Tells whether nothing runs, waits or is under way here, and nobody is interested.
+    /// Reports whether the engine is idle: no requests, no pending orders, no subscribed host.
     fn is_quiescent(&self) -> bool {
         let is_quiet =
             self.report().is_some_and(|report| !report.busy && report.running == 0 && report.waiting == 0);
@@ -77,14 +77,14 @@
         self.is_sequential() && !self.is_in_use && is_quiet && is_done && self.accepted_count.is_some()
     }
 
-    /// Tells whether something can only go on once a new report comes.
+    /// Reports whether progress depends on a new report.
     pub(super) fn awaits_report(&self, now: Time) -> bool {
         let expected = self.loads.values().map(|load| load.expected_end).min();
         let is_near = expected.is_none_or(|expected| now.after(REPORT_LEAD) >= expected);
         self.accepted_count.is_none() || self.pending_orders.has_model_order() && is_near
     }
 
-    /// Sends an order and enters it into the ledger; `again` repeats one whose answer was lost.
+    /// Sends an order and records it as pending. `resend` repeats an order whose answer was lost.
     pub(crate) fn send(
         &mut self,
         cx: &mut Cx<'_>,
@@ -108,7 +108,7 @@
         order
     }
 
-    /// Takes the answer to the order that raises the fence; tells whether it was that one.
+    /// Handles the answer to the fence order. Reports whether the answer belongs to it.
     pub(crate) fn on_fence_answer(&mut self, cx: &mut Cx<'_>, order: OrderId, answer: &OrderAnswer) -> bool {
         let Phase::RaisingFence { order: Some(sent), .. } = self.phase else { return false };
         if sent != order {
@@ -134,7 +134,7 @@
         self.request_report(cx);
     }
 
-    /// Takes the answer to an order, as far as it tells how many orders were accepted.
+    /// Updates the accepted count from an order's answer.
     pub(crate) fn count_answer(&mut self, now: Time, answer: &OrderAnswer) {
         match answer {
             OrderAnswer::Accepted => self.count_accepted(now),
@@ -143,7 +143,7 @@
                 self.recount_after = now;
                 self.next_poll = now;
             }
-            // Whether the engine has counted one that is done is told by what it was; see `note_done`.
+            // `record_done` decides whether an order that was carried out at once counts.
             OrderAnswer::Done | OrderAnswer::FenceTooLow { .. } | OrderAnswer::NotSent => {}
         }
     }
--- a/crates/skylarkshore-core/src/loading/engine/reports.rs
+++ b/crates/skylarkshore-core/src/loading/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine's reports and answers tell of its models, and which of its lives they speak of.
+//! Applies an engine's reports and detects stale reports and restarts.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::time::Time;
 use crate::upstream::{EngineReport, Order, ReportedModel};
 
-/// For how long reports are passed over that show fewer orders than were counted.
+/// For how long a report with a lower accepted count than known is ignored.
 const MAX_OUTDATED: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// Notes models that appeared without an order of this process.
+    /// Logs models that appeared without an order of this process.
     ///
-    /// They are the work of a late order of the former owner; until none has
-    /// been seen for long enough, another one may come.
+    /// They come from a late order of the former owner. Further ones may follow
+    /// until none has appeared for the settle time.
     pub(crate) fn log_unexpected_models(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
         let Some(report) = self.report() else { return };
         let known = |model: &ModelName| {
@@ -34,7 +34,7 @@
         if is_first || !unexpected.is_empty() && matches!(self.late_orders, LateOrders::UntilQuiet { .. }) {
             self.late_orders = LateOrders::UntilQuiet { since: Some(cx.now) };
         }
-        // Engines that number their orders hold models from before anyone owned them.
+        // Sequential engines may hold models from before they had an owner.
         if !is_first && !self.is_sequential() {
             for model in unexpected {
                 cx.note(
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes note of adapters whose loads were accepted but that a report doesn't show.
+    /// Logs adapters whose load was accepted but which the report does not show.
     pub(crate) fn log_missing_adapters(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
         for order in settled.iter().filter(|order| !order.shown) {
             if let Order::LoadAdapter { model, adapter, .. } = &order.action {
@@ -59,10 +59,9 @@
         }
     }
 
-    /// Takes note of an order that was carried out at once.
+    /// Applies an order that was carried out at once.
     ///
-    /// Waiting for a report that shows it would hold the next order up for a
-    /// quarter of a second, as reports lag.
+    /// Reports lag: waiting for one would delay the next order by a quarter of a second.
     pub(crate) fn record_done(&mut self, now: Time, action: &Order) {
         let held = match action {
             Order::UnloadAdapter { model, adapter } => self.remove_adapter(model, adapter),
@@ -77,14 +76,14 @@
         self.next_poll = now;
     }
 
-    /// Takes a model out of what the last report showed.
+    /// Removes a model from the last report.
     pub(crate) fn remove_model(&mut self, model: &ModelName) {
         if let Some(last) = &mut self.last_report {
             last.report.models.retain(|held| held.model != *model);
         }
     }
 
-    /// Adds a model to what the last report showed, and takes the order for it as carried out.
+    /// Adds a model to the last report and marks its order as finished.
     pub(crate) fn insert_model(&mut self, model: ReportedModel) {
         let Some(last) = &mut self.last_report else { return };
         last.report.busy = false;
@@ -92,7 +91,7 @@
         last.report.models.push(model);
     }
 
-    /// Takes an adapter out of what the last report showed; tells whether it was there.
+    /// Removes an adapter from the last report. Reports whether it was there.
     pub(super) fn remove_adapter(&mut self, model: &ModelName, adapter: &AdapterName) -> bool {
         let Some(last) = &mut self.last_report else { return false };
         let Some(held) = last.report.models.iter_mut().find(|held| held.model == *model) else {
@@ -103,31 +102,31 @@
         held.adapters.len() < before
     }
 
-    /// Tells whether a report is from before the last order that the engine accepted.
+    /// Reports whether a report predates the last accepted order.
     ///
-    /// Its figures lag. One that shows an earlier number of orders shows models
-    /// and adapters as they were then.
+    /// A report's contents lag. One with a lower accepted count shows models and
+    /// adapters as of that count.
     pub(super) fn is_outdated(&self, requested_at: Time, report: &EngineReport) -> bool {
         let Some(reported) = report.accepted else { return false };
         let reported_recently = self
             .last_report
             .as_ref()
             .is_some_and(|last| !last.requested_at.after(MAX_OUTDATED).is_due(requested_at));
-        // Where orders follow on one another, every report is from before the last one.
+        // While orders follow each other closely, every report predates the last one.
         let ordered_recently = !self.last_accepted_at.after(report.lag).is_due(requested_at);
         reported < self.max_accepted_count
             && (reported_recently || ordered_recently)
             && self.incarnation() == Some(report.incarnation)
     }
 
-    /// Counts an order that the engine accepted.
+    /// Counts an accepted order.
     pub(super) fn count_accepted(&mut self, now: Time) {
         self.last_accepted_at = now;
         self.accepted_count = self.accepted_count.map(|accepted| accepted + 1);
         self.max_accepted_count = self.max_accepted_count.max(self.accepted_count.unwrap_or_default());
     }
 
-    /// Tells whether a report may be from before the end of a load that is taken to have ended.
+    /// Reports whether a report may predate the assumed end of a load.
     pub(super) fn predates_assumed_end(&self, requested_at: Time, report: &EngineReport) -> bool {
         let Some(ended) = self.assumed_end.as_ref().filter(|_| self.latest_incarnation == report.incarnation)
         else {
@@ -137,7 +136,7 @@
             && pending_orders::find(Some(report), &ended.model).is_none()
     }
 
-    /// Takes note that an engine answers, though what it tells is too old to be of use.
+    /// Records that the engine responds, although its report is too old to apply.
     fn record_alive(&mut self, now: Time, report: &EngineReport) {
         if let Some(last) =
             self.last_report.as_mut().filter(|last| last.report.incarnation == report.incarnation)
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Takes a report over; tells what else it means.
+    /// Applies a report unless it is stale.
     pub(crate) fn apply_report(
         &mut self,
         now: Time,
@@ -167,8 +166,8 @@
         {
             self.phase = Phase::Surveyed;
         }
-        // A report that was under way when the next life began tells of models
-        // that are gone; orders and requests for them would all be refused.
+        // A report that was in flight when the engine restarted shows models that
+        // are gone; orders and requests for them would be refused.
         if report.incarnation < self.latest_incarnation
             || self.is_outdated(requested_at, report)
             || self.predates_assumed_end(requested_at, report)
@@ -191,7 +190,7 @@
         if restarted { ReportStatus::Restarted } else { ReportStatus::Current }
     }
 
-    /// Takes the host list's word that the engine has begun a new life, of which no report has come yet.
+    /// Handles a new incarnation in the host list from which no report has come yet.
     pub(super) fn on_listed_incarnation(&mut self, now: Time, incarnation: Incarnation) {
         self.latest_incarnation = incarnation;
         self.last_report = None;
@@ -199,11 +198,11 @@
         self.on_restart(now);
     }
 
-    /// Forgets what an earlier life of the engine had loaded, and raises the fence again.
+    /// Discards the state of the previous incarnation and raises the fence again.
     pub(crate) fn on_restart(&mut self, now: Time) {
         self.pending_orders.begin_incarnation();
-        // They ended with that life. Taken for loads that failed, each model would
-        // have to wait for its next try while its callers do.
+        // These loads ended with the incarnation. If they counted as failures, each
+        // model would wait for its retry delay while callers wait.
         self.loads.clear();
         self.assumed_end = None;
         self.closing.clear();
@@ -215,7 +214,7 @@
         self.accepted_count = None;
         self.max_accepted_count = 0;
         self.recount_after = now;
-        // A new life may have forgotten the fence and would obey a former owner.
+        // The new incarnation may have lost the fence and would obey a former owner.
         self.phase = Phase::RaisingFence { order: None, retry: now };
     }
 }
--- a/crates/skylarkshore-core/src/loading/engine_state.rs
+++ b/crates/skylarkshore-core/src/loading/engine_state.rs
@@ -1,4 +1,5 @@
-//! How far an engine and the models on it have come, as their owner knows it.
+//! State types of an engine and its models, as tracked by the owner. [`Phase`] is
+//! the takeover state.
 
 use std::time::Duration;
 
@@ -11,70 +12,69 @@
 use crate::time::Time;
 use crate::upstream::EngineReport;
 
-/// Which part of the time that an overdue load has taken it is expected to last yet.
+/// Part of an overdue load's elapsed time that bounds its remaining time.
 const OVERDUE_DIVISOR: u32 = 3;
 
-/// How far the taking over of an engine has come.
+/// Progress of taking an engine over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The fence isn't known to be raised; orders of the former owner may still be carried out.
+    /// The fence is not confirmed; orders of the former owner may still be executed.
     RaisingFence {
-        /// The order in progress.
+        /// The fence order in progress.
         order: Option<OrderId>,
-        /// When to try again.
+        /// When the fence order is retried.
         retry: Time,
     },
-    /// The fence stands; what is loaded isn't known yet.
+    /// The fence is raised; the loaded models are unknown.
     FenceRaised {
-        /// Since when, so that only later reports count.
+        /// When the fence was raised; only reports requested later count.
         at: Time,
     },
-    /// What is loaded is known.
+    /// A report has shown the loaded models.
     Surveyed,
-    /// The engine has seen a higher fence: somebody else has taken it over.
+    /// The engine has seen a higher fence: another process has taken it over.
     Superseded,
 }
 
-/// Whether an order of the former owner may still be carried out.
+/// Whether an order of the former owner may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LateOrders {
-    /// No such order can come any more.
+    /// No such order can arrive.
     None,
-    /// Until this time.
+    /// Such an order may arrive until this time.
     Until(Time),
-    /// Until reports have shown nothing unexpected for long enough.
+    /// Until no unexpected model has been reported for the settle time.
     UntilQuiet {
-        /// Since when nothing unexpected was seen; none before the first report.
+        /// Start of the period without unexpected models; none before the first report.
         since: Option<Time>,
     },
 }
 
-/// A load that is under way.
+/// A load in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadProgress {
-    /// When it was ordered.
+    /// When the load was first ordered.
     pub ordered: Time,
-    /// When the engine is expected to begin it, or took it.
+    /// When the load started or is expected to start.
     pub begins: Time,
-    /// When it is expected to end.
+    /// When the load is expected to end.
     pub expected_end: Time,
-    /// When it was last looked at.
+    /// When the load was last checked.
     pub last_checked: Time,
     /// Whether the weights come from the weight store.
     pub is_from_store: bool,
 }
 
 impl LoadProgress {
-    /// Returns how long the load is expected to last yet.
+    /// Returns the expected remaining time of the load.
     ///
-    /// One that is overdue isn't about to end: the longer it is, the longer it may
-    /// take. Callers who were told that it is nearly there, again and again, waited
-    /// for its model until they gave up. It isn't expected to take more than its
-    /// whole time once again: what held it up may have been a pause of this
-    /// process, after which callers would be refused for no reason. Nor is it taken
-    /// to last for longer than it has been overdue: a report shows each end some
-    /// tenths of a second late, and callers who had waited ten seconds were sent
-    /// away just before the model was there.
+    /// For an overdue load it is the smallest of three values. The first is a third
+    /// of the elapsed time: with an estimate close to zero, callers waited for the
+    /// model until they gave up. The second is the expected length, because the
+    /// delay may only be a pause of this process, and a longer estimate would refuse
+    /// callers without cause. The third is the time overdue, because reports show
+    /// the end some tenths of a second late; callers who had waited ten seconds were
+    /// refused just before the model was ready.
     pub(crate) fn remaining(&self, now: Time) -> Duration {
         if !self.expected_end.is_due(now) {
             return self.expected_end.remaining(now);
@@ -85,86 +85,86 @@
     }
 }
 
-/// A load that was taken to have ended before a report showed it.
+/// A load that was assumed to have ended before a report confirmed it.
 #[derive(Clone, Debug)]
 pub(crate) struct AssumedEnd {
     /// The model.
     pub model: ModelName,
-    /// When it was taken to have ended.
+    /// The assumed end.
     pub at: Time,
 }
 
-/// Why a model is to leave an engine.
+/// Why a model is unloaded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Nobody uses it.
+    /// The policy does not keep it while idle.
     #[display("idle")]
     Idle,
-    /// Others need its memory.
+    /// Its memory is needed for another model.
     #[display("memory")]
     Memory,
-    /// The catalogue names another version.
+    /// The catalogue has another version.
     #[display("version")]
     Version,
-    /// It isn't in the catalogue.
+    /// It is not in the catalogue.
     #[display("no_home")]
     NoHome,
-    /// Its replica or its power is needed elsewhere, or the engine is about to go.
+    /// The replica is surplus, its power is needed elsewhere, or the engine is leaving.
     #[display("surplus")]
     Surplus,
 }
 
-/// A model that routers are told not to use any more.
+/// A model that routers must stop using.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Closing {
-    /// Since when.
+    /// When closing began.
     pub since: Time,
-    /// Why.
+    /// Why the model is unloaded.
     pub reason: CloseReason,
-    /// The order of service of those who need its memory.
+    /// The service order of the load that needs the memory.
     pub for_order: Option<ServiceOrder>,
-    /// When its memory was last needed.
+    /// When the memory was last needed.
     pub last_needed: Time,
 }
 
-/// Loads that failed one after the other.
+/// Consecutive failed loads of a model.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Failures {
-    /// How many.
+    /// Number of failures in a row.
     pub count: u32,
-    /// When to try again.
+    /// When the load is retried.
     pub retry: Time,
 }
 
 /// The last report of an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct LastReport {
-    /// When it was asked for.
+    /// When the report was requested.
     pub requested_at: Time,
-    /// When it came.
+    /// When the report was received.
     pub received_at: Time,
-    /// What it tells.
+    /// The report.
     pub report: EngineReport,
 }
 
-/// What a report means beside its contents.
+/// How a report relates to the known state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportStatus {
-    /// It came too early or out of turn.
+    /// Outdated, or from before the engine was surveyed.
     Stale,
-    /// It is the newest.
+    /// The newest report.
     Current,
-    /// It is the newest, and the engine has begun a new life.
+    /// The newest report, from a new incarnation.
     Restarted,
 }
 
-/// Since when an engine's models have needed another home.
+/// Models of an engine that need another home, and since when.
 #[derive(Debug, Default)]
 pub(crate) struct Rehoming {
-    /// Where the replicas are full.
+    /// Models whose replicas are saturated.
     pub saturated: OrderedMap<ModelName, Time>,
-    /// Where no room can be made.
+    /// Models for which no memory can be freed.
     pub memory_blocked: OrderedMap<ModelName, Time>,
-    /// What has been wished for long enough.
+    /// Requests whose cause has lasted long enough.
     pub due: Vec<HomeWish>,
 }
