--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -1,4 +1,4 @@
-//! Who waits for which model, and who wants to hear of it.
+//! Waiting requests per model and router, and the routers' subscriptions to models. See [`Demand`].
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
-/// After how many intervals without a router's word its waiting requests no longer count.
+/// Missed report intervals after which a router's waiting requests are dropped.
 const MAX_MISSED_MESSAGES: u32 = 4;
 
-/// How long it takes routers to send what waits, once they hear that a model can be used.
+/// How long routers take to dispatch waiting requests once a model is ready.
 const DISPATCH_TIME: Duration = Duration::from_millis(200);
 
-/// How much later than told callers may ask again.
+/// Extra time granted to callers who were told when to retry.
 const RETRY_GRACE: Duration = Duration::from_secs(2);
 
-/// The requests that wait at one router.
+/// Requests that wait at one router.
 #[derive(Clone, Copy, Debug)]
 struct HostDemand {
     count: u32,
     order: ServiceOrder,
-    /// When the most patient of them gives up.
+    /// The latest deadline among them.
     deadline: Time,
-    /// When the first answer to them loses value.
+    /// When the first of their answers loses value.
     aim: Time,
-    /// When the router counts as silent.
+    /// When the report expires unless the router repeats it.
     expires: Time,
-    /// Whether the router was told to ask again, so that the load has to go on meanwhile.
+    /// Whether the router was told to retry, so that the load continues meanwhile.
     held_for_retry: bool,
 }
 
-/// What all routers together want of a model.
+/// Demand of all routers for a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ModelDemand {
-    /// The most urgent order of service.
+    /// The most urgent service order.
     pub order: ServiceOrder,
-    /// When the most patient of those who wait gives up.
+    /// The latest deadline of the waiting requests.
     pub deadline: Time,
-    /// When the first answer to them loses value; never if all have lost it.
+    /// When the first answer loses value; never if no answer has a target time.
     pub aim: Time,
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
@@ -57,24 +57,24 @@
     }
 }
 
-/// A router's word that requests wait.
+/// A router's report of waiting requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitReport<'a> {
     /// The router.
     pub from: &'a HostId,
     /// The model or adapter.
     pub target: &'a ModelTarget,
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// The most urgent order of service among them.
+    /// The most urgent service order among them.
     pub order: ServiceOrder,
-    /// How long the most patient of them can still wait.
+    /// The longest remaining wait among them.
     pub patience: Duration,
-    /// How long the least patient of them can wait for its answer to have its full value.
+    /// The shortest remaining time in which an answer keeps its full value.
     pub aim: Option<Duration>,
 }
 
-/// Who waits and who listens.
+/// Waiting requests and subscriptions.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     waiting: OrderedMap<ModelTarget, OrderedMap<HostId, HostDemand>>,
@@ -82,7 +82,7 @@
 }
 
 impl Demand {
-    /// Takes a router's word; it replaces the router's earlier one.
+    /// Records a router's report, which replaces its previous one.
     pub(crate) fn record(&mut self, now: Time, wanted: WaitReport<'_>, timings: &Timings) {
         self.subscribe(now, wanted.from, &wanted.target.model, timings);
         if wanted.waiting == 0 {
@@ -99,23 +99,23 @@
         self.waiting.entry(wanted.target.clone()).or_default().insert(wanted.from.clone(), waiting);
     }
 
-    /// Takes note that a router wants to hear of a model.
+    /// Records that a router subscribes to a model.
     pub(crate) fn subscribe(&mut self, now: Time, from: &HostId, model: &ModelName, timings: &Timings) {
         let until = now.after(timings.interest);
         self.subscriptions.entry(model.clone()).or_default().insert(from.clone(), until);
     }
 
-    /// Takes note that nothing waits at a router any more, but for callers who were told to come back.
+    /// Removes a router's waiting requests, except those held for a retry.
     pub(crate) fn clear_waiting(&mut self, from: &HostId, target: &ModelTarget) {
         if let Some(routers) = self.waiting.get_mut(target) {
             routers.retain(|host, waiting| host != from || waiting.held_for_retry);
         }
     }
 
-    /// Keeps a router's word for as long as its callers were told to wait before they ask again.
+    /// Keeps a router's report until its callers were told to retry.
     ///
-    /// Callers with little patience are refused before a load has even begun. If
-    /// the load were dropped with them, they would be refused for ever.
+    /// Callers with short timeouts are refused before the load starts. If the load
+    /// were dropped with them, they would be refused forever.
     pub(crate) fn hold_for_retry(&mut self, now: Time, wanted: &WaitReport<'_>, retry_after: Duration) {
         let routers = self.waiting.get_mut(wanted.target);
         let Some(waiting) = routers.and_then(|routers| routers.get_mut(wanted.from)) else { return };
@@ -125,11 +125,10 @@
         waiting.expires = waiting.expires.max(until);
     }
 
-    /// Takes note that a model can be used, so that those who wait for it will be served.
+    /// Shortens the expiry of waiting requests once a model is ready to serve them.
     ///
-    /// Routers don't tell that nobody waits any more. Until the usual time has
-    /// passed, a model that has served them would look needed, and couldn't make
-    /// way for the next one.
+    /// Routers do not report that requests no longer wait. Until the usual expiry,
+    /// the model would seem in demand and could not be evicted for the next one.
     pub(crate) fn mark_served(&mut self, now: Time, model: &ModelName) {
         let until = now.after(DISPATCH_TIME);
         let first = ModelTarget { model: model.clone(), adapter: None };
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Forgets those whose time has run out.
+    /// Drops expired reports and subscriptions.
     pub(crate) fn expire(&mut self, now: Time) {
         for routers in self.waiting.values_mut() {
             routers.retain(|_, waiting| !waiting.expires.is_due(now) && !waiting.deadline.is_due(now));
@@ -151,14 +150,14 @@
         self.subscriptions.retain(|_, subscribers| !subscribers.is_empty());
     }
 
-    /// Returns what is wanted of a model, on its own or under adapters.
+    /// Returns the demand for a model, adapters included.
     pub(crate) fn of_model(&self, model: &ModelName) -> Option<ModelDemand> {
         let first = ModelTarget { model: model.clone(), adapter: None };
         let targets = self.waiting.range(first..).take_while(|(target, _)| target.model == *model);
         sum(targets.flat_map(|(_, routers)| routers.values()))
     }
 
-    /// Returns what is wanted of a model once a router's word is taken.
+    /// Returns the demand for a model including a router's new report.
     pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
         let reported = ModelDemand {
             order: wanted.order,
@@ -191,7 +190,7 @@
             .collect()
     }
 
-    /// Returns the routers that want to hear of a model.
+    /// Returns the routers that subscribe to a model.
     pub(crate) fn subscribers(&self, model: &ModelName) -> impl Iterator<Item = &HostId> {
         self.subscriptions.get(model).into_iter().flat_map(OrderedMap::keys)
     }
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -1,4 +1,7 @@
-//! Whether those who wait for a model can be served in time.
+//! Estimates when a model becomes ready on an engine, and whether waiting requests
+//! can be served in time.
+//!
+//! See [`Assessment`] and [`assess`].
 
 use std::time::Duration;
 
@@ -16,35 +19,35 @@
 use crate::time::Time;
 use crate::upstream::LoadState;
 
-/// How long it takes at most to learn what an engine holds, as a rule.
+/// Upper estimate of the time until an engine's first report.
 const SURVEY_TIME: Duration = Duration::from_secs(1);
-/// How long room and power take to become free, as a rule.
+/// Estimated time until memory or power becomes available.
 const EVICTION_TIME: Duration = Duration::from_secs(10);
-/// When to ask again for what others hold.
+/// Retry delay while memory, power or ownership is unavailable.
 const SHORT_RETRY: Duration = Duration::from_secs(5);
-/// The share of a load time that a load is taken to last yet when it takes longer than expected.
+/// Minimum remaining time of an overdue load, as a fraction of its load time.
 const OVERDUE_DIVISOR: u32 = 10;
 
-/// How long an engine counts as unable to load anything.
+/// Delay assumed for an engine that cannot load anything.
 const UNAVAILABLE_DELAY: Duration = Duration::from_secs(30);
-/// How many loads may fail in a row before nobody is left to wait for the next.
+/// Consecutive failures after which the load is expected never to succeed.
 const MAX_FAILURES: u32 = 5;
 
-/// What an engine can do for those who wait.
+/// Whether an engine can serve the requests that wait at a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Assessment {
-    /// They are served within their patience.
+    /// The model is ready before the last of them times out.
     InTime,
-    /// They can't be served in time.
+    /// The model is not ready in time.
     Unavailable {
-        /// Why.
+        /// The reason sent to the router.
         reason: CannotLoad,
-        /// When to ask again.
+        /// When the router may ask again.
         retry_after: Duration,
     },
 }
 
-/// Judges whether an engine will serve those who wait at one router in time.
+/// Assesses whether an engine will serve a router's waiting requests in time.
 pub(crate) fn assess(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -82,13 +85,13 @@
     assess_wait(wanted, takes, CannotLoad::TooSlow, takes)
 }
 
-/// Estimates when a model could be used on an engine that takes one order at a time.
+/// Estimates the time until a model is ready on a sequential engine.
 ///
-/// What goes before it counts, but not what it goes before itself. If all that
-/// waits were counted, each model would seem as far away as the last of them,
-/// and callers would be refused who could be served. The times are those that
-/// loads and unloads have taken of late: with a run of 2.5 s assumed in front of
-/// each load, where runs last 0.4 s, two of three refusals were wrong.
+/// Loads with a higher rank count, loads with a lower rank do not. If all waiting
+/// loads counted, every model would seem as far away as the last one, and requests
+/// that could be served would be refused. The estimate uses measured load and unload
+/// times: assuming 2.5 s per run where runs take 0.4 s made two of three refusals
+/// wrong.
 pub(crate) fn time_to_ready(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -126,12 +129,12 @@
         + context.load_times.expected_on(cx, engine, model)
 }
 
-/// Estimates when a model could be used on an engine, and adds what its load costs others.
+/// Estimates the time until a model is ready on an engine, plus the cost of its load
+/// to other models.
 ///
-/// A load from the weight store keeps the engine from any other for seconds, in
-/// which it could make ten swaps from its own disk. Of two engines on which a
-/// model would be ready at about the same time, the one with a copy had better
-/// load it.
+/// A load from the weight store blocks the engine for seconds, in which it could
+/// make ten swaps from its disk. If two engines would be ready at about the same
+/// time, the one with a copy is preferred.
 pub(crate) fn placement_cost(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -148,7 +151,7 @@
     }
 }
 
-/// Returns how long a load has to wait until the weight store has a share for it.
+/// Returns how long a load has to wait for a load slot.
 fn store_wait(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> Duration {
     if engine.is_sequential() && engine.has_copy(model) {
         return Duration::ZERO;
@@ -157,20 +160,20 @@
     context.load_slots.expected_wait(cx, &key)
 }
 
-/// Returns how long the order in progress is expected to last yet.
+/// Returns the expected remaining time of the order in progress.
 fn current_order_remaining(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>) -> Duration {
     let load = engine.loads.values().map(|load| load.remaining(cx.now)).max();
     load.unwrap_or_else(|| pipelining::unload_remaining(engine, cx.now, context.load_times))
 }
 
-/// Returns how long it takes to make room for a model.
+/// Returns the expected time to free memory for a model.
 fn eviction_time(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> Duration {
     let Some(known) = cx.document.catalogue.models.get(model) else { return Duration::ZERO };
     let is_free = known.footprint() <= engine.free_memory();
     if is_free { Duration::ZERO } else { context.load_times.expected_unload() }
 }
 
-/// Returns how long a load has to wait before it begins, for all but the weight store.
+/// Returns the expected delay before a load can start, apart from the load slot.
 fn start_delay(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> Duration {
     if engine.report().is_none() {
         return SURVEY_TIME;
@@ -178,14 +181,14 @@
     if !load::has_power(engine, context) || engine.memory_blocked.contains(model) {
         return EVICTION_TIME;
     }
-    // Routers are given time before what makes room is unloaded.
+    // Routers get a grace period before the evicted model is unloaded.
     if engine.closing.is_empty() { Duration::ZERO } else { cx.cfg.timings.close_grace }
 }
 
-/// Works out when the models that requests wait for should be ready, for the routers' views.
+/// Updates the expected ready times of models that requests wait for; they are published in views.
 ///
-/// A router that hears nothing of a model for some seconds has to take it that
-/// nobody looks after it, and refuses its requests.
+/// A router that hears nothing about a model for some seconds assumes that no owner
+/// handles it, and refuses its requests.
 pub(crate) fn plan_ready_times(
     cx: &Cx<'_>,
     engine: &mut Engine,
@@ -218,7 +221,7 @@
         && wanted.target.adapter.as_ref().is_none_or(|adapter| engine.has_adapter(cx.now, model, adapter))
 }
 
-/// Returns how long a load that has begun is expected to last yet.
+/// Returns the expected remaining time of a load in progress.
 fn load_remaining(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -243,7 +246,7 @@
     }
 }
 
-/// Returns what a router is told when no engine here serves those who wait there.
+/// Returns the refusal for a router, or none if an engine can serve its requests in time.
 pub(crate) fn refusal(assessments: &[Assessment], wanted: &WaitReport<'_>) -> Option<PeerMessage> {
     let mut refusal = (CannotLoad::NotOwner, Duration::ZERO);
     for assessment in assessments {
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -1,4 +1,4 @@
-//! Loads: memory, power, the weight store's share and the order to the engine.
+//! Starts loads: checks memory, power and the load slot, and sends the order.
 
 use std::time::Duration;
 
@@ -19,23 +19,22 @@
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order};
 
-/// How long to wait before an order whose answer was lost is sent again.
+/// Delay before an order whose answer was lost is resent.
 const RESEND_AFTER: Duration = Duration::from_millis(500);
-/// Half of how long to wait after the first failed load.
+/// Half the retry delay after the first failed load.
 const RETRY_BASE: Duration = Duration::from_millis(500);
-/// How long after the last look at a load its end may be noticed for its length to count.
+/// Longest time between two checks of a load for its measured length to be valid.
 const MAX_CHECK_GAP: Duration = Duration::from_secs(2);
-/// How often that wait is doubled at most.
+/// How often the retry delay is doubled at most.
 const MAX_RETRY_DOUBLINGS: u32 = 7;
-/// For which part of its load's time a model that came from the weight store stays at least.
+/// Divisor of the load time that gives how long a model from the weight store is retained at least.
 ///
-/// Callers who couldn't wait for it were told to come back about now, and hosts
-/// that wait for it may not have said so here. Unloaded at once, it has kept an
-/// engine and the store busy for nobody: of 40 such loads in a day 13 were
-/// undone within a second and 24 never used.
+/// Callers with short timeouts were told to retry about now, and hosts with waiting
+/// requests may not have reported them to this owner. Of 40 such loads in a day, 13
+/// were unloaded within a second and 24 were never used.
 const RETAIN_DIVISOR: u32 = 4;
 
-/// Begins the loads that are wanted and possible, the most urgent first.
+/// Starts the desired loads that are possible, the most urgent first.
 pub(crate) fn start_loads(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -43,9 +42,9 @@
     permit: Permit,
     desired_loads: &[DesiredLoad],
 ) {
-    // Memory that a more urgent load waits for isn't given to a less urgent one.
+    // Memory reserved for a more urgent load is not given to a less urgent one.
     let mut reserved = Mebibytes(0);
-    // On an engine that takes one order at a time, only the most urgent load makes room.
+    // On a sequential engine, only the most urgent load evicts models.
     let mut is_turn_used = false;
     let mut memory_blocked = OrderedSet::new();
     for desired in desired_loads {
@@ -73,7 +72,7 @@
                 .load_slots
                 .release_unstarted(cx, &LoadKey { engine: engine.id.clone(), model: desired.model.clone() });
         } else if needs_room && !has_store_slot(cx, engine, context, desired) {
-            // What is loaded stays in use until the load can begin.
+            // Loaded models stay in use until the load has its slot.
             continue;
         }
         reserved += memory;
@@ -90,7 +89,7 @@
     engine.memory_blocked = memory_blocked;
 }
 
-/// Sends an order of unknown outcome again; tells whether an order for the model is unsettled.
+/// Resends an order whose answer was lost. Reports whether an order for the model is pending.
 fn resend(cx: &mut Cx<'_>, engine: &mut Engine, permit: Permit, model: &ModelName) -> bool {
     let Some(unsettled) = engine.pending_orders.find(model, |_| true) else { return false };
     if unsettled.resend && unsettled.sent.after(RESEND_AFTER).is_due(cx.now) {
@@ -100,7 +99,8 @@
     true
 }
 
-/// Sends an adapter's order of unknown outcome again; tells whether one for it is unsettled.
+/// Resends an adapter order whose answer was lost. Reports whether an order for the
+/// adapter is pending.
 fn resend_adapter(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -121,7 +121,7 @@
     !failed && !engine.is_leaving() && has_power(engine, context)
 }
 
-/// Tells whether the engine may draw what it draws with something loaded.
+/// Reports whether the granted power covers the engine's active power.
 pub(crate) fn has_power(engine: &Engine, context: &DecisionContext<'_>) -> bool {
     engine.spec.as_ref().is_some_and(|spec| context.authority.granted(&engine.id) >= spec.active_watts)
 }
@@ -170,12 +170,12 @@
     engine.model(model).is_some_and(|reported| reported.adapters.iter().any(|a| a.adapter == *adapter))
 }
 
-/// Tells whether a load of a model needs a share of the weight store.
+/// Reports whether a load of the model needs a load slot.
 fn needs_store_slot(engine: &Engine, desired: &DesiredLoad) -> bool {
     !engine.is_sequential() || !engine.has_copy(&desired.model)
 }
 
-/// Tells whether a load of a model may begin as far as the weight store goes, and asks for its share.
+/// Reports whether a load has its load slot or needs none, and requests the slot otherwise.
 fn has_store_slot(
     cx: &mut Cx<'_>,
     engine: &Engine,
@@ -190,7 +190,7 @@
     context.load_slots.request(cx, &key, urgency) == SlotStatus::Granted
 }
 
-/// Sends a load once the weight store has a share for it and no other load is unanswered.
+/// Sends a load if it has its slot and no other load is unanswered.
 fn start_load(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -257,16 +257,16 @@
     );
 }
 
-/// Takes note that a load has begun, which it may do some time after it was ordered first.
+/// Corrects the start and the expected end of a load when the engine accepts it.
 pub(crate) fn on_accepted(cx: &Cx<'_>, engine: &mut Engine, model: &ModelName) {
     let Some(load) = engine.loads.get_mut(model) else { return };
     load.expected_end = cx.now.after(load.expected_end.since(load.begins));
     load.begins = cx.now;
 }
 
-/// Takes note of loads that have ended, as the engine's report shows them.
+/// Records loads that have ended according to the engine's report.
 ///
-/// Returns the models that can be used since now.
+/// Returns the models of a sequential engine that have become ready.
 pub(crate) fn record_ended(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -289,9 +289,8 @@
         if let Some(need) = context.demand.of_model(&model) {
             context.history.record_cold_start(&model, need.waiting);
         }
-        // A process that was paused in the middle notices the end late. Were that
-        // taken for the load's length, callers would be refused for want of time
-        // although the model loads as fast as ever.
+        // After a pause of this process, the end is noticed late. If that counted as
+        // the load's length, later requests would be refused as too late.
         if cx.now.since(load.last_checked) <= MAX_CHECK_GAP && load.is_from_store {
             context.load_times.record_load(&model, took);
         }
@@ -315,7 +314,7 @@
     served
 }
 
-/// Takes note of a load that failed; the next try waits longer after every failure.
+/// Records a failed load. The retry delay doubles with every failure.
 pub(crate) fn record_failure(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -331,7 +330,7 @@
     cx.note("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
 }
 
-/// Tells whether the engine is busy with a load of the model or of its adapters, or may be.
+/// Reports whether the engine is, or may be, loading the model or its adapters.
 pub(crate) fn is_load_pending(engine: &Engine, model: &ModelName) -> bool {
     let loading = |order: &Order| matches!(order, Order::Load { .. } | Order::LoadAdapter { .. });
     is_shown_loading(engine, model)
@@ -339,19 +338,19 @@
         || engine.pending_orders.find(model, loading).is_some()
 }
 
-/// Tells whether a load of the model or of its adapters uses the weight store.
+/// Reports whether a load of the model or its adapters uses the weight store.
 ///
-/// An order in doubt does only while the engine says that it is busy. Otherwise it
-/// may never have arrived, and it stays in doubt for as long as the engine can't be
-/// reached or nobody asks for what it loads. Where the store runs one load at a
-/// time, no host could fetch any model meanwhile, though every engine is idle.
+/// An order in doubt counts only while the engine reports that it is busy. It may
+/// never have arrived, and stays in doubt while the engine is unreachable or nobody
+/// requests the model. If it kept its slot on a store that runs one load at a time,
+/// no host could fetch a model although every engine is idle.
 pub(crate) fn uses_store(engine: &Engine, model: &ModelName) -> bool {
     let may_be_loading =
         || engine.report().is_some_and(|report| report.busy) && is_load_pending(engine, model);
     is_shown_loading(engine, model) || engine.pending_orders.is_loading(model) || may_be_loading()
 }
 
-/// Returns the models that the engine loads from the weight store now.
+/// Returns the models that the engine is loading from the weight store.
 pub(crate) fn loading_from_store(engine: &Engine) -> impl Iterator<Item = &ModelName> {
     let loads = engine.loads.iter().filter(|(_, load)| load.is_from_store);
     loads.map(|(model, _)| model).filter(|model| uses_store(engine, model))
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -1,4 +1,6 @@
-//! Unloads: which models leave an engine, and when nobody uses them any more.
+//! Selects models to unload, evicts idle models for more urgent loads, and sends unload orders.
+//!
+//! Closing comes first: routers stop sending requests, and the model is unloaded once nothing runs.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -19,16 +21,16 @@
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order, ReportedModel};
 
-/// After how long room that nobody asks for any more is given back.
+/// How long after the last request for its memory a closing model may be reopened.
 const ROOM_REQUEST_TTL: Duration = Duration::from_secs(1);
-/// How long a model has to be unused to make way for a copy that nobody waits for yet.
+/// How long a model must be idle before it is evicted for a copy that no request waits for.
 const COPY_EVICTION_IDLE: Duration = Duration::from_secs(2);
-/// How long an engine that was just used keeps its power, whoever calls for it.
+/// How long after its last use an engine keeps its power despite a shortage.
 const RECENT_USE: Duration = Duration::from_secs(5);
-/// How long to wait before an unload whose answer was lost is sent again.
+/// Delay before an unload whose answer was lost is resent.
 const RESEND_AFTER: Duration = Duration::from_millis(500);
 
-/// Decides which models are to leave, and takes back what is needed after all.
+/// Starts closing models that have to leave, and reopens models that are needed again.
 pub(crate) fn decide(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -63,7 +65,7 @@
     engine.closing.insert(model.clone(), Closing { since: cx.now, reason, for_order, last_needed: cx.now });
 }
 
-/// Returns why a ready model has to leave, apart from others that need its memory.
+/// Returns why a ready model has to leave, other than for memory.
 fn close_reason(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -74,15 +76,15 @@
     let Some(known) = cx.document.catalogue.models.get(&reported.model) else {
         return Some(CloseReason::NoHome);
     };
-    // Where engines hold models from before, the first homes are yet to be written.
-    // Were those models taken for surplus, a fresh deployment would begin empty.
+    // Engines may hold models before any homes are written. If those models counted
+    // as surplus, a new deployment would unload everything first.
     let is_placed = !engine.is_sequential() || cx.cache.homes(&reported.model).is_some();
     if !is_placed {
         return None;
     }
-    // A home that is only unconfirmed isn't lost. After an engine has changed
-    // hands its homes are written anew one by one; were its models taken for
-    // homeless meanwhile, each take-over would empty the engine.
+    // An unconfirmed home is not a lost one. After a takeover the homes are
+    // rewritten one by one; if their models counted as surplus meanwhile, each
+    // takeover would empty the engine.
     if context.authority.must_close(&engine.id, &reported.model)
         && !may_become_home(cx, engine, context, reported)
     {
@@ -95,7 +97,7 @@
     (!is_used && engine.unneeded.contains(&reported.model)).then_some(CloseReason::Idle)
 }
 
-/// Tells whether the engine holds the model from before and is about to become its home.
+/// Reports whether the engine already holds the model and may still become its home.
 fn may_become_home(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -108,7 +110,7 @@
     engine.is_sequential() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < most
 }
 
-/// Works out which idle models the policy would rather unload.
+/// Updates the idle models that the policy wants to unload.
 pub(crate) fn review_idle(
     cx: &Cx<'_>,
     engine: &mut Engine,
@@ -155,7 +157,7 @@
     engine.unneeded = unneeded;
 }
 
-/// Tells whether more requests of a burst may still be on their way.
+/// Reports whether the engine was used so recently that a burst may not be over.
 fn was_just_used(now: Time, engine: &Engine) -> bool {
     let ready = engine.ready_since.values();
     engine.last_busy.values().chain(ready).any(|used| !used.after(RECENT_USE).is_due(now))
@@ -174,7 +176,7 @@
     IdleModel::new(context.history, model, outcome, load_time, cx.now.since(since))
 }
 
-/// Returns when the model was last used here, or became ready.
+/// Returns when the model was last used or became ready on this engine.
 fn last_use(engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> Time {
     let arrived = context.history.last(model);
     let busy = engine.last_busy.get(model).copied();
@@ -182,7 +184,8 @@
     arrived.max(busy).max(ready).unwrap_or(engine.acquired_at)
 }
 
-/// Tells whether a closing model may be used again: it is wanted, and no unload is on its way.
+/// Reports whether a closing model may be used again: its unload is not pending, and
+/// its memory is not needed by a more urgent load.
 fn may_reopen(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -203,7 +206,7 @@
     }
 }
 
-/// Tells whether closing idle models would free `missing` memory.
+/// Reports whether evicting idle models would free `missing` memory.
 pub(crate) fn can_make_room(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -216,7 +219,7 @@
     victims.values().copied().sum::<Mebibytes>() >= missing
 }
 
-/// Closes idle models until `missing` memory will be free; tells whether that will be enough.
+/// Starts closing idle models until `missing` memory will be free. Reports whether that suffices.
 pub(crate) fn make_room(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -246,7 +249,7 @@
     true
 }
 
-/// Returns the memory of the models that are on their way out.
+/// Returns the memory of models that are closing or unloading.
 fn memory_being_freed(engine: &Engine) -> Mebibytes {
     let Some(report) = engine.report() else { return Mebibytes(0) };
     let leaving = report
@@ -256,12 +259,12 @@
     leaving.map(memory_of).sum()
 }
 
-/// A model that may make room, ordered by how little its callers lose.
+/// An eviction candidate. Candidates whose eviction costs least sort first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
-    /// Those served last come first.
+    /// Models with the last service order come first.
     order: Reverse<ServiceOrder>,
-    /// What staying saves for each gibibyte, in milliseconds of an idle accelerator.
+    /// Saving per gibibyte if the model stays, in milliseconds of idle accelerator time.
     value: u64,
     last_use: Time,
     model: ModelName,
@@ -311,11 +314,12 @@
     .collect()
 }
 
-/// Tells whether other engines hold the model as well.
+/// Reports whether other engines hold the model as well.
 ///
-/// Where engines come with models, those that are on several are asked for
-/// often, which no process has seen yet when it starts. Were they unloaded for
-/// copies of rarely used ones, the first callers of the former would all wait.
+/// If engines already hold models when the process starts, there is no usage
+/// history, but models held by several engines are likely to be in frequent use.
+/// Evicting them for copies of rarely used models would make their first callers
+/// wait.
 fn is_widely_held(cx: &Cx<'_>, model: &ModelName) -> bool {
     cx.upstreams.holders(model).nth(1).is_some()
 }
@@ -331,7 +335,7 @@
     (idle.value() * MILLIS_PER_MEBIBYTE / memory.0.max(1) as f64) as u64
 }
 
-/// Unloads closing models once routers have had time to stop and nothing runs any more.
+/// Unloads closing models once routers had time to stop sending and no request runs.
 pub(crate) fn unload_drained(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -360,7 +364,7 @@
     }
 }
 
-/// Notes an unload, with what shows whether the load before it was of use to anybody.
+/// Logs an unload and whether the model was used since its load.
 fn log_unload(
     cx: &mut Cx<'_>,
     engine: &Engine,
@@ -378,11 +382,10 @@
     context.load_metrics.unused += u64::from(!is_used);
 }
 
-/// Tells whether a report, asked for after routers had time to stop, shows that nothing runs.
+/// Reports whether a report requested after the grace period shows no running request.
 ///
-/// The report's load figures lag; one that was asked for too early would miss a
-/// request that a router had sent just before it heard of the closing, and that
-/// request would be cut off.
+/// Load figures in a report lag. An earlier report may miss a request that a router
+/// sent just before it received the closing view, and the unload would abort it.
 fn is_drained(cx: &Cx<'_>, engine: &Engine, model: &ModelName, closing: &Closing) -> bool {
     let Some(last) = &engine.last_report else { return false };
     let stopped = closing.since.after(cx.cfg.timings.close_grace).after(last.report.lag);
