--- a/crates/skylarkshore-core/src/loading/concurrency_limit.rs
+++ b/crates/skylarkshore-core/src/loading/concurrency_limit.rs
@@ -1,40 +1,42 @@
-//! How many loads the weight store runs at full speed.
+//! Learned limit on the loads that the weight store runs concurrently. See [`ConcurrencyLimit`].
 
 use std::time::Duration;
 
 use crate::cx::Cx;
 
-/// For how many engines one load may run at once at most, however many the store carries.
+/// Engines per concurrent load; caps the limit whatever the store sustains.
 ///
-/// An engine that loads from the store can't swap models for as long; half of
-/// them have to go on serving those whose models lie on disks.
+/// An engine cannot swap models while it loads from the store. Half of them must
+/// remain available for models with copies on disk.
 const ENGINES_PER_LOAD: usize = 2;
-/// From how many times its listed length on a load counts as slowed down.
+/// Ratio of measured to listed load time above which a load counts as slowed down.
 const SLOWDOWN_RATIO: f64 = 1.5;
-/// Up to how many times its listed length a load counts as run at full speed.
+/// Ratio of measured to listed load time up to which a load counts as on time.
 const ON_TIME_RATIO: f64 = 1.2;
 
-/// How many loads the weight store runs at full speed, learned from how long they take.
+/// Learned limit on concurrent loads from the weight store.
 ///
-/// Beyond that number each takes longer in proportion, so that more at once
-/// bring nothing and keep every engine busy. The number begins as the settings
-/// say, and doubles with each load that ends in time until the first doesn't.
+/// Beyond what the store sustains, every load takes longer in proportion, so more
+/// concurrency gains nothing and occupies engines. The limit starts at the
+/// configured value and doubles with each load that ends on time until one is slowed
+/// down; from then on it grows by one. A slowed load decreases it.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     learned: Option<usize>,
-    /// Whether a load has been slowed down.
+    /// Whether a load has been slowed down, which ends the doubling.
     slowed: bool,
 }
 
 impl ConcurrencyLimit {
-    /// Returns how many loads are let through at once.
+    /// Returns how many loads may run concurrently.
     pub(crate) fn limit(&self, cx: &Cx<'_>) -> usize {
         self.learned.unwrap_or(cx.cfg.limits.loads_at_once as usize).min(max_loads_at_once(cx))
     }
 
-    /// Takes note of a load that is still in progress, beside which `others` have run.
+    /// Decreases the limit if a load that is still in progress is too slow; `others`
+    /// loads ran when it started.
     ///
-    /// What its length tells by now is enough; its end may be far away.
+    /// Its length so far is sufficient evidence, since its end may be far away.
     pub(crate) fn record_running(
         &mut self,
         cx: &mut Cx<'_>,
@@ -58,11 +60,11 @@
         self.learn(cx, before, carried.clamp(1, before), listed, so_far);
     }
 
-    /// Takes the length of a load beside which `others` have run.
+    /// Adjusts the limit by the length of a finished load; `others` loads ran when it started.
     pub(crate) fn record_end(&mut self, cx: &mut Cx<'_>, listed: Duration, took: Duration, others: usize) {
         let before = self.limit(cx);
         let ratio = took.as_secs_f64() / listed.as_secs_f64().max(f64::MIN_POSITIVE);
-        // One that began alone and took long was held up by something else than others.
+        // A slow load that started alone was delayed by something other than concurrency.
         let now = if ratio > SLOWDOWN_RATIO && others == 0 {
             before
         } else if ratio > SLOWDOWN_RATIO {
@@ -87,7 +89,7 @@
     }
 }
 
-/// Returns how many loads are let through at once where the weight store carries them.
+/// Returns the upper bound of the limit.
 fn max_loads_at_once(cx: &Cx<'_>) -> usize {
     (cx.upstreams.engines() / ENGINES_PER_LOAD).max(cx.cfg.limits.loads_at_once as usize)
 }
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -1,4 +1,5 @@
-//! The weight store's gate: which loads may run, in use at one process at a time.
+//! The weight-store gate: grants load slots for all processes and limits concurrent
+//! loads. One process hosts it at a time.
 
 use std::time::Duration;
 
@@ -16,46 +17,45 @@
 
 /// How often the holder of a slot renews it.
 pub(crate) const RENEW_EVERY: Duration = Duration::from_secs(2);
-/// After how long a slot that isn't renewed is given to others; two renewals in
-/// a row may be lost.
+/// After how long a slot that is not renewed is given to others. Two renewals in a row may be lost.
 ///
-/// Its holder may be gone, or what gave it back be lost. With one load at a time
-/// that slot is the whole store: held for 35 s, nothing was fetched until long
-/// after a fault, and callers of models that lie on no disk were refused. A
-/// holder that is paused for longer goes on loading, beside one load more.
+/// The holder may be gone, or its release lost. With one load at a time, that slot
+/// is the whole store: held for 35 s, it blocked all fetches until long after a
+/// fault, and callers of models without a copy on disk were refused. A holder paused
+/// for longer keeps loading beside one additional load.
 const SLOT_TTL: Duration = RENEW_EVERY.saturating_mul(3).saturating_add(Duration::from_secs(1));
-/// After how long without its holder's word a slot tells nothing about its load.
+/// Time without a renewal after which a slot's measured length is invalid.
 const HOLDER_TIMEOUT: Duration = RENEW_EVERY.saturating_mul(2).saturating_add(Duration::from_millis(500));
-/// After how long between two looks this process has stood still.
+/// Gap between two checks that counts as a pause of this process.
 const OWN_PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
-/// After how long a load that isn't asked for any more leaves the queue.
+/// How long a queued load stays in the queue without a new request.
 pub(crate) const QUEUE_TTL: Duration = Duration::from_secs(2);
-/// A load, as the gate knows it.
+/// Identifies a load.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{model}@{engine}")]
 pub(crate) struct LoadKey {
     /// The engine that loads.
     pub engine: UpstreamId,
-    /// The model, or the base of the adapter.
+    /// The model, or the base model of the adapter.
     pub model: ModelName,
 }
 
-/// Who waits for a load.
+/// The urgency of the requests that wait for a load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Urgency {
-    /// The order of service.
+    /// Their service order.
     pub order: ServiceOrder,
-    /// How long those who wait can still wait.
+    /// Their longest remaining wait.
     pub patience: Duration,
 }
 
-/// Returns how many loads may begin over the whole deployment.
+/// Returns how many loads may start in the whole deployment.
 pub(crate) fn rate(cx: &Cx<'_>) -> LoadRate {
     let by_settings = LoadRate(cx.cfg.limits.loads_per_second.saturating_mul(1000));
     cx.document.catalogue.load_rate.unwrap_or(by_settings)
 }
 
-/// A load in the gate's queue.
+/// A load that waits for a slot.
 #[derive(Clone, Debug)]
 struct QueuedLoad {
     from: HostId,
@@ -65,36 +65,36 @@
     expires: Time,
 }
 
-/// A load that may run.
+/// A load that holds a slot.
 #[derive(Clone, Debug)]
 struct GrantedSlot {
     from: HostId,
     since: Time,
-    /// When its holder was last heard of.
+    /// When the slot was last renewed.
     renewed: Time,
-    /// Whether its holder or this process has stood still meanwhile.
+    /// Whether the holder or this process was paused meanwhile.
     ///
-    /// The end of the load is noticed late then. Were that taken for its length,
-    /// the store would seem slow, and callers be refused for want of a load.
+    /// The end of the load is then noticed late. If that counted as its length, the
+    /// store would seem slow and callers would be refused.
     was_paused: bool,
-    /// How many others ran when it was let through.
+    /// How many other loads ran when the slot was granted.
     ///
-    /// The store sets a load's pace at its beginning; what begins later takes
-    /// longer itself. Counted by the most that ever ran beside it, a load that had
-    /// begun alone and ended in time doubled the number let through on a store
-    /// that carries one.
+    /// The store sets a load's rate at its start; later loads only get slower
+    /// themselves. When the maximum over the whole load was used, a load that had
+    /// started alone and ended in time doubled the limit on a store that sustains
+    /// one load.
     concurrent_at_start: usize,
     expires: Time,
 }
 
-/// The weight store's gate, in use at one process at a time.
+/// State of the weight-store gate.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
-    /// When it last looked at what runs.
+    /// When running loads were last checked.
     last_checked: Time,
     queue: OrderedMap<LoadKey, QueuedLoad>,
     granted: OrderedMap<LoadKey, GrantedSlot>,
-    /// When loads were let through within the last second.
+    /// Start times of recent loads within the rate's window.
     starts: Vec<Time>,
     concurrency_limit: ConcurrencyLimit,
 }
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Takes note that a load is in progress, whoever let it through.
+    /// Records that a load is in progress, whoever granted its slot.
     pub(crate) fn renew(&mut self, cx: &Cx<'_>, from: &HostId, key: &LoadKey) {
         self.queue.remove(key);
         let granted = self.granted.entry(key.clone()).or_insert_with(|| GrantedSlot {
             from: from.clone(),
             since: cx.now,
             renewed: cx.now,
-            // It began some time ago; what seems its length tells nothing.
+            // The load started earlier, so its measured length is invalid.
             was_paused: true,
             concurrent_at_start: 0,
             expires: cx.now,
@@ -153,11 +153,11 @@
         self.grant_due(cx);
     }
 
-    /// Takes note that this process may have stood still, and the ends of loads with it.
+    /// Marks running loads as unmeasurable if this process was paused.
     ///
-    /// What came meanwhile is read before the next tick. A slot given back in that
-    /// time would seem to have been in use until now, the store to be slow, and
-    /// callers would be refused for want of a load.
+    /// Messages received during the pause are handled before the next tick. A slot
+    /// released meanwhile would seem used until now, the store would seem slow, and
+    /// callers would be refused.
     fn detect_own_pause(&mut self, now: Time) {
         if self.last_checked.after(OWN_PAUSE_THRESHOLD).is_due(now) {
             self.granted.values_mut().for_each(|granted| granted.was_paused = true);
@@ -165,12 +165,12 @@
         self.last_checked = now;
     }
 
-    /// Learns from the loads that are in progress.
+    /// Updates the concurrency limit from loads in progress.
     pub(crate) fn learn_from_running(&mut self, cx: &mut Cx<'_>) {
         self.detect_own_pause(cx.now);
         for (key, granted) in &self.granted {
             let Some(model) = cx.document.catalogue.models.get(&key.model) else { continue };
-            // What counts is when its holder last said that it lasts.
+            // The load is known to run only until its last renewal.
             let so_far = granted.renewed.since(granted.since);
             if !granted.was_paused {
                 self.concurrency_limit.record_running(
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Estimates how long the load that has so many before it waits for its slot.
+    /// Estimates how long a load with `ahead` loads before it waits for a slot.
     fn expected_wait(&self, cx: &Cx<'_>, ahead: usize) -> Duration {
         let at_once = self.concurrency_limit.limit(cx);
         let mut ends: Vec<Duration> = self
@@ -207,13 +207,13 @@
         let Some(granted) = self.granted.remove(key) else { return };
         let Some(model) = cx.document.catalogue.models.get(&key.model) else { return };
         let (listed, took) = (model.load_time, cx.now.since(granted.since));
-        // A slot that was given back sooner wasn't used for a load.
+        // A slot released earlier was not used for a load.
         if took * 2 > listed && !granted.was_paused {
             self.concurrency_limit.record_end(cx, listed, took, granted.concurrent_at_start);
         }
     }
 
-    /// Tells which loads hold a share of the weight store and which wait for one.
+    /// Returns the granted slots and the queue for the state dump.
     pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
         let granted = self.granted.iter().map(|(key, granted)| {
             let state = format!("let through for {}", granted.from);
@@ -257,7 +257,7 @@
     }
 }
 
-/// Returns what decides which load goes first: order of service, then deadline, then age.
+/// Returns the sort key of a queued load: service order, then deadline, then age.
 const fn rank(queued: &QueuedLoad) -> (ServiceOrder, Time, Time) {
     (queued.order, queued.deadline, queued.since)
 }
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -1,14 +1,15 @@
-//! The share of the weight store that each load needs, kept by one process for all.
+//! Load slots of this process: requests to the weight-store gate, and the gate
+//! itself if this process hosts it.
 //!
-//! Passing the weight store's rate makes loads slow but breaks nothing, so the
-//! gate is soft: the process that rendezvous hashing picks among the live
-//! members keeps it in memory. Whoever gets no answer from it asks the next one
-//! of the hash's order, and after a few goes on with a small fixed share of its own.
+//! Exceeding the weight store's rate slows loads down but breaks nothing, so the
+//! gate is soft: rendezvous hashing picks one live member, which keeps the gate's
+//! state in memory. If that member does not answer, the next in hash order is asked,
+//! and after a few the process uses a small fixed local share.
 //!
-//! A share of its own is small for one host and far too much for all: where
-//! eighty hosts each took one, forty-four loads ran beside each other on a store
-//! that carries one at full speed, and two of them ended in a day. So a gate counts
-//! as silent only once questions that are repeated have had no answer.
+//! The local share is small for one host but too much for all. When eighty hosts
+//! used it, forty-four loads ran concurrently on a store that sustains one, and two
+//! of them ended in a day. A gate therefore counts as silent only after repeated
+//! requests without an answer.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -24,55 +25,55 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
-/// How often a waiting load asks again.
+/// How often a waiting load repeats its request.
 const ASK_INTERVAL: Duration = Duration::from_millis(150);
-/// After how long without an answer to repeated questions a gate counts as silent.
+/// How long repeated requests may go unanswered before a gate counts as silent.
 const GATE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a silent gate isn't asked again; hosts are paused for some seconds.
+/// How long a silent gate is not asked. Paused hosts stay paused for some seconds.
 const GATE_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How many gates are asked before the fixed share is used.
+/// How many gates are tried before the local share is used.
 ///
-/// Callers of a cold model wait for as many times [`GATE_SILENT`] where all are away.
+/// If all are down, callers of an unloaded model wait [`GATE_TIMEOUT`] for each.
 const MAX_GATES: usize = 2;
-/// For how long the gate's word on one load is believed for others.
+/// How long the gate's wait estimate for one load is applied to others.
 const ESTIMATE_TTL: Duration = Duration::from_secs(1);
-/// How far apart loads of the fixed share start at least.
+/// Minimum interval between loads on the local share.
 const MIN_LOCAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether a load may begin.
+/// Whether a load may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotStatus {
-    /// It may.
+    /// The load may start.
     Granted,
-    /// It has to wait.
+    /// The load has to wait.
     Waiting,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotSource {
     None,
-    /// Of the gate.
+    /// Granted by the gate.
     Gate,
-    /// Of the process's own fixed share.
+    /// Granted from the process's local share.
     Local,
 }
 
-/// One load of this process.
+/// The slot request of one load.
 #[derive(Clone, Debug)]
 struct SlotRequest {
-    /// When the caller last wanted it.
+    /// When the caller last wanted the slot.
     last_wanted: Time,
     next_message: Time,
-    /// The gate that was asked last, or granted the share.
+    /// The gate that was last asked or granted the slot.
     gate: Option<HostId>,
-    /// When it was asked last.
+    /// When the gate was last asked.
     last_asked: Option<Time>,
-    /// Since when questions to it have had no answer.
+    /// Start of the current series of unanswered requests.
     unanswered_since: Option<Time>,
-    /// When the gate is expected to grant it.
+    /// When the gate is expected to grant the slot.
     expected_grant: Time,
     source: SlotSource,
-    /// Whether the load has begun.
+    /// Whether the load has started.
     started: bool,
     urgency: Urgency,
 }
@@ -93,22 +94,22 @@
     }
 }
 
-/// What the process asks of the gate, and the gate itself.
+/// Slot requests of this process, and the gate if this process hosts it.
 #[derive(Debug, Default)]
 pub(crate) struct LoadSlots {
     requests: OrderedMap<LoadKey, SlotRequest>,
     last_local_grant: Option<Time>,
-    /// Until when the weight store is taken, as the gate last told.
+    /// Until when the weight store is busy, according to the gate.
     store_busy_until: Time,
-    /// Until when that is believed.
+    /// Until when that estimate applies.
     estimate_valid_until: Time,
-    /// The gates that gave no answer, and until when they aren't asked.
+    /// Gates that did not answer, and until when they are not asked.
     silent_gates: OrderedMap<HostId, Time>,
     gate: Gate,
 }
 
 impl LoadSlots {
-    /// Asks for a slot, or learns whether it has been granted.
+    /// Requests a slot, or returns that it has been granted.
     pub(crate) fn request(&mut self, cx: &mut Cx<'_>, key: &LoadKey, urgency: Urgency) -> SlotStatus {
         let now = cx.now;
         let request = self.requests.entry(key.clone()).or_insert_with(|| SlotRequest::new(now, urgency));
@@ -124,7 +125,7 @@
         SlotStatus::Waiting
     }
 
-    /// Tells whether no gate answers; if only the last one doesn't, the next one is asked.
+    /// Reports whether no gate answers. A gate that timed out is replaced by the next one first.
     fn has_no_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
         let Some(request) = self.requests.get_mut(key) else { return false };
@@ -141,16 +142,16 @@
         !is_one_heard && self.gate_host(cx).is_none()
     }
 
-    /// Takes note that a load has begun.
+    /// Records that a load has started.
     pub(crate) fn record_started(&mut self, key: &LoadKey) {
         if let Some(request) = self.requests.get_mut(key) {
             request.started = true;
         }
     }
 
-    /// Takes note that a load is in progress, also one whose slot was given back.
+    /// Records that a load is in progress, even if its slot was released.
     ///
-    /// An order in doubt that is sent again may be taken after all.
+    /// A resent order of unknown outcome may be accepted after its slot was released.
     pub(crate) fn record_running(&mut self, now: Time, key: &LoadKey) {
         if self.requests.contains_key(key) {
             return;
@@ -161,9 +162,9 @@
         self.requests.insert(key.clone(), request);
     }
 
-    /// Returns the process that keeps the gate, if one of the first in the hash's order isn't silent.
+    /// Returns the process that hosts the gate: the first in hash order that is not silent.
     ///
-    /// It is the same at every process that knows the same members.
+    /// Processes with the same member list choose the same one.
     fn gate_host(&self, cx: &Cx<'_>) -> Option<HostId> {
         let staying = cx.cache.members().filter(|(_, member)| !member.leaving).map(|(host, _)| host);
         let mut ranked: Vec<(u64, &HostId)> = staying
@@ -190,7 +191,8 @@
         true
     }
 
-    /// Tells whether the gate is to hear of a load now; if so, gates that were silent long ago are asked again.
+    /// Reports whether a message to the gate is due. If so, expired entries of
+    /// silent gates are dropped.
     fn is_message_due(&mut self, now: Time, key: &LoadKey) -> bool {
         if self.requests.get(key).is_none_or(|request| !request.next_message.is_due(now)) {
             return false;
@@ -199,7 +201,7 @@
         true
     }
 
-    /// Asks the gate for a slot, if that is due.
+    /// Requests a slot from the gate if a message is due.
     fn request_from_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let now = cx.now;
         if !self.is_message_due(now, key) {
@@ -209,8 +211,8 @@
         let Some(request) = self.requests.get_mut(key) else { return };
         request.next_message = now.after(ASK_INTERVAL);
         let Some(gate) = gate else { return };
-        // What was asked before a pause tells nothing: an engine that is busy with
-        // another order asks for nothing meanwhile.
+        // Requests from before a gap do not count as unanswered: an engine busy with
+        // another order sends none meanwhile.
         let is_repeated = request.last_asked.is_some_and(|asked| !asked.after(GATE_TIMEOUT).is_due(now));
         if !is_repeated || request.gate.as_ref() != Some(&gate) {
             request.unanswered_since = None;
@@ -227,14 +229,14 @@
         cx.tell(&gate, wanted);
     }
 
-    /// Gives a share back that a load can't use, unless it has begun.
+    /// Releases a slot that a load cannot use, unless the load has started.
     pub(crate) fn release_unstarted(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         if self.requests.get(key).is_some_and(|request| !request.started) {
             self.release(cx, key);
         }
     }
 
-    /// Gives a slot back, or leaves the queue.
+    /// Releases a slot, or leaves the queue.
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let Some(request) = self.requests.remove(key) else { return };
         if let Some(gate) = request.gate {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Tells what this process asks of the gate, and what it grants where it keeps the gate itself.
+    /// Returns this process's slot requests, and the gate's slots if it hosts the gate.
     pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
         let requests = self.requests.iter().map(|(key, request)| {
             let gate = request.gate.as_ref().map_or("none", HostId::as_str);
@@ -257,7 +259,7 @@
         requests.chain(self.gate.beliefs())
     }
 
-    /// Gives back every slot of an engine.
+    /// Releases all slots of an engine.
     pub(crate) fn release_engine(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
         let keys: Vec<LoadKey> = self.requests.keys().filter(|key| key.engine == *engine).cloned().collect();
         for key in keys {
@@ -265,12 +267,12 @@
         }
     }
 
-    /// Returns how long a load has to wait for its slot, as far as the gate has told.
+    /// Returns how long a load has to wait for its slot, according to the gate.
     ///
-    /// One that wasn't asked for yet waits as long at least as the last one that was,
-    /// if that was just now. Were the gate's word believed for longer, callers would
-    /// be refused on account of loads that nobody wants any more, and as all are
-    /// refused, nobody would ask the gate anew.
+    /// A load that has not asked yet gets the most recent estimate, if that is
+    /// fresh. If estimates lived longer, callers would be refused because of loads
+    /// that nobody wants any more, and with all refused, nobody would ask the gate
+    /// again.
     pub(crate) fn expected_wait(&self, cx: &Cx<'_>, key: &LoadKey) -> Duration {
         match self.requests.get(key) {
             Some(request) if request.source == SlotSource::None => request.expected_grant.remaining(cx.now),
@@ -280,9 +282,9 @@
         }
     }
 
-    /// Renews slots, drops what isn't wanted any more and grants what can be granted.
+    /// Renews slots, drops requests that are no longer wanted and grants slots that are free.
     ///
-    /// `running` names the loads that have begun.
+    /// `running` reports whether a started load is still in progress.
     pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>, running: impl Fn(&LoadKey) -> bool) {
         let keys: Vec<LoadKey> = self.requests.keys().cloned().collect();
         for key in keys {
@@ -299,10 +301,10 @@
         self.gate.grant_due(cx);
     }
 
-    /// Tells whichever process keeps the gate now that a load is in progress, if that is due.
+    /// Reports a load in progress to the current gate, if a message is due.
     ///
-    /// Only the process that let it through would know of it otherwise. Its successor
-    /// would let as many through beside those that still run, and all would be slow.
+    /// Only the gate that granted the slot knows of it. A successor would grant as
+    /// many slots again beside the running loads and slow all of them down.
     fn renew(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         if !self.is_message_due(cx.now, key) {
             return;
@@ -318,7 +320,7 @@
         cx.tell(&gate, slot_held(key));
     }
 
-    /// Takes a peer's message about slots.
+    /// Handles a peer's message about load slots.
     pub(crate) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
             PeerMessage::LoadSlotWanted { upstream, model, order, patience } => {
@@ -352,7 +354,7 @@
 
     fn on_granted(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
         let Some(request) = self.requests.get_mut(key) else {
-            // The load isn't wanted any more; others could use the slot.
+            // The load is no longer wanted; release the slot for others.
             cx.tell(from, slot_returned(key));
             return;
         };
@@ -362,7 +364,8 @@
             request.gate = Some(from.clone());
             request.next_message = cx.now.after(RENEW_EVERY);
         } else if request.gate.as_ref() != Some(from) {
-            // Another gate has let it through meanwhile, and only that one is told of its end.
+            // Another gate has granted the slot meanwhile, and only that one will be
+            // told of its end.
             cx.tell(from, slot_returned(key));
         }
     }
@@ -376,10 +379,9 @@
     PeerMessage::LoadSlotHeld { upstream: key.engine.clone(), model: key.model.clone() }
 }
 
-/// Returns how far apart loads begin while the gate is silent.
+/// Returns the interval between loads on the local share.
 ///
-/// Every process may be without it at the same moment, and all of them together
-/// have to keep to the rate.
+/// All processes may lose the gate at the same time and must keep to the rate together.
 fn local_interval(cx: &Cx<'_>) -> Duration {
     let (span, starts) = rate(cx).window();
     let hosts = u32::try_from(cx.cache.members().count()).unwrap_or(u32::MAX).max(1);
--- a/crates/skylarkshore-core/src/loading/pending_orders.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -1,4 +1,5 @@
-//! The orders of one engine whose outcome isn't known yet, and the memory they may take.
+//! Orders of one engine whose outcome is unknown, and the memory reserved for them.
+//! See [`PendingOrders`].
 
 use std::time::Duration;
 
@@ -9,32 +10,32 @@
 use crate::units::Mebibytes;
 use crate::upstream::{EngineReport, Order, OrderAnswer, ReportedModel};
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// No answer yet.
+    /// Sent, not answered yet.
     InFlight,
-    /// The engine took it.
+    /// Accepted by the engine.
     Accepted { at: Time },
-    /// Nothing was heard of it.
+    /// The answer was lost.
     Unanswered,
 }
 
-/// An order that a report has to settle.
+/// An order that waits for a report to settle it.
 #[derive(Clone, Debug)]
 struct PendingOrder {
     action: Order,
     sent: Time,
-    /// How many orders the engine had accepted before this one, where it numbers them.
+    /// How many orders a counting engine must have accepted before this one.
     after: Option<u64>,
     progress: Progress,
-    /// When a copy of it was last given up for lost; that copy may still arrive.
+    /// When a copy of the order was last given up as lost; that copy may still arrive.
     lost: Option<Time>,
-    /// The life of the engine that it was meant for.
+    /// The incarnation that the order was sent to.
     target: TargetIncarnation,
 }
 
-/// Whether an order was meant for the engine's present life.
+/// Whether an order was sent to the engine's current incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TargetIncarnation {
     Current,
@@ -48,44 +49,43 @@
     }
 }
 
-/// What an answer tells about its order.
+/// The effect of an answer on its order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Answered {
-    /// The engine took it; reports will show what becomes of it.
+    /// Accepted; reports will show the result.
     Accepted,
-    /// The engine has carried it out.
+    /// Carried out.
     Done,
-    /// The engine did nothing, and no copy of the order is on its way.
+    /// Not carried out, and no copy is in flight.
     NotDone,
-    /// It may have been carried out or may still be.
+    /// Possibly carried out, now or later.
     InDoubt,
 }
 
-/// An order that isn't in doubt any more.
+/// An order that is no longer in doubt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Settled {
     /// The order.
     pub action: Order,
-    /// Whether the report shows what it asked for.
+    /// Whether the report shows its result.
     pub shown: bool,
 }
 
-/// The unsettled orders of one engine.
+/// The pending orders of one engine.
 ///
-/// An order whose answer is lost may still be carried out. If its memory were
-/// given to another model meanwhile, the engine would be overcommitted and kill
-/// requests for want of memory; so every order keeps its memory here until a
-/// report that was asked late enough settles it.
+/// An order whose answer is lost may still be executed. If its memory were given to
+/// another model, the engine would be overcommitted and abort requests. Each order
+/// therefore reserves its memory until a report requested late enough settles it.
 #[derive(Debug, Default)]
 pub(crate) struct PendingOrders {
     orders: OrderedMap<OrderId, PendingOrder>,
 }
 
 impl PendingOrders {
-    /// Enters an order that is about to be sent, or sent once more.
+    /// Records an order that is about to be sent or resent.
     ///
-    /// Returns how many orders the engine must have accepted before it: the same
-    /// number for every copy, so that at most one of them takes effect.
+    /// Returns how many orders the engine must have accepted before it. All copies
+    /// of an order carry the same number, so that at most one takes effect.
     pub(crate) fn begin(
         &mut self,
         order: OrderId,
@@ -110,7 +110,7 @@
         after
     }
 
-    /// Takes an answer over; none if the order isn't known any more.
+    /// Applies an answer; returns none if the order is unknown.
     pub(crate) fn answer(
         &mut self,
         order: OrderId,
@@ -136,7 +136,7 @@
                 pending.lost = Some(now);
                 Some((action, Answered::InDoubt))
             }
-            // An earlier copy of the same order may still be on its way.
+            // An earlier copy of the order may still be in flight.
             _ if pending.lost.is_some() => {
                 pending.progress = Progress::Unanswered;
                 Some((action, Answered::InDoubt))
@@ -148,14 +148,15 @@
         }
     }
 
-    /// Ends the numbered orders of an engine's former life.
+    /// Moves the counted orders to the previous incarnation.
     ///
-    /// A new life counts from zero. Were they sent again, it would refuse them for
-    /// their numbers, and nothing else could be loaded for as long as they are in
-    /// doubt. One that no answer came to may still be on its way, though, and the
-    /// new life may have the same name and reach the number that it states. Were
-    /// its memory given away, that load would be one too many and end the engine
-    /// with all that runs on it; so the memory stays reserved.
+    /// A new incarnation counts from zero. Resent orders would be refused for their
+    /// numbers, and nothing else could be loaded while they are in doubt.
+    ///
+    /// An unanswered order may still be in flight, and the new incarnation may have
+    /// the same name and reach the number in that order. If its memory were given
+    /// away, that load would overcommit the engine and crash it with all its
+    /// requests. Its memory therefore stays reserved.
     pub(crate) fn begin_incarnation(&mut self) {
         let is_over = |pending: &PendingOrder| {
             pending.after.is_some() && matches!(pending.progress, Progress::Accepted { .. })
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Returns the orders that were meant for the engine's present life.
+    /// Returns the orders sent to the current incarnation.
     fn current(&self) -> impl Iterator<Item = (&OrderId, &PendingOrder)> {
         self.orders.iter().filter(|(_, pending)| pending.target == TargetIncarnation::Current)
     }
 
-    /// Gives up for lost what was sent too long ago to be answered any more.
+    /// Marks orders as lost that were sent too long ago to be answered.
     pub(crate) fn expire(&mut self, now: Time, patience: Duration) -> usize {
         let mut expired = 0;
         for pending in self.orders.values_mut() {
@@ -186,7 +187,7 @@
         expired
     }
 
-    /// Takes out what the report, asked for at `asked`, settles.
+    /// Removes the orders that the report, requested at `as_of`, settles.
     pub(crate) fn settle(&mut self, report: &EngineReport, as_of: Time, settle: Duration) -> Vec<Settled> {
         let is_resolved = |order: &OrderId, pending: &mut PendingOrder| {
             let named = report.settled.contains(order);
@@ -211,10 +212,10 @@
             .collect()
     }
 
-    /// Returns the memory that unsettled orders may take beside what the report shows.
+    /// Returns the memory that pending orders may take beyond what the report shows.
     ///
-    /// A load of `model` that was meant for a former life doesn't count: it would
-    /// only be doubled.
+    /// A load of `model` sent to a previous incarnation is excluded, because a
+    /// second load of the same model has no effect.
     pub(crate) fn reserved(&self, report: Option<&EngineReport>, model: Option<&ModelName>) -> Mebibytes {
         let mut models: OrderedMap<&ModelName, Mebibytes> = OrderedMap::new();
         let mut adapters: OrderedMap<(&ModelName, &AdapterName), Mebibytes> = OrderedMap::new();
@@ -237,7 +238,7 @@
         models.into_values().chain(adapters.into_values()).sum()
     }
 
-    /// Tells which orders the engine has yet to answer or to carry out.
+    /// Returns the pending orders for the state dump.
     pub(crate) fn beliefs(&self, engine: &UpstreamId) -> impl Iterator<Item = Belief> {
         self.orders.iter().map(move |(id, pending)| {
             let progress = match pending.progress {
@@ -250,19 +251,19 @@
         })
     }
 
-    /// Tells whether no order is in progress or in doubt.
+    /// Reports whether no order is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Returns an unsettled order for the model with its number, if there is one that `wanted` accepts.
+    /// Returns a pending order for the model that matches `wanted`.
     pub(crate) fn find(&self, model: &ModelName, wanted: fn(&Order) -> bool) -> Option<UnsettledOrder<'_>> {
         self.current()
             .find(|(_, pending)| model_of(&pending.action) == Some(model) && wanted(&pending.action))
             .map(|(id, pending)| pending.unsettled(*id))
     }
 
-    /// Returns an unsettled order that loads or unloads the adapter.
+    /// Returns a pending order that loads or unloads the adapter.
     pub(crate) fn find_adapter(
         &self,
         model: &ModelName,
@@ -277,18 +278,18 @@
         found.map(|(id, pending)| pending.unsettled(*id))
     }
 
-    /// Tells whether an unsettled order concerns the model.
+    /// Reports whether an order for the model is pending.
     pub(crate) fn concerns(&self, model: &ModelName) -> bool {
         self.current().any(|(_, pending)| model_of(&pending.action) == Some(model))
     }
 
-    /// Tells whether an order that loads or unloads a base model isn't settled.
+    /// Reports whether a load or unload of a base model is pending.
     pub(crate) fn has_model_order(&self) -> bool {
         self.current().any(|(_, pending)| matches!(pending.action, Order::Load { .. } | Order::Unload { .. }))
     }
 
-    /// Returns the model whose unload the engine accepted, if that is the only order for a base model,
-    /// and when it was sent.
+    /// Returns the model of an accepted unload and when it was sent, if no other
+    /// base-model order is pending.
     pub(crate) fn accepted_unload(&self) -> Option<(&ModelName, Time)> {
         let mut orders = self
             .current()
@@ -301,7 +302,7 @@
         }
     }
 
-    /// Takes out the unloads that were accepted, and returns their models and when they were sent.
+    /// Removes the accepted unloads; returns their models and when they were sent.
     pub(crate) fn finish_unloads(&mut self) -> Vec<(ModelName, Time)> {
         let is_over = |_: &OrderId, pending: &mut PendingOrder| {
             matches!(pending.action, Order::Unload { .. })
@@ -312,7 +313,7 @@
         over.filter_map(|(_, pending)| Some((model_of(&pending.action)?.clone(), pending.sent))).collect()
     }
 
-    /// Tells whether the engine accepted a load of a model.
+    /// Reports whether the engine accepted a load of the model.
     pub(crate) fn has_accepted_load(&self, model: &ModelName) -> bool {
         self.current().any(|(_, pending)| {
             let is_it = matches!(&pending.action, Order::Load { model: named, .. } if named == model);
@@ -320,7 +321,7 @@
         })
     }
 
-    /// Tells whether an order to load the model or its adapters is on its way or was accepted.
+    /// Reports whether a load of the model or its adapters is in flight or accepted.
     pub(crate) fn is_loading(&self, model: &ModelName) -> bool {
         self.current().any(|(_, pending)| {
             let is_load = matches!(pending.action, Order::Load { .. } | Order::LoadAdapter { .. });
@@ -328,19 +329,19 @@
         })
     }
 
-    /// Takes out the load of a model that has ended; returns it.
+    /// Removes and returns the load of a model.
     pub(crate) fn finish_load(&mut self, model: &ModelName) -> Option<Order> {
         let is_it = |pending: &PendingOrder| matches!(&pending.action, Order::Load { model: named, .. } if named == model);
         let id = self.current().find(|(_, pending)| is_it(pending)).map(|(id, _)| *id)?;
         self.orders.remove(&id).map(|pending| pending.action)
     }
 
-    /// Tells whether any order hasn't been answered.
+    /// Reports whether any order is unanswered.
     pub(crate) fn has_unanswered(&self) -> bool {
         self.current().any(|(_, pending)| !matches!(pending.progress, Progress::Accepted { .. }))
     }
 
-    /// Returns the adapters that unsettled orders load.
+    /// Returns the adapters that pending orders load.
     pub(crate) fn adapters_loading(&self) -> impl Iterator<Item = (ModelName, AdapterName)> {
         self.orders.values().filter_map(|pending| match &pending.action {
             Order::LoadAdapter { model, adapter, .. } => Some((model.clone(), adapter.clone())),
@@ -358,10 +359,10 @@
         })
     }
 
-    /// Tells whether an order that takes memory hasn't been answered.
+    /// Reports whether an order that takes memory is unanswered.
     ///
-    /// There is at most one at a time, so that whoever takes the engine over
-    /// knows that no more than one late order can be on its way.
+    /// At most one is unanswered at a time, so that a new owner has to expect at
+    /// most one late order.
     pub(crate) fn has_unanswered_load(&self) -> bool {
         self.current().any(|(_, pending)| {
             matches!(pending.action, Order::Load { .. } | Order::LoadAdapter { .. })
@@ -370,16 +371,16 @@
     }
 }
 
-/// An order whose outcome isn't known.
+/// A pending order.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnsettledOrder<'a> {
-    /// Its number.
+    /// The order's number.
     pub id: OrderId,
-    /// What it asks for.
+    /// The requested action.
     pub action: &'a Order,
-    /// When it was last sent.
+    /// When the order was last sent.
     pub sent: Time,
-    /// Whether its answer was lost, so that it may be sent again.
+    /// Whether the answer was lost, so that the order may be resent.
     pub resend: bool,
 }
 
@@ -394,7 +395,7 @@
     }
 }
 
-/// Finds a model in a report.
+/// Returns a model from a report.
 pub(crate) fn find<'a>(report: Option<&'a EngineReport>, model: &ModelName) -> Option<&'a ReportedModel> {
     report?.models.iter().find(|reported| reported.model == *model)
 }
