--- a/crates/skylarkshore-core/src/loading/adapters.rs
+++ b/crates/skylarkshore-core/src/loading/adapters.rs
@@ -1,4 +1,4 @@
-//! Room for adapters on engines that hold only so many.
+//! Adapter slots of engines with a limited number of them.
 
 use crate::authority::Permit;
 use crate::cx::Cx;
@@ -8,11 +8,10 @@
 use crate::time::Time;
 use crate::upstream::Order;
 
-/// Tells whether one more adapter fits, and else begins to make room for it.
+/// Reports whether one more adapter fits. If not, starts to unload the least recently used one.
 ///
-/// An engine that is ordered to load more adapters than it has places for
-/// crashes, and takes every request on it along. So those on their way count,
-/// and so does one whose unload isn't settled.
+/// An engine ordered to load more adapters than it has slots crashes with all its
+/// requests. Adapters whose load or unload is pending therefore count.
 pub(crate) fn ensure_slot(cx: &mut Cx<'_>, engine: &mut Engine, demand: &Demand, permit: Permit) -> bool {
     let Some(slots) = engine.spec.as_ref().and_then(|spec| spec.adapter_slots) else { return true };
     let held = held_adapters(engine);
@@ -35,7 +34,7 @@
     false
 }
 
-/// Returns the adapters on the engine, those on their way included.
+/// Returns the adapters on the engine, including those being loaded.
 fn held_adapters(engine: &Engine) -> Vec<(ModelName, AdapterName)> {
     let models = engine.report().map_or(&[][..], |report| &report.models);
     let shown =
--- a/crates/skylarkshore-core/src/loading/diagnostics.rs
+++ b/crates/skylarkshore-core/src/loading/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What is believed of engines and models, in words and numbers.
+//! State dump and metrics of loading.
 
 use crate::cx::Cx;
 use crate::dump::{Belief, Gauge};
@@ -11,7 +11,7 @@
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, ReportedModel};
 
-/// Tells what is believed of every engine and every model on it.
+/// Returns the state of every engine, its models and its pending orders, and of the load slots.
 pub(crate) fn dump(loading: &Loading, cx: &Cx<'_>) -> Vec<Belief> {
     let mut beliefs = Vec::new();
     for engine in loading.engines.values() {
@@ -71,7 +71,7 @@
     Belief { kind: "model", subject: format!("{model}@{}", engine.id), state, since }
 }
 
-/// Returns the numbers for the metrics.
+/// Returns the metric values.
 pub(crate) fn gauges(loading: &Loading) -> Vec<Gauge> {
     let engines = || loading.engines.values();
     let in_progress: usize = engines().map(loads_in_progress).sum();
@@ -102,7 +102,7 @@
     Gauge { name, value }
 }
 
-/// Makes a metric's value of a count; exact up to 2^53.
+/// Converts a count to a metric value; exact up to 2^53.
 #[expect(clippy::cast_precision_loss, reason = "no count comes near 2^53")]
 fn count(n: impl TryInto<u64>) -> f64 {
     n.try_into().unwrap_or(u64::MAX) as f64
--- a/crates/skylarkshore-core/src/loading/history.rs
+++ b/crates/skylarkshore-core/src/loading/history.rs
@@ -1,4 +1,4 @@
-//! When each model was used, as far as its owner sees it.
+//! Use history per model: last use, gaps between uses and burst sizes. See [`History`].
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use crate::loading::inter_arrival::{InterArrivalDistribution, InterArrivalHistogram};
 use crate::time::Time;
 
-/// Uses that lie closer together than this belong together.
+/// Uses closer together than this belong to the same burst.
 const MIN_GAP: Duration = Duration::from_secs(2);
-/// How many gaps of all models together make up for a model's missing history.
+/// Weight of the gaps of all models from which they stand in for a model's missing history.
 const MIN_COMMON_WEIGHT: f32 = 8.0;
-/// As how many gaps of a model's own the common ones count.
+/// Weight of the common gaps, in gaps of the model's own.
 const PRIOR_WEIGHT: f32 = 1.5;
-/// The fewest gaps of a model's own that count as a history without common ones.
+/// Weight of a model's own gaps from which they suffice without common ones.
 const MIN_OWN_WEIGHT: f32 = 3.0;
-/// How much a new burst counts against all earlier ones.
+/// Weight of a new burst size in the moving average.
 const BURST_WEIGHT: f64 = 0.2;
 
-/// One model's use.
+/// Use history of one model.
 #[derive(Clone, Debug)]
 struct ModelHistory {
     last: Time,
     gaps: InterArrivalHistogram,
-    /// Requests that wait when a load begins, on average.
+    /// Average number of requests that wait when a load ends.
     burst: f64,
 }
 
-/// Every model's use.
+/// Use history of all models.
 #[derive(Debug, Default)]
 pub(crate) struct History {
     models: OrderedMap<ModelName, ModelHistory>,
@@ -35,7 +35,7 @@
 }
 
 impl History {
-    /// Takes note that a model is in use or waited for.
+    /// Records that a model is in use or requested.
     pub(crate) fn record_use(&mut self, now: Time, model: &ModelName) {
         let Some(history) = self.models.get_mut(model) else {
             self.models.insert(
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes note of how many requests felt a cold start.
+    /// Records how many requests waited for a cold start.
     pub(crate) fn record_cold_start(&mut self, model: &ModelName, requests: u32) {
         if let Some(history) = self.models.get_mut(model) {
             history.burst += (f64::from(requests.max(1)) - history.burst) * BURST_WEIGHT;
@@ -64,12 +64,12 @@
         self.models.get(model).map(|history| history.last)
     }
 
-    /// Returns how many requests a cold start of the model makes wait, on average.
+    /// Returns the average number of requests that wait for a cold start of the model.
     pub(crate) fn burst(&self, model: &ModelName) -> f64 {
         self.models.get(model).map_or(1.0, |history| history.burst)
     }
 
-    /// Returns what is expected of the model's gap, if anything is known that helps.
+    /// Returns the distribution of the model's gaps, or none without enough history.
     pub(crate) fn gap_distribution(&self, model: &ModelName) -> Option<InterArrivalDistribution> {
         let none = InterArrivalHistogram::default();
         let own = self.models.get(model).map_or(&none, |history| &history.gaps);
@@ -79,7 +79,7 @@
         (own.weight() >= MIN_OWN_WEIGHT).then(|| InterArrivalDistribution::new(own, &none, 0.0))
     }
 
-    /// Returns what is expected of the model's gap from its own history alone.
+    /// Returns the same, but only if the model has enough gaps of its own.
     pub(crate) fn own_gap_distribution(&self, model: &ModelName) -> Option<InterArrivalDistribution> {
         let history = self.models.get(model).filter(|history| history.gaps.weight() >= MIN_OWN_WEIGHT)?;
         Some(InterArrivalDistribution::new(&history.gaps, &self.common, PRIOR_WEIGHT))
--- a/crates/skylarkshore-core/src/loading/inter_arrival.rs
+++ b/crates/skylarkshore-core/src/loading/inter_arrival.rs
@@ -1,18 +1,20 @@
-//! How long a model usually stays unused, in bounded memory.
+//! Histogram and distribution of the gaps between uses of a model, in bounded memory.
+//!
+//! [`InterArrivalHistogram`] collects the gaps, [`InterArrivalDistribution`] predicts from them.
 
 use std::time::Duration;
 
-/// Buckets for each doubling of the time.
+/// Buckets per doubling of the gap.
 const BUCKETS_PER_OCTAVE: f64 = 6.0;
-/// How many doublings are told apart, from one second to about 36 hours.
+/// Number of doublings covered, from one second to about 36 hours.
 const OCTAVES: usize = 17;
 const BUCKETS: usize = OCTAVES * 6;
-/// What an observation still counts when the next one comes.
+/// Factor by which older observations are scaled at each new one.
 const DECAY: f32 = 0.97;
-/// How much of an observation falls into the two neighbouring buckets each.
+/// Share of an observation counted in each of the two neighbouring buckets.
 const NEIGHBOR_WEIGHT: f32 = 0.2;
 
-/// A histogram of gaps with logarithmic buckets, in which later gaps count more.
+/// Histogram of gaps with logarithmic buckets and exponential decay.
 #[derive(Clone, Debug)]
 pub(crate) struct InterArrivalHistogram {
     counts: [f32; BUCKETS],
@@ -26,7 +28,7 @@
 }
 
 impl InterArrivalHistogram {
-    /// Takes a gap into account.
+    /// Records a gap.
     pub(crate) fn add(&mut self, gap: Duration) {
         for count in &mut self.counts {
             *count *= DECAY;
@@ -38,21 +40,21 @@
         self.total = self.counts.iter().sum();
     }
 
-    /// Returns how many gaps it knows, older ones counting less.
+    /// Returns the decayed number of recorded gaps.
     pub(crate) const fn weight(&self) -> f32 {
         self.total
     }
 }
 
-/// What is expected of a gap: a model's own history, filled up with that of all models.
+/// Survival function of a gap, estimated from a model's own gaps and those of all models.
 #[derive(Clone, Debug)]
 pub(crate) struct InterArrivalDistribution {
-    /// The chance that the gap is longer than each bucket's lower edge.
+    /// Probability that the gap is longer than each bucket's lower edge.
     survival: [f64; BUCKETS + 1],
 }
 
 impl InterArrivalDistribution {
-    /// Mixes a model's own gaps with `common` ones that count as `prior` gaps.
+    /// Combines a model's own gaps with `common` ones, which count as `prior_weight` gaps.
     pub(crate) fn new(
         own: &InterArrivalHistogram,
         common: &InterArrivalHistogram,
@@ -68,7 +70,7 @@
         Self { survival }
     }
 
-    /// Returns the chance that a gap lasts longer than `d`.
+    /// Returns the probability that a gap lasts longer than `d`.
     pub(crate) fn survival_at(&self, d: Duration) -> f64 {
         let secs = d.as_secs_f64();
         let at = bucket(secs);
@@ -77,15 +79,15 @@
         self.survival[at] + (self.survival[at + 1] - self.survival[at]) * share
     }
 
-    /// Returns the chance that a gap which has lasted for `elapsed` lasts for `d` more.
+    /// Returns the probability that a gap that has lasted `elapsed` lasts `d` longer.
     pub(crate) fn conditional_survival(&self, elapsed: Duration, d: Duration) -> f64 {
         let so_far = self.survival_at(elapsed);
-        // A gap longer than any known one may last for ever.
+        // A gap longer than any recorded one may last forever.
         if so_far <= f64::EPSILON { 1.0 } else { self.survival_at(elapsed.saturating_add(d)) / so_far }
     }
 }
 
-/// Returns the bucket of a gap of some seconds; the first one begins at zero.
+/// Returns the bucket of a gap in seconds; the first bucket starts at zero.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "the value is clamped first")]
 fn bucket(secs: f64) -> usize {
     let at = (secs.max(1.0).log2() * BUCKETS_PER_OCTAVE).floor();
--- a/crates/skylarkshore-core/src/loading/load_metrics.rs
+++ b/crates/skylarkshore-core/src/loading/load_metrics.rs
@@ -1,18 +1,18 @@
-//! What is counted for the metrics.
+//! Counters of loads and unloads for the metrics.
 
 use std::time::Duration;
 
-/// What the process has done with its engines so far.
+/// Totals since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadMetrics {
-    /// Loads that were ordered.
+    /// Loads ordered.
     pub loads: u64,
-    /// Unloads that were ordered.
+    /// Unloads ordered.
     pub unloads: u64,
-    /// Unloads of models that no request had run on since they were loaded.
+    /// Unloads of models on which no request has run since their load.
     pub unused: u64,
-    /// Loads that failed.
+    /// Failed loads.
     pub failed: u64,
-    /// How long engines had something loaded and ran nothing.
+    /// Time in which engines held models but ran no request.
     pub idle: Duration,
 }
--- a/crates/skylarkshore-core/src/loading/load_times.rs
+++ b/crates/skylarkshore-core/src/loading/load_times.rs
@@ -1,4 +1,4 @@
-//! How long loads and unloads take.
+//! Expected durations of loads and unloads, learned from measured ones. See [`LoadTimes`].
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use crate::id::ModelName;
 use crate::loading::engine::Engine;
 
-/// How long an unload is taken to last before one was seen.
+/// Expected unload time before the first measurement.
 const DEFAULT_UNLOAD_TIME: Duration = Duration::from_millis(300);
-/// How much longer than listed a load from a copy is taken to last at least.
+/// Minimum margin added to the listed time of a load from a copy.
 ///
-/// The order's answer is on its way for a few milliseconds.
+/// It covers the few milliseconds until the order's answer arrives.
 const MIN_LISTED_MARGIN: Duration = Duration::from_millis(20);
-/// How much longer than listed it is taken to last at most; a report tells before.
+/// Maximum margin; a report shows the end of a load earlier than that.
 const MAX_LISTED_MARGIN: Duration = Duration::from_secs(2);
-/// By which share the time beyond the listed one shrinks at each load that had ended in time.
+/// Share by which the margin shrinks with each load that ended in time.
 const MARGIN_DECAY: f64 = 0.05;
-/// The share of a newly measured time in the mean.
+/// Weight of a new measurement in the moving average of unload times.
 const NEW_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// How long loads and unloads have taken.
+/// Measured load and unload times.
 #[derive(Debug)]
 pub(crate) struct LoadTimes {
     measured: OrderedMap<ModelName, Duration>,
-    /// How much longer than listed a load from a copy is taken to last.
+    /// Margin added to the listed time of a load from a copy.
     listed_margin: Duration,
-    /// How long it takes from an unload's order until the next one is taken.
+    /// Average time from an unload order until the next order is accepted.
     unload: Duration,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl LoadTimes {
-    /// Returns how long a load of the model on an engine is expected to take.
+    /// Returns the expected time of a load of the model on an engine.
     pub(crate) fn expected_on(&self, cx: &Cx<'_>, engine: &Engine, model: &ModelName) -> Duration {
         let known = cx.document.catalogue.models.get(model);
         let times = known.and_then(|known| known.copy_load_times);
@@ -48,34 +48,35 @@
         }
     }
 
-    /// Returns how long a load of the model from the weight store is expected to take.
+    /// Returns the expected time of a load of the model from the weight store.
     pub(crate) fn expected_from_store(&self, cx: &Cx<'_>, model: &ModelName) -> Duration {
         let listed = || cx.document.catalogue.models.get(model).map(|known| known.load_time);
         self.measured.get(model).copied().or_else(listed).unwrap_or_default()
     }
 
-    /// Returns how long an unload is expected to take.
+    /// Returns the expected time of an unload.
     pub(crate) const fn expected_unload(&self) -> Duration {
         self.unload
     }
 
-    /// Takes the length of an unload into account.
+    /// Records a measured unload time.
     pub(crate) fn record_unload(&mut self, took: Duration) {
         self.unload = mean(self.unload, took);
     }
 
-    /// Takes note that a load from a copy had ended when it was taken to have.
+    /// Shrinks the margin: a load from a copy had ended when it was assumed to.
     pub(crate) fn record_on_time(&mut self) {
         let shorter = self.listed_margin.mul_f64(1.0 - MARGIN_DECAY);
         self.listed_margin = shorter.max(MIN_LISTED_MARGIN);
     }
 
-    /// Takes note that a load from a copy was still in progress when it was taken to have ended.
+    /// Doubles the margin: a load from a copy was still in progress when it was
+    /// assumed to have ended.
     pub(crate) fn record_late(&mut self) {
         self.listed_margin = (self.listed_margin * 2).min(MAX_LISTED_MARGIN);
     }
 
-    /// Takes a measured load into account; it counts as much as all earlier ones.
+    /// Records a measured load time; it has the same weight as all earlier ones together.
     pub(crate) fn record_load(&mut self, model: &ModelName, took: Duration) {
         self.measured.entry(model.clone()).and_modify(|known| *known = (*known + took) / 2).or_insert(took);
     }
--- a/crates/skylarkshore-core/src/loading/owned_engines.rs
+++ b/crates/skylarkshore-core/src/loading/owned_engines.rs
@@ -1,4 +1,4 @@
-//! Which of the process's own engines can serve those who wait.
+//! Which of the engines owned by this process are able to load models. See [`OwnedEngines`].
 
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
@@ -6,21 +6,21 @@
 use crate::loading::engine::Engine;
 use crate::store::HomesRecord;
 
-/// An engine's use for loads, as last looked at.
+/// Whether an engine can load, as of its last update.
 #[derive(Debug, Default)]
 struct LoadAbility {
     is_able: bool,
     memory_blocked: OrderedSet<ModelName>,
 }
 
-/// The process's engines, as far as decisions on other ones need them.
+/// Load ability of all owned engines, for decisions on any one of them.
 #[derive(Debug, Default)]
 pub(crate) struct OwnedEngines {
     engines: OrderedMap<UpstreamId, LoadAbility>,
 }
 
 impl OwnedEngines {
-    /// Takes note of how an engine stands.
+    /// Updates the load ability of an engine.
     pub(crate) fn update(&mut self, cx: &Cx<'_>, engine: &Engine) {
         let is_able = engine.report().is_some()
             && !engine.is_silent(cx.now, cx.cfg.timings.engine_timeout)
@@ -30,15 +30,15 @@
         self.engines.insert(engine.id.clone(), ability);
     }
 
-    /// Forgets an engine that the process owns no longer.
+    /// Removes an engine that this process no longer owns.
     pub(crate) fn remove(&mut self, engine: &UpstreamId) {
         self.engines.remove(engine);
     }
 
-    /// Returns an engine's place among the process's own homes of a model that can load it.
+    /// Returns the engine's position among the owned homes of a model that can load it.
     ///
-    /// Routers ask one owner after the other, so that other owners' homes don't
-    /// count; but an owner of several homes of a model begins with one of them.
+    /// Homes of other owners do not count, because routers ask one owner after the
+    /// other. An owner of several homes starts with one of them.
     pub(crate) fn position(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
         let before = homes.engines.iter().take_while(|home| *home != engine);
         let able = before.filter(|home| {
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -1,4 +1,4 @@
-//! What peers tell: who waits for which model, what is used, and what the weight store's gate says.
+//! Handles peer messages: waiting requests, usage, reservations, power requests and load slots.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::time::Time;
 
 impl Loading {
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer's message if it concerns loading.
     pub fn on_peer(
         &mut self,
         cx: &mut Cx<'_>,
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Takes note that requests of a router run.
+    /// Records the use of a model that a router reports.
     ///
-    /// Requests that don't wait are only told now and then, and are seen in the
-    /// engine's reports before that, unless they are short.
+    /// Requests that did not wait are reported only at intervals. Unless they are
+    /// short, the engine's reports show them earlier.
     fn record_use(&mut self, cx: &Cx<'_>, model: &ModelName) {
         let usage_interval = cx.cfg.timings.usage_every;
         let is_unseen = self.history.last(model).is_none_or(|last| last.after(usage_interval).is_due(cx.now));
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Says that a target would come later than those who wait would like, where another home may be faster.
+    /// Returns a refusal if the model would be ready later than its requests prefer
+    /// and another home may be faster.
     fn busy_refusal(
         &mut self,
         cx: &mut Cx<'_>,
@@ -118,7 +119,7 @@
         (min_cost > aim).then_some(PeerMessage::CannotLoad { target, reason: CannotLoad::Busy, retry_after })
     }
 
-    /// Acts on a router's word at once and tells it how matters stand.
+    /// Acts on a router's waiting requests at once and sends it the current view.
     fn answer_wanted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, wanted: &WaitReport<'_>) {
         let model = &wanted.target.model;
         let concerned: Vec<UpstreamId> = self
--- a/crates/skylarkshore-core/src/loading/pipelining.rs
+++ b/crates/skylarkshore-core/src/loading/pipelining.rs
@@ -1,15 +1,13 @@
-//! Orders that follow on one another without waiting for a report.
+//! Sends the next order to a sequential engine without waiting for a report.
 //!
-//! Reports lag. An engine that carries out one order at a time shows the end of
-//! an unload some tenths of a second late, and a swap of models that are on its
-//! own disk takes hardly longer than that. So the load that room is made for is
-//! tried at once, and again every few moments. The engine refuses it while the
-//! unload lasts and takes it as soon as that is over; having taken it, it has
-//! told that the memory is free. From the unload to the load it took 0.30 s in
-//! the middle before, and 0.10 s since.
+//! Reports lag: they show the end of an unload some tenths of a second late, and a
+//! swap between models on the engine's disk takes hardly longer. The load is
+//! therefore sent right after the unload and retried at short intervals. The engine
+//! refuses it while the unload lasts; its acceptance shows that the memory is free.
+//! This reduced the median time from unload to load from 0.30 s to 0.10 s.
 //!
-//! A load from a copy takes as long as is listed. It is taken to have ended by
-//! then; what a report tells later corrects how far the listed time is relied on.
+//! A load from a copy takes the listed time and is assumed to have ended after that.
+//! Later reports adjust the margin on the listed time.
 
 use std::time::Duration;
 
@@ -22,13 +20,13 @@
 use crate::units::Mebibytes;
 use crate::upstream::{EngineReport, LoadState, Order, OrderAnswer, ReportedModel};
 
-/// How long before a load that came too early is tried again.
+/// Interval between retries of a load that came too early.
 ///
-/// An unload waits for requests of some hundred milliseconds; more tries would
-/// only be more orders.
+/// An unload waits for running requests for some hundred milliseconds; shorter
+/// intervals would only send more orders.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Returns the memory that an accepted unload is about to free, if a load may be tried behind it.
+/// Returns the memory that an accepted unload is about to free, if a load may be tried now.
 pub(crate) fn memory_freed_by_unload(engine: &Engine, now: Time) -> Option<Mebibytes> {
     let accepts_load =
         engine.is_sequential() && engine.accepted_count.is_some() && engine.next_load_retry.is_due(now);
@@ -39,13 +37,14 @@
     Some(engine.model(model).map_or(Mebibytes(0), memory_of))
 }
 
-/// Returns how long an unload that is in progress is expected to last yet.
+/// Returns the expected remaining time of an unload in progress.
 pub(crate) fn unload_remaining(engine: &Engine, now: Time, times: &LoadTimes) -> Duration {
     let unload = engine.pending_orders.accepted_unload();
     unload.map_or(Duration::ZERO, |(_, sent)| sent.after(times.expected_unload()).remaining(now))
 }
 
-/// Takes note that a load came while the engine still unloads; tells whether it did.
+/// Schedules a retry if a load was refused because the engine is still unloading.
+/// Reports whether it was.
 pub(crate) fn handle_early_load(
     engine: &mut Engine,
     now: Time,
@@ -61,7 +60,8 @@
     true
 }
 
-/// Takes note that the engine took a load, so that the unload before it is over; tells whether there was one.
+/// Marks unloads as completed because the engine accepted a load after them. Reports
+/// whether there were any.
 pub(crate) fn complete_unloads(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
     if !engine.is_sequential() {
         return false;
@@ -75,11 +75,10 @@
     !unloads.is_empty()
 }
 
-/// Takes the loads from copies whose time is over to have ended, and shows their models as ready; tells
+/// Marks loads from copies as completed when their expected time is over. Reports
 /// whether there were any.
 ///
-/// Were their ends only noticed with a report, callers would wait 0.15 s longer
-/// for a swap of 0.65 s, and the engine be idle for as long.
+/// Waiting for a report would add 0.15 s to a swap of 0.65 s, in which the engine would be idle.
 pub(crate) fn complete_due_loads(cx: &Cx<'_>, engine: &mut Engine) -> bool {
     if !engine.is_sequential() {
         return false;
@@ -107,7 +106,7 @@
     !due.is_empty()
 }
 
-/// Compares a report with the load that was last taken to have ended.
+/// Compares a report with the assumed end of the last load, and adjusts the margin.
 pub(crate) fn verify_assumed_end(
     engine: &mut Engine,
     requested_at: Time,
--- a/crates/skylarkshore-core/src/loading/policy.rs
+++ b/crates/skylarkshore-core/src/loading/policy.rs
@@ -1,4 +1,5 @@
-//! Whether it pays to stay loaded, and to load ahead of a request.
+//! Keep-alive and prewarming policy: whether idle models are worth keeping, or
+//! loading ahead of a request.
 
 use std::time::Duration;
 
@@ -9,28 +10,28 @@
 use crate::loading::power_shortage::Margin;
 use crate::rules::{Facts, IdleAfter, Outcome, Percent};
 
-/// The times ahead that are looked at, in seconds.
+/// Prediction horizons, in seconds.
 const HORIZONS: [f64; 16] = [
     2.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 320.0, 640.0, 1280.0, 2560.0, 5120.0, 7680.0, 10240.0, 20480.0,
     40960.0,
 ];
-/// How much more a load ahead of any request has to be worth than it costs.
+/// Required ratio of benefit to cost for a prewarm.
 const PREWARM_MARGIN: f64 = 1.5;
-/// How much earlier than needed a load ahead of a request begins, as a share of its time.
+/// Lead of a prewarm over the expected request, as a multiple of the load time.
 const PREWARM_LEAD: f64 = 1.3;
 
-/// What is known of a model's use when a rule is looked for.
+/// Facts about a model that the rules can match.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ModelUse {
-    /// How long it has had no request.
+    /// Time since its last request.
     pub idle_for: Option<Duration>,
-    /// How many requests wait for it.
+    /// Number of waiting requests.
     pub queue: u32,
-    /// The share of the engine's memory that is spoken for.
+    /// Share of the engine's memory that is in use or reserved.
     pub memory_pressure: Percent,
 }
 
-/// Finds what the rules decide for a model.
+/// Returns the rules' outcome for a model.
 pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: ModelUse) -> &'a Outcome {
     let facts = Facts {
         model: Some(model),
@@ -44,18 +45,18 @@
     cx.document.rules.decide(&facts).outcome
 }
 
-/// An idle model that could stay loaded.
+/// An idle model that may stay loaded.
 #[derive(Clone, Debug)]
 pub(crate) struct IdleModel {
-    /// How long it hasn't been used.
+    /// Time since its last use.
     idle: Duration,
-    /// What a cold start that is avoided is worth, in seconds of an idle accelerator.
+    /// Cost of a cold start, in seconds of idle accelerator time.
     cold_start_cost: f64,
     expected: Option<InterArrivalDistribution>,
 }
 
 impl IdleModel {
-    /// Describes an idle model whose load takes `load_time`.
+    /// Creates the entry of an idle model whose load takes `load_time`.
     pub(crate) fn new(
         history: &History,
         model: &ModelName,
@@ -67,25 +68,25 @@
         Self { idle, cold_start_cost, expected: history.gap_distribution(model) }
     }
 
-    /// Returns the chance that no request comes for `d` more.
+    /// Returns the probability that the model stays unused for `d` longer.
     fn idle_probability(&self, d: Duration) -> f64 {
         match &self.expected {
             Some(expected) => expected.conditional_survival(self.idle, d),
-            // Without a history the break-even time is kept: staying then costs at
-            // most as much again as the best decision in hindsight.
+            // Without history, the model is kept for the break-even time. This costs
+            // at most twice as much as the best decision in hindsight.
             None if self.idle.as_secs_f64() < self.cold_start_cost => 0.0,
             None => 1.0,
         }
     }
 
-    /// Returns what staying for a while saves for each second, to compare models that could make room.
+    /// Returns the expected saving if the model stays, to compare eviction candidates.
     pub(crate) fn value(&self) -> f64 {
         let look_ahead = Duration::from_mins(10);
         self.cold_start_cost * (1.0 - self.idle_probability(look_ahead))
     }
 }
 
-/// Returns what an avoided cold start is worth, in seconds of an idle accelerator.
+/// Returns the cost of a cold start, in seconds of idle accelerator time.
 fn cold_start_cost(history: &History, model: &ModelName, outcome: &Outcome, load_time: Duration) -> f64 {
     if outcome.idle_weight == 0 {
         return f64::INFINITY;
@@ -94,11 +95,11 @@
     weight * load_time.as_secs_f64() * history.burst(model)
 }
 
-/// Tells whether an engine on which nothing runs is better kept awake with all that it holds.
+/// Reports whether an idle engine is worth keeping awake with all its models.
 ///
-/// An awake engine costs the same whatever it holds, so its models are looked
-/// at together: what they save with the cold starts that they avoid, against
-/// the time until the first of them is used, for the best time to look ahead.
+/// An awake engine costs the same whatever it holds, so its models are evaluated
+/// together: the cold starts that they avoid against the idle time until the first
+/// of them is used, at the best horizon.
 pub(crate) fn is_worth_keeping(idle_models: &[IdleModel], margin: Margin) -> bool {
     let Margin::Times(margin) = margin else { return false };
     if idle_models.iter().any(|model| model.cold_start_cost.is_infinite()) {
@@ -124,7 +125,7 @@
     false
 }
 
-/// Tells whether a model that isn't loaded had better be loaded now, ahead of its next request.
+/// Reports whether a model that is not loaded is worth loading ahead of its next request.
 pub(crate) fn is_worth_prewarming(
     history: &History,
     model: &ModelName,
--- a/crates/skylarkshore-core/src/loading/power_shortage.rs
+++ b/crates/skylarkshore-core/src/loading/power_shortage.rs
@@ -1,4 +1,4 @@
-//! Power that other engines of a site wait for.
+//! Power shortages per site, as requested by owners of other engines. See [`PowerShortages`].
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use crate::id::SiteName;
 use crate::time::Time;
 
-/// How long a call for power counts.
+/// How long a power request is valid.
 const REQUEST_TTL: Duration = Duration::from_secs(5);
-/// After how long of calls every idle engine makes way.
+/// Duration of a shortage after which every idle engine gives up its power.
 const UNCONDITIONAL_AFTER: Duration = Duration::from_secs(8);
-/// How much more than its cost staying awake has to be worth when the first call comes.
+/// Required ratio of value to cost for keeping an engine awake, at the start of a shortage.
 const INITIAL_MARGIN: f64 = 1.0;
-/// How much that margin grows with every second of calls.
+/// Growth of that ratio per second of shortage.
 const MARGIN_PER_SECOND: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -21,23 +21,23 @@
     until: Time,
 }
 
-/// The sites whose power doesn't suffice for all who wait.
+/// Current shortages by site.
 #[derive(Debug, Default)]
 pub(crate) struct PowerShortages {
     sites: OrderedMap<SiteName, Shortage>,
 }
 
-/// How much staying awake has to be worth, as a multiple of what it costs.
+/// Required value of keeping an engine awake, as a multiple of its cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Margin {
-    /// This much.
+    /// The multiple.
     Times(f64),
-    /// Nothing makes up for it: whoever is idle makes way.
+    /// No value suffices: every idle engine gives up its power.
     Unreachable,
 }
 
 impl PowerShortages {
-    /// Takes note of a call for power.
+    /// Records a power request.
     pub(crate) fn record(&mut self, now: Time, site: &SiteName) {
         let until = now.after(REQUEST_TTL);
         let shortage = self.sites.entry(site.clone()).or_insert(Shortage { since: now, until });
@@ -47,11 +47,11 @@
         shortage.until = until;
     }
 
-    /// Returns how much an idle engine has to be worth to stay awake.
+    /// Returns the value that an idle engine needs to stay awake.
     ///
-    /// Several owners hear a call and don't know of each other's engines. The
-    /// margin rises with time so that the engine that is worth least makes way
-    /// first, and the call ends before the others do.
+    /// Several owners receive a request without knowing each other's engines. The
+    /// margin rises over time, so that the engine with the least value gives up its
+    /// power first and ends the shortage for the others.
     pub(crate) fn margin(&self, now: Time, site: &SiteName) -> Margin {
         let Some(shortage) = self.sites.get(site).filter(|shortage| !shortage.until.is_due(now)) else {
             return Margin::Times(1.0);
--- a/crates/skylarkshore-core/src/loading/published_view.rs
+++ b/crates/skylarkshore-core/src/loading/published_view.rs
@@ -1,19 +1,19 @@
-//! What routers were last told of an engine.
+//! The last published view of an engine and the routers that received it.
 
 use crate::collections::OrderedMap;
 use crate::id::HostId;
 use crate::time::Time;
 use crate::view::EngineView;
 
-/// What was last told of an engine.
+/// The last published view of an engine.
 #[derive(Debug, Default)]
 pub(crate) struct PublishedView {
-    /// The account itself.
+    /// The view.
     pub last: Option<EngineView>,
-    /// Since when it has stood.
+    /// When its contents last changed.
     pub changed_at: Time,
-    /// How many accounts there have been.
+    /// Number of versions so far.
     pub number: u64,
-    /// The routers that know the last account, and since when.
+    /// Routers that received this version, and when.
     pub sent_to: OrderedMap<HostId, Time>,
 }
--- a/crates/skylarkshore-core/src/loading/publishing.rs
+++ b/crates/skylarkshore-core/src/loading/publishing.rs
@@ -1,4 +1,7 @@
-//! What routers are told of an engine, and when.
+//! Publishes views of an engine to the routers that subscribe to its models.
+//!
+//! [`publish_changes`] sends what has changed to all subscribers, [`publish_to`]
+//! answers one router.
 
 use std::time::Duration;
 
@@ -12,17 +15,18 @@
 use crate::upstream::{LoadState, Order, ReportedModel};
 use crate::view::{EngineView, ModelView, Readiness, ViewVersion};
 
-/// How often changes of load alone are told at most.
+/// Minimum interval between updates that only change load figures.
 const LOAD_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// By how much later than told a load has to be ready for routers to hear of it.
+/// Increase of a load's remaining time above which subscribers are updated.
 const MIN_DELAY_INCREASE: Duration = Duration::from_secs(1);
-/// How many such messages are sent for one engine in a second at most.
+/// Limit on load updates sent for one engine in a second.
 ///
-/// A model in use everywhere has every host as a listener; telling each of 350
-/// hosts once a second would take several times what control may spend.
+/// Every host subscribes to a model that is in use everywhere. Updating each of 350
+/// hosts once a second would take several times the resources planned for control
+/// traffic.
 const MAX_LOAD_UPDATES_PER_SECOND: u32 = 20;
 
-/// Tells every router that is interested in one of the engine's models what has changed.
+/// Sends the engine's view to the subscribers that a change concerns.
 pub(crate) fn publish_changes(cx: &mut Cx<'_>, engine: &mut Engine, demand: &Demand) {
     if engine.last_report.is_none() {
         return;
@@ -36,7 +40,7 @@
         Some(last) if !is_same(last, &view, false) => subscribers_to_change(last, &view, demand),
         Some(last) => {
             let hosts = if is_same(last, &view, true) {
-                // Whoever missed that a model is about to go would keep it busy.
+                // A router that missed a closing view would keep sending requests to the model.
                 subscribers_in(&view, |readiness| readiness == Readiness::Closing, demand)
             } else {
                 subscribers(last, &view, demand)
@@ -56,16 +60,15 @@
     }
 }
 
-/// Returns the routers that want to hear of a model that is or was on the engine.
+/// Returns the subscribers of all models in either view.
 fn subscribers(last: &EngineView, view: &EngineView, demand: &Demand) -> OrderedSet<HostId> {
     subscribers_to(view.models.iter().chain(&last.models), demand)
 }
 
-/// Returns the routers that want to hear of a model for which something has changed.
+/// Returns the subscribers of the models that changed.
 ///
-/// An engine that serves many rarely used models by turns swaps all the time.
-/// Were all told of it who use any of its models, the messages would take up
-/// every host of a large fleet.
+/// An engine that serves many rarely used models swaps constantly. Sending each swap
+/// to the subscribers of all its models would load every host of a large fleet.
 fn subscribers_to_change(last: &EngineView, view: &EngineView, demand: &Demand) -> OrderedSet<HostId> {
     let is_engine_same = last.leaving == view.leaving
         && last.concurrency == view.concurrency
@@ -79,7 +82,7 @@
     subscribers_to(changed.chain(gone), demand)
 }
 
-/// Returns the routers that want to hear of a model that stands like this.
+/// Returns the subscribers of models whose readiness matches.
 fn subscribers_in(
     view: &EngineView,
     is_it: impl Fn(Readiness) -> bool,
@@ -92,21 +95,21 @@
     models.flat_map(|reported| demand.subscribers(&reported.model)).cloned().collect()
 }
 
-/// Tells whether a view says of a model what is said here.
+/// Reports whether the view contains the same entry for a model.
 fn has_same(view: &EngineView, model: &ModelView) -> bool {
     view.models.iter().any(|reported| is_same_model(reported, model))
 }
 
-/// Returns how long to wait between two messages that tell of changed load alone.
+/// Returns the interval between updates that only change load figures.
 fn load_update_interval(hosts: &OrderedSet<HostId>) -> Duration {
     let subscribers = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
     LOAD_UPDATE_INTERVAL.max(LOAD_UPDATE_INTERVAL.saturating_mul(subscribers) / MAX_LOAD_UPDATES_PER_SECOND)
 }
 
-/// Tells one router how an engine stands, unless it was just told the same.
+/// Sends the engine's view to one router unless it has just received the same version.
 ///
-/// A router may ask again at once when it hears of an engine that doesn't help
-/// it; both would then go on as fast as their messages travel.
+/// A router may ask again as soon as it receives a view that does not help it;
+/// without this limit both would exchange messages continuously.
 pub(crate) fn publish_to(cx: &mut Cx<'_>, engine: &mut Engine, host: &HostId) {
     if engine.last_report.is_none() {
         return;
@@ -134,10 +137,10 @@
     view
 }
 
-/// Tells whether a load will be ready later than was told some time ago.
+/// Reports whether a load will be ready noticeably later than last published, `ago` before now.
 ///
-/// The remaining time runs down by itself at the routers. If they didn't hear
-/// that a load takes longer, they would have their callers wait for it in vain.
+/// Routers count the remaining time down themselves. If a delay were not published,
+/// their callers would wait in vain.
 fn is_delayed(ago: Duration, last: &EngineView, view: &EngineView) -> bool {
     let remaining = |view: &EngineView, model: &ModelName| {
         let reported = view.models.iter().find(|reported| reported.model == *model)?;
@@ -150,7 +153,7 @@
     })
 }
 
-/// Tells whether two views say the same, `with_load` or apart from it.
+/// Reports whether two views are equal, including load figures if `with_load` is set.
 fn is_same(a: &EngineView, b: &EngineView, with_load: bool) -> bool {
     let structure = a.leaving == b.leaving
         && a.concurrency == b.concurrency
@@ -165,7 +168,7 @@
 
 fn is_same_model(a: &ModelView, b: &ModelView) -> bool {
     let readiness = match (a.readiness, b.readiness) {
-        // The remaining time runs down by itself.
+        // Routers count the remaining time down themselves.
         (Readiness::Loading { .. }, Readiness::Loading { .. }) => true,
         (a, b) => a == b,
     };
--- a/crates/skylarkshore-core/src/loading/rehoming.rs
+++ b/crates/skylarkshore-core/src/loading/rehoming.rs
@@ -1,4 +1,4 @@
-//! Models that need another home.
+//! Determines which models need an additional or a different home.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::loading::replicas;
 use crate::time::Time;
 
-/// How long replicas have to be full before one more home is wished for.
+/// How long replicas must be saturated before another home is requested.
 const SATURATED_FOR: Duration = Duration::from_millis(500);
-/// How long no room can be made before the home is to move.
+/// How long memory must be unavailable before a home is moved.
 const MEMORY_BLOCKED_FOR: Duration = Duration::from_secs(1);
 
-/// Works out which models on an engine need another home.
+/// Updates the requests for homes of the models on an engine.
 pub(crate) fn review(
     cx: &Cx<'_>,
     engine: &mut Engine,
@@ -50,10 +50,10 @@
     engine.rehoming.due = spread.chain(moves).collect();
 }
 
-/// Tells whether the last home's replica has as much to do as it can, and more wait.
+/// Reports whether the last home's replica is saturated while requests wait.
 ///
-/// Only the last home speaks, since routers ask for it only once the earlier
-/// ones are full; else every owner would wish for one more at once.
+/// Only the last home decides, because routers use it only when the earlier ones are
+/// full. Otherwise every owner would request another home at the same time.
 fn is_saturated(cx: &Cx<'_>, engine: &Engine, desired: &DesiredLoad) -> bool {
     let is_last =
         cx.cache.homes(&desired.model).is_some_and(|(_, homes)| homes.engines.last() == Some(&engine.id));
@@ -64,11 +64,11 @@
         && engine.report().is_some_and(|report| report.running >= slots)
 }
 
-/// Tells whether a model, of which this is the last home, is asked for more than its homes can take.
+/// Reports whether this is a model's last home and its demand exceeds its homes.
 fn has_too_few_homes(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, model: &ModelName) -> bool {
     let Some((_, homes)) = cx.cache.homes(model) else { return false };
     let wanted = replicas::replicas_for(cx, engine, context, model, homes);
-    // The last one that can speak: one on an engine that is gone would never wish for another.
+    // The last home that can load decides: a home on a lost engine would never request another one.
     replicas::is_last(cx, engine, homes) && homes.engines.len() < wanted as usize
 }
 
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -1,4 +1,4 @@
-//! How many replicas models in constant use are worth, and on which engines these are.
+//! Computes how many replicas a model in constant use needs, and on which of its homes.
 
 use crate::cx::Cx;
 use crate::id::{ModelName, UpstreamId};
@@ -8,34 +8,34 @@
 use crate::units::Mebibytes;
 use crate::upstream::Standing;
 
-/// From how many requests a second on a model has a second replica.
+/// Request rate per second from which a model gets a second replica.
 ///
-/// At this rate the requests that a lost replica would keep waiting for a load
-/// are worth more than the memory of the second one.
+/// From this rate on, the requests that would wait for a load after the loss of the
+/// only replica outweigh the memory of a second one.
 const HOT_RATE: f64 = 1.0;
-/// How many replicas such a model has at least.
+/// Minimum number of replicas of such a model.
 const HOT_REPLICAS: u32 = 2;
-/// The part of a model's replicas below which the others are loaded before all else, as its inverse.
+/// Divisor of the required replicas; with fewer than this part, the missing ones are loaded first.
 const UNDER_REPLICATED_DIVISOR: u32 = 2;
-/// On how many engines a model in constant use has at least a copy.
+/// Minimum number of engines with a copy of a model in constant use.
 const MIN_COPIES: usize = 2;
-/// From which share of answers on that engines begin late a model has too few replicas.
+/// Share of late answers above which a model needs one more replica.
 const LATE_SHARE: f64 = 0.15;
-/// From which share on a further replica is loaded before all else.
+/// Share of late answers above which that replica is loaded first.
 const CRITICAL_LATE_SHARE: f64 = 0.4;
-/// How full a replica may be, as a share of the requests that it runs at a time, before one more helps.
+/// Utilization of a replica's concurrency above which one more replica is needed.
 ///
-/// Requests that run beside each other slow each other down, and prompts are
-/// read between the steps of all. Counted by the time that requests take, models
-/// that make tokens slowly get as many replicas as their work needs.
+/// Concurrent requests slow each other down, and prefill interrupts the decoding of
+/// all. Utilization is measured in request time, so that models with slow generation
+/// get enough replicas.
 const TARGET_UTILIZATION: f64 = 0.4;
-/// Into how many parts an engine's memory is divided, of which one is for models that are asked for often.
+/// Divisor of the engine memory available to hot models.
 ///
-/// Were all of it theirs, none of the rarely used models that have their home
-/// there could ever be loaded.
+/// If they could use all of it, the rarely used models whose home is this engine
+/// could never be loaded.
 const HOT_MEMORY_DIVISOR: u64 = 2;
 
-/// Works out which models are asked for so often that this engine has to hold them beside others.
+/// Updates the hot models that this engine has to hold.
 pub(crate) fn review_hot(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     engine.hot.clear();
     engine.under_replicated.clear();
@@ -65,12 +65,12 @@
     }
 }
 
-/// Tells whether a replica more has to be loaded before all else.
+/// Reports whether another replica of a model has to be loaded before all else.
 ///
-/// Where a model in constant use is on one engine alone, and no other has a
-/// copy, all its callers wait for the weight store once that engine goes: 42 a
-/// second for six seconds, seen where engines were replaced one after the other
-/// and the new ones loaded for single callers first.
+/// If one engine holds a model in constant use and no other has a copy, all callers
+/// wait for the weight store when that engine leaves. During a rolling replacement,
+/// where new engines served single callers first, 42 callers a second waited for six
+/// seconds.
 fn is_under_replicated(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -84,12 +84,13 @@
             < replicas_by_use(cx, engine, context, model, homes)
 }
 
-/// Tells whether more callers would wait for a model's return than wait now for the one that takes its place.
+/// Reports whether unloading the model would make more callers wait than wait for
+/// its replacement now.
 ///
-/// The first homes that hold it keep it, as many as its requests take. What was
-/// used last doesn't tell: a model with forty requests a second on its only
-/// replica was unloaded for one that had a single request a moment later, and
-/// the next second's forty callers waited for it to come back.
+/// The first homes that hold the model keep as many replicas as it needs. Recency is
+/// not sufficient: a model with forty requests a second on its only replica was
+/// evicted for one with a single, slightly later request, and the forty callers of
+/// the next second waited for its return.
 pub(crate) fn is_needed_more(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -108,7 +109,7 @@
     u32::try_from(holding.count()).unwrap_or(u32::MAX) < replicas_by_use(cx, engine, context, model, homes)
 }
 
-/// Tells whether an engine holds a model and stays, as far as the list tells.
+/// Reports whether a live engine holds a model, according to the host list.
 fn is_holding(cx: &Cx<'_>, engine: &UpstreamId, model: &ModelName) -> bool {
     let known = cx.upstreams.get(engine).filter(|known| known.standing == Standing::Live);
     known.is_some_and(|known| known.holds.contains(model))
@@ -120,7 +121,7 @@
     u32::try_from(holding.count()).unwrap_or(u32::MAX)
 }
 
-/// Returns how many replicas a model's requests are worth.
+/// Returns how many replicas a model's request rate justifies.
 pub(crate) fn replicas_for(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -136,8 +137,8 @@
 
 /// Returns how many replicas a model's requests keep busy.
 ///
-/// Where engines begin to answer late, one more than there are helps, whatever
-/// the work seems to be: long prompts, or others on the same engines, may be why.
+/// If engines answer late, one more replica helps whatever the measured work: long
+/// prompts or other models on the same engines may be the cause.
 fn replicas_by_use(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -157,12 +158,12 @@
     if is_late { replicas.max(holders(cx, model, homes) + 1) } else { replicas.max(1) }
 }
 
-/// Tells whether an engine is the last of a model's homes that can load at all.
+/// Reports whether the engine is the last of a model's homes that can load it.
 pub(crate) fn is_last(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> bool {
     usable(cx, engine, homes).last() == Some(&engine.id)
 }
 
-/// Returns an engine's place among the homes that can load at all.
+/// Returns the engine's position among the homes that can load the model.
 pub(crate) fn position(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
     usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, position)| position)
 }
--- a/crates/skylarkshore-core/src/loading/reservation.rs
+++ b/crates/skylarkshore-core/src/loading/reservation.rs
@@ -1,4 +1,4 @@
-//! Engines that one router has to itself, while it runs a suspect request alone.
+//! Exclusive reservation of an engine by a router that runs a suspect request alone.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use crate::id::HostId;
 use crate::time::Time;
 
-/// The longest time for which an engine is reserved at once.
+/// The longest duration of one reservation.
 const MAX_RESERVATION: Duration = Duration::from_mins(5);
 
-/// Who has an engine to itself.
+/// The current reservation of an engine, if any.
 #[derive(Debug, Default)]
 pub(crate) struct Reservation {
     held: Option<Holder>,
@@ -22,7 +22,8 @@
 }
 
 impl Reservation {
-    /// Gives the engine to a router, unless another one has it; that one asks again.
+    /// Reserves the engine for a router. Ignored if another router holds it; that
+    /// router asks again.
     pub(crate) fn reserve(&mut self, now: Time, from: &HostId, patience: Duration) {
         if self.held.as_ref().is_some_and(|held| held.by != *from) {
             return;
@@ -30,17 +31,17 @@
         self.held = Some(Holder { by: from.clone(), until: now.after(patience.min(MAX_RESERVATION)) });
     }
 
-    /// Opens the engine to all again.
+    /// Ends the router's reservation.
     pub(crate) fn release(&mut self, from: &HostId) {
         self.held.take_if(|held| held.by == *from);
     }
 
-    /// Opens the engine to all once the time is over or the router's process has ended.
+    /// Ends the reservation when it expires or its holder is no longer a member.
     pub(crate) fn expire(&mut self, cx: &Cx<'_>) {
         self.held.take_if(|held| held.until.is_due(cx.now) || cx.cache.member(&held.by).is_none());
     }
 
-    /// Returns who has the engine to itself.
+    /// Returns the router that holds the reservation.
     pub(crate) fn holder(&self) -> Option<&HostId> {
         self.held.as_ref().map(|held| &held.by)
     }
--- a/crates/skylarkshore-core/src/loading/unserved.rs
+++ b/crates/skylarkshore-core/src/loading/unserved.rs
@@ -1,9 +1,8 @@
-//! Models and adapters that callers ask for again and again and none of whose requests has run since.
+//! Detects models and adapters that are requested repeatedly without any request being run.
 //!
-//! Each host sees few of the callers of a rarely used model, so that none of
-//! them could tell that all of them are refused. The owner of the model's first
-//! home is told of every request at every host and of what has run, and knows
-//! from the list which engines hold what.
+//! A single host sees too few requests for a rarely used model to notice. The owner
+//! of the model's first home receives the usage reports of all hosts and knows from
+//! the host list which engines hold what.
 
 use std::time::Duration;
 
@@ -13,16 +12,16 @@
 use crate::id::ModelName;
 use crate::time::Time;
 
-/// How long a target has to be asked for in vain before it is told of; a load from a copy takes a second.
+/// How long a target must be unserved before it is logged. A load from a copy takes a second.
 const REPORT_AFTER: Duration = Duration::from_secs(8);
-/// How often a target is told of while that lasts.
+/// Interval between log entries while a target remains unserved.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
-/// From how many requests on it is told of.
+/// Minimum number of requests for a target to be logged.
 const MIN_REQUESTS: u32 = 4;
-/// How often the targets are looked at; the list changes about as often.
+/// How often targets are checked; the host list changes about as often.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A time in which a target was asked for, and no request for it ran.
+/// A period in which a target was requested and no request for it ran.
 #[derive(Clone, Copy, Debug)]
 struct UnservedPeriod {
     since: Time,
@@ -30,7 +29,7 @@
     next_report: Time,
 }
 
-/// The targets that are asked for in vain, as far as this process looks after their first home.
+/// Unserved targets whose first home this process owns.
 #[derive(Debug, Default)]
 pub(crate) struct UnservedTargets {
     periods: OrderedMap<ModelTarget, UnservedPeriod>,
@@ -38,7 +37,7 @@
 }
 
 impl UnservedTargets {
-    /// Takes note of requests that arrived at a router, and of those that ran.
+    /// Records requests that arrived at a router and whether any have run.
     pub(crate) fn record(&mut self, now: Time, target: &ModelTarget, arrived: u32, worked: Duration) {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         if worked > Duration::ZERO {
@@ -62,9 +61,9 @@
         period.requests = period.requests.saturating_add(arrived);
     }
 
-    /// Forgets the models that an engine holds, and tells the operators of targets that were asked for in vain.
+    /// Drops models that an engine holds, and logs targets that remain unserved.
     ///
-    /// An adapter is told of only where its base is held; else the base is.
+    /// An adapter is logged only if its base model is held; otherwise the base model is logged.
     pub(crate) fn check(&mut self, cx: &mut Cx<'_>, is_first_home_owned: impl Fn(&ModelName) -> bool) {
         if !self.next_check.is_due(cx.now) {
             return;
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Returns how many targets have been asked for in vain for long enough to be told of.
+    /// Returns the number of targets that have been logged as unserved.
     pub(crate) fn len(&self) -> usize {
         let is_reported =
             |p: &&UnservedPeriod| p.requests >= MIN_REQUESTS && p.next_report > p.since.after(REPORT_AFTER);
--- a/crates/skylarkshore-core/src/loading/usage.rs
+++ b/crates/skylarkshore-core/src/loading/usage.rs
@@ -1,4 +1,4 @@
-//! How often each model is asked for and how much work that is, as the routers tell.
+//! Request rate and work per model, from the routers' usage reports. See [`Usage`].
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 use crate::id::ModelName;
 use crate::time::Time;
 
-/// How far back the means go.
+/// Time constant of the moving averages.
 ///
-/// Demand moves to other models within seconds; a mean over minutes would keep
-/// replicas of yesterday's models while today's callers wait.
+/// Demand shifts between models within seconds; averages over minutes would keep
+/// replicas of models that are no longer in demand while callers of others wait.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// One model's use.
+/// Moving averages of one model.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsageRate {
-    /// Requests that arrive in a second.
+    /// Requests that arrive per second.
     requests: f64,
-    /// Those of them that engines began to answer late.
+    /// Requests per second that engines began to answer late.
     late: f64,
-    /// Requests that run at a time.
+    /// Average number of concurrent requests.
     running: f64,
-    /// When engines were last told to have worked for them.
+    /// When engines were last reported to have worked on requests.
     worked_at: Option<Time>,
     at: Time,
 }
@@ -40,25 +40,25 @@
     }
 }
 
-/// What a router tells of a model's use since it last did.
+/// A router's usage report for a model since its previous one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UsageSample {
     /// Requests that arrived.
     pub arrived: u32,
-    /// Answers that began late for the engine's sake.
+    /// Answers that began late because of the engine.
     pub late: u32,
-    /// For how long requests ran, added up.
+    /// Total running time of the requests.
     pub worked: Duration,
 }
 
-/// How much each model is used.
+/// Usage of all models.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
     rates: OrderedMap<ModelName, UsageRate>,
 }
 
 impl Usage {
-    /// Counts what a router tells.
+    /// Records a usage report.
     pub(crate) fn record(&mut self, now: Time, model: &ModelName, sample: UsageSample) {
         let mut rate = self.rate(now, model);
         rate.requests += f64::from(sample.arrived) / TIME_CONSTANT.as_secs_f64();
@@ -70,28 +70,28 @@
         self.rates.insert(model.clone(), rate);
     }
 
-    /// Returns how many requests for the model arrive in a second.
+    /// Returns the requests for the model per second.
     pub(crate) fn request_rate(&self, now: Time, model: &ModelName) -> f64 {
         self.rate(now, model).requests
     }
 
-    /// Returns when engines were last told to have worked on requests for the model.
+    /// Returns when engines were last reported to have worked on requests for the model.
     pub(crate) fn last_worked(&self, model: &ModelName) -> Option<Time> {
         self.rates.get(model)?.worked_at
     }
 
-    /// Returns how many requests for the model run at a time.
+    /// Returns the average number of concurrent requests for the model.
     pub(crate) fn running(&self, now: Time, model: &ModelName) -> f64 {
         self.rate(now, model).running
     }
 
-    /// Returns the share of the model's requests that engines begin to answer late.
+    /// Returns the share of requests that engines begin to answer late.
     pub(crate) fn late_share(&self, now: Time, model: &ModelName) -> f64 {
         let rate = self.rate(now, model);
         if rate.requests > 0.0 { rate.late / rate.requests } else { 0.0 }
     }
 
-    /// Returns the models that are asked for at least as often as this.
+    /// Returns the models whose request rate is at least `request_rate`.
     pub(crate) fn models_above(&self, now: Time, request_rate: f64) -> impl Iterator<Item = &ModelName> {
         self.rates.keys().filter(move |model| self.request_rate(now, model) >= request_rate)
     }
