--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -129,14 +129,14 @@
             engines.get(&key.engine).is_some_and(|engine| load::uses_store(engine, &key.model))
         });
         let ids: Vec<UpstreamId> = self.engines.keys().cloned().collect();
-        let mut served = Vec::new();
+        let mut newly_ready = Vec::new();
         for id in ids {
             self.with_engine(cx, authority, &id, |cx, engine, context| {
                 engine.refresh(cx);
                 engine.reservation.expire(cx);
                 engine.expire_orders(cx);
                 if pipelining::complete_due_loads(cx, engine) {
-                    served.append(&mut load::record_ended(cx, engine, context));
+                    newly_ready.append(&mut load::record_ended(cx, engine, context));
                 }
                 engine.is_in_use = is_in_use(engine, context);
                 engine.poll(cx, context.authority.permit(cx.now, &engine.id));
@@ -145,7 +145,7 @@
                 publishing::publish_changes(cx, engine, context.demand);
             });
         }
-        for model in served {
+        for model in newly_ready {
             self.demand.mark_served(cx.now, &model);
         }
         let (cache, engines) = (cx.cache, &self.engines);
@@ -208,7 +208,7 @@
         report: Option<&EngineReport>,
     ) {
         let Some(report) = report else { return };
-        let mut served = Vec::new();
+        let mut newly_ready = Vec::new();
         self.with_engine(cx, authority, id, |cx, engine, context| {
             let is_first = engine.report().is_none();
             let status = engine.apply_report(cx.now, requested_at, report);
@@ -219,13 +219,13 @@
                 log_survey(cx, engine, report);
             }
             pipelining::verify_assumed_end(engine, requested_at, report, context.load_times);
-            let settled = engine.pending_orders.settle(report, requested_at, cx.cfg.timings.order_settle);
-            engine.log_unexpected_models(cx, &settled);
-            engine.log_missing_adapters(cx, &settled);
+            let resolved = engine.pending_orders.resolve(report, requested_at, cx.cfg.timings.order_settle);
+            engine.log_unexpected_models(cx, &resolved);
+            engine.log_missing_adapters(cx, &resolved);
             for reported in report.models.iter().filter(|reported| reported.running > 0) {
                 context.history.record_use(cx.now, &reported.model);
             }
-            served = load::record_ended(cx, engine, context);
+            newly_ready = load::record_ended(cx, engine, context);
             if status == ReportStatus::Restarted {
                 cx.note("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
                 engine.on_restart(cx.now);
@@ -233,7 +233,7 @@
             decide(cx, engine, context);
             publishing::publish_changes(cx, engine, context.demand);
         });
-        for model in served {
+        for model in newly_ready {
             self.demand.mark_served(cx.now, &model);
         }
     }
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -169,8 +169,9 @@
 pub(crate) fn review_pinned(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     let homes = cx.cache.all_homes().filter(|(_, homes)| homes.engines.contains(&engine.id));
     let pinned = homes.filter(|(model, homes)| {
-        let least = rule_outcome(cx, engine, context, model).replicas_min;
-        least > 0 && replicas::position(cx, engine, homes).is_some_and(|position| position < least)
+        let min_replicas = rule_outcome(cx, engine, context, model).replicas_min;
+        min_replicas > 0
+            && replicas::position(cx, engine, homes).is_some_and(|position| position < min_replicas)
     });
     engine.pinned = pinned.map(|(model, _)| model.clone()).collect();
 }
@@ -189,8 +190,8 @@
     engine.missing_copies.clear();
     // A load from the weight store occupies the engine for seconds. While requests
     // run, a request for another model is likely to follow soon.
-    let is_quiet = engine.report().is_some_and(|report| report.running == 0 && report.waiting == 0);
-    if !engine.is_sequential() || !is_quiet {
+    let is_idle = engine.report().is_some_and(|report| report.running == 0 && report.waiting == 0);
+    if !engine.is_sequential() || !is_idle {
         return;
     }
     for (model, homes) in cx.cache.all_homes() {
@@ -235,8 +236,8 @@
 
 /// Returns the number of replicas that the waiting requests justify.
 fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &Outcome) -> u32 {
-    let worth = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
-    worth.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
+    let justified = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
+    justified.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
 
 /// Returns the missing power for the most urgent load, and the service order of that load.
@@ -245,12 +246,12 @@
     context: &DecisionContext<'_>,
     desired_loads: &[DesiredLoad],
 ) -> Option<(Watts, ServiceOrder)> {
-    let needs = engine.spec.as_ref()?.active_watts;
+    let required = engine.spec.as_ref()?.active_watts;
     let granted = context.authority.granted(&engine.id);
     // Prewarming does not justify putting another engine to sleep.
-    let needed = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
-    let unmet = needed.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
-    (granted < needs && !engine.is_leaving()).then(|| (needs.saturating_sub(granted), unmet.order))
+    let candidates = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
+    let unmet = candidates.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
+    (granted < required && !engine.is_leaving()).then(|| (required.saturating_sub(granted), unmet.order))
 }
 
 /// Returns the rules' outcome for a model on an engine.
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -220,17 +220,16 @@
     /// the last load does not count.
     pub(crate) fn is_in_memory(&self, model: &ModelName) -> bool {
         let is_newer = |last: &LastReport| last.requested_at >= self.last_load_at.after(last.report.lag);
-        let last =
-            self.last_report.as_ref().filter(|reported| self.phase == Phase::Surveyed && is_newer(reported));
+        let last = self.last_report.as_ref().filter(|last| self.phase == Phase::Surveyed && is_newer(last));
         last.is_some_and(|last| last.report.copies.in_memory.contains(model))
     }
 
     /// Reports whether an adapter answers requests.
     pub(crate) fn has_adapter(&self, now: Time, model: &ModelName, adapter: &AdapterName) -> bool {
-        let reported = self.model(model);
-        let reported = reported
-            .is_some_and(|reported| reported.adapters.iter().any(|a| a.ready && a.adapter == *adapter));
-        reported || self.assumed_adapters(now).any(|(base, name)| base == model && name == adapter)
+        let base = self.model(model);
+        let is_reported =
+            base.is_some_and(|base| base.adapters.iter().any(|a| a.ready && a.adapter == *adapter));
+        is_reported || self.assumed_adapters(now).any(|(base, name)| base == model && name == adapter)
     }
 
     /// Returns the adapters that should be ready by now although no report shows them yet.
--- a/crates/skylarkshore-core/src/loading/engine/reports.rs
+++ b/crates/skylarkshore-core/src/loading/engine/reports.rs
@@ -7,7 +7,7 @@
 use crate::id::{AdapterName, Incarnation, ModelName};
 use crate::loading::engine::Engine;
 use crate::loading::engine_state::{LastReport, LateOrders, Phase, ReportStatus};
-use crate::loading::pending_orders::{self, Settled};
+use crate::loading::pending_orders::{self, ResolvedOrder};
 use crate::time::Time;
 use crate::upstream::{EngineReport, Order, ReportedModel};
 
@@ -19,12 +19,12 @@
     ///
     /// They come from a late order of the former owner. Further ones may follow
     /// until none has appeared for the settle time.
-    pub(crate) fn log_unexpected_models(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
+    pub(crate) fn log_unexpected_models(&mut self, cx: &mut Cx<'_>, resolved: &[ResolvedOrder]) {
         let Some(report) = self.report() else { return };
         let known = |model: &ModelName| {
             self.reported_models.contains(model)
                 || self.pending_orders.concerns(model)
-                || settled.iter().any(|order| pending_orders::model_of(&order.action) == Some(model))
+                || resolved.iter().any(|order| pending_orders::model_of(&order.action) == Some(model))
         };
         let shown: OrderedSet<ModelName> =
             report.models.iter().map(|reported| reported.model.clone()).collect();
@@ -40,20 +40,20 @@
                 cx.note(
                     "unexpected_model",
                     format!("{model}@{}", self.id),
-                    "loaded by no order of the owner",
+                    "not loaded by an order of this owner",
                 );
             }
         }
     }
 
     /// Logs adapters whose load was accepted but which the report does not show.
-    pub(crate) fn log_missing_adapters(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
-        for order in settled.iter().filter(|order| !order.shown) {
+    pub(crate) fn log_missing_adapters(&mut self, cx: &mut Cx<'_>, resolved: &[ResolvedOrder]) {
+        for order in resolved.iter().filter(|order| !order.shown) {
             if let Order::LoadAdapter { model, adapter, .. } = &order.action {
                 cx.note(
                     "adapter_not_shown",
                     format!("{model}/{adapter}@{}", self.id),
-                    "will be asked for anew",
+                    "not in the report; the adapter will be requested again",
                 );
             }
         }
@@ -107,14 +107,14 @@
     /// A report's contents lag. One with a lower accepted count shows models and
     /// adapters as of that count.
     pub(super) fn is_outdated(&self, requested_at: Time, report: &EngineReport) -> bool {
-        let Some(reported) = report.accepted else { return false };
+        let Some(accepted_count) = report.accepted else { return false };
         let reported_recently = self
             .last_report
             .as_ref()
             .is_some_and(|last| !last.requested_at.after(MAX_OUTDATED).is_due(requested_at));
         // While orders follow each other closely, every report predates the last one.
         let ordered_recently = !self.last_accepted_at.after(report.lag).is_due(requested_at);
-        reported < self.max_accepted_count
+        accepted_count < self.max_accepted_count
             && (reported_recently || ordered_recently)
             && self.incarnation() == Some(report.incarnation)
     }
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -72,8 +72,8 @@
     };
     if let Some(failures) = engine.failures.get(model) {
         let retry = failures.retry.remaining(cx.now);
-        let hopeless = if failures.count < MAX_FAILURES { load } else { Duration::MAX };
-        return assess_wait(wanted, hopeless.saturating_add(retry), CannotLoad::EngineRefuses, retry);
+        let load_or_never = if failures.count < MAX_FAILURES { load } else { Duration::MAX };
+        return assess_wait(wanted, load_or_never.saturating_add(retry), CannotLoad::EngineRefuses, retry);
     }
     let takes = load + start_delay(cx, engine, context, model);
     if engine.report().is_some() && !load::has_power(engine, context) {
@@ -143,8 +143,8 @@
     need: &ModelDemand,
 ) -> Duration {
     let ready = time_to_ready(cx, engine, context, model, need);
-    let is_there = engine.model(model).is_some() || engine.loads.contains_key(model);
-    if is_there || engine.has_copy(model) {
+    let is_present = engine.model(model).is_some() || engine.loads.contains_key(model);
+    if is_present || engine.has_copy(model) {
         ready
     } else {
         ready + context.load_times.expected_from_store(cx, model)
@@ -228,9 +228,9 @@
     context: &DecisionContext<'_>,
     wanted: &WaitReport<'_>,
 ) -> Duration {
-    let least = context.load_times.expected_on(cx, engine, &wanted.target.model) / OVERDUE_DIVISOR;
+    let minimum = context.load_times.expected_on(cx, engine, &wanted.target.model) / OVERDUE_DIVISOR;
     let load = engine.loads.get(&wanted.target.model);
-    load.map_or(least, |load| load.remaining(cx.now).max(least))
+    load.map_or(minimum, |load| load.remaining(cx.now).max(minimum))
 }
 
 fn assess_wait(
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -16,16 +16,16 @@
 use crate::units::LoadRate;
 
 /// How often the holder of a slot renews it.
-pub(crate) const RENEW_EVERY: Duration = Duration::from_secs(2);
+pub(crate) const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// After how long a slot that is not renewed is given to others. Two renewals in a row may be lost.
 ///
 /// The holder may be gone, or its release lost. With one load at a time, that slot
 /// is the whole store: held for 35 s, it blocked all fetches until long after a
 /// fault, and callers of models without a copy on disk were refused. A holder paused
 /// for longer keeps loading beside one additional load.
-const SLOT_TTL: Duration = RENEW_EVERY.saturating_mul(3).saturating_add(Duration::from_secs(1));
+const SLOT_TTL: Duration = RENEW_INTERVAL.saturating_mul(3).saturating_add(Duration::from_secs(1));
 /// Time without a renewal after which a slot's measured length is invalid.
-const HOLDER_TIMEOUT: Duration = RENEW_EVERY.saturating_mul(2).saturating_add(Duration::from_millis(500));
+const HOLDER_TIMEOUT: Duration = RENEW_INTERVAL.saturating_mul(2).saturating_add(Duration::from_millis(500));
 /// Gap between two checks that counts as a pause of this process.
 const OWN_PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 /// How long a queued load stays in the queue without a new request.
@@ -116,8 +116,8 @@
         };
         self.queue.insert(key.clone(), queued);
         self.grant_due(cx);
-        if let Some(own) = self.queue.get(key) {
-            let ahead = self.queue.values().filter(|other| rank(other) < rank(own)).count();
+        if let Some(entry) = self.queue.get(key) {
+            let ahead = self.queue.values().filter(|other| rank(other) < rank(entry)).count();
             let wait = self.expected_wait(cx, ahead);
             let (upstream, model) = (key.engine.clone(), key.model.clone());
             cx.tell(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
@@ -185,7 +185,7 @@
 
     /// Estimates how long a load with `ahead` loads before it waits for a slot.
     fn expected_wait(&self, cx: &Cx<'_>, ahead: usize) -> Duration {
-        let at_once = self.concurrency_limit.limit(cx);
+        let limit = self.concurrency_limit.limit(cx);
         let mut ends: Vec<Duration> = self
             .granted
             .iter()
@@ -195,11 +195,11 @@
             })
             .collect();
         ends.sort_unstable();
-        let spare = at_once.saturating_sub(ends.len());
+        let spare = limit.saturating_sub(ends.len());
         let Some(behind) = ahead.checked_sub(spare) else { return Duration::ZERO };
         let first = ends.get(behind % ends.len().max(1)).copied().unwrap_or_default();
         let longest = cx.document.catalogue.models.values().map(|model| model.load_time).max();
-        let rounds = u32::try_from(behind / at_once).unwrap_or(u32::MAX);
+        let rounds = u32::try_from(behind / limit).unwrap_or(u32::MAX);
         first + longest.unwrap_or_default() * rounds
     }
 
@@ -231,15 +231,15 @@
         self.granted.retain(|_, granted| !granted.expires.is_due(cx.now));
         let (span, starts) = rate(cx).window();
         self.starts.retain(|start| !start.after(span).is_due(cx.now));
-        let at_once = self.concurrency_limit.limit(cx);
-        while self.granted.len() < at_once && self.starts.len() < starts {
+        let limit = self.concurrency_limit.limit(cx);
+        while self.granted.len() < limit && self.starts.len() < starts {
             let first = self.queue.iter().min_by_key(|(_, queued)| rank(queued));
             let Some(key) = first.map(|(key, _)| key.clone()) else { return };
             let Some(queued) = self.queue.remove(&key) else { return };
             self.starts.push(cx.now);
             let concurrent_at_start = self.granted.len();
             let (to, waiting) = (&queued.from, self.queue.len());
-            let detail = format!("to={to} running={concurrent_at_start} of={at_once} waiting={waiting}");
+            let detail = format!("to={to} running={concurrent_at_start} of={limit} waiting={waiting}");
             cx.note("load_slot_granted", &key, detail);
             send_granted(cx, &queued.from, &key);
             self.granted.insert(
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -27,7 +27,7 @@
 const MAX_CHECK_GAP: Duration = Duration::from_secs(2);
 /// How often the retry delay is doubled at most.
 const MAX_RETRY_DOUBLINGS: u32 = 7;
-/// Divisor of the load time that gives how long a model from the weight store is retained at least.
+/// A model from the weight store is retained for at least its load time divided by this.
 ///
 /// Callers with short timeouts were told to retry about now, and hosts with waiting
 /// requests may not have reported them to this owner. Of 40 such loads in a day, 13
@@ -45,7 +45,7 @@
     // Memory reserved for a more urgent load is not given to a less urgent one.
     let mut reserved = Mebibytes(0);
     // On a sequential engine, only the most urgent load evicts models.
-    let mut is_turn_used = false;
+    let mut is_order_chosen = false;
     let mut memory_blocked = OrderedSet::new();
     for desired in desired_loads {
         if engine.model(&desired.model).is_some() {
@@ -53,7 +53,7 @@
             load_adapters(cx, engine, context, permit, desired);
             continue;
         }
-        if resend(cx, engine, permit, &desired.model) || !may_begin(cx, engine, context, desired) {
+        if resend(cx, engine, permit, &desired.model) || !may_start(cx, engine, context, desired) {
             continue;
         }
         let Some(model) = cx.document.catalogue.models.get(&desired.model) else { continue };
@@ -64,7 +64,7 @@
         let free = free.saturating_sub(reserved);
         let missing = memory.saturating_sub(free);
         let accepts_load = engine.is_free_for_orders() || freed_by_unload.is_some();
-        let may_order = !engine.is_sequential() || !is_turn_used && accepts_load;
+        let may_order = !engine.is_sequential() || !is_order_chosen && accepts_load;
         let needs_room = may_order && missing > Mebibytes(0);
         if needs_room && !unload::can_make_room(cx, engine, context, desired, missing) {
             memory_blocked.insert(desired.model.clone());
@@ -80,20 +80,20 @@
             continue;
         }
         if needs_room {
-            is_turn_used |= unload::make_room(cx, engine, context, desired, missing);
+            is_order_chosen |= unload::make_room(cx, engine, context, desired, missing);
             continue;
         }
         let load = Order::Load { model: desired.model.clone(), version: model.version.clone(), memory };
-        is_turn_used |= start_load(cx, engine, context, permit, desired, load) == Started::Yes;
+        is_order_chosen |= start_load(cx, engine, context, permit, desired, load) == Started::Yes;
     }
     engine.memory_blocked = memory_blocked;
 }
 
 /// Resends an order whose answer was lost. Reports whether an order for the model is pending.
 fn resend(cx: &mut Cx<'_>, engine: &mut Engine, permit: Permit, model: &ModelName) -> bool {
-    let Some(unsettled) = engine.pending_orders.find(model, |_| true) else { return false };
-    if unsettled.resend && unsettled.sent.after(RESEND_AFTER).is_due(cx.now) {
-        let (id, action) = (unsettled.id, unsettled.action.clone());
+    let Some(pending) = engine.pending_orders.find(model, |_| true) else { return false };
+    if pending.resend && pending.sent.after(RESEND_AFTER).is_due(cx.now) {
+        let (id, action) = (pending.id, pending.action.clone());
         engine.send(cx, permit, Some(id), action);
     }
     true
@@ -108,15 +108,15 @@
     model: &ModelName,
     adapter: &AdapterName,
 ) -> bool {
-    let Some(unsettled) = engine.pending_orders.find_adapter(model, adapter) else { return false };
-    if unsettled.resend && unsettled.sent.after(RESEND_AFTER).is_due(cx.now) {
-        let (id, action) = (unsettled.id, unsettled.action.clone());
+    let Some(pending) = engine.pending_orders.find_adapter(model, adapter) else { return false };
+    if pending.resend && pending.sent.after(RESEND_AFTER).is_due(cx.now) {
+        let (id, action) = (pending.id, pending.action.clone());
         engine.send(cx, permit, Some(id), action);
     }
     true
 }
 
-fn may_begin(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, desired: &DesiredLoad) -> bool {
+fn may_start(cx: &Cx<'_>, engine: &Engine, context: &DecisionContext<'_>, desired: &DesiredLoad) -> bool {
     let failed = engine.failures.get(&desired.model).is_some_and(|failures| !failures.retry.is_due(cx.now));
     !failed && !engine.is_leaving() && has_power(engine, context)
 }
@@ -133,14 +133,14 @@
     permit: Permit,
     desired: &DesiredLoad,
 ) {
-    let is_held_up = !engine.is_sequential() && resend(cx, engine, permit, &desired.model);
-    if !engine.is_ready(&desired.model) || is_held_up {
+    let is_blocked = !engine.is_sequential() && resend(cx, engine, permit, &desired.model);
+    if !engine.is_ready(&desired.model) || is_blocked {
         return;
     }
     let Some(model) = cx.document.catalogue.models.get(&desired.model) else { return };
     for adapter in context.demand.adapters(&desired.model) {
         let Some(&memory) = model.adapters.get(&adapter) else { continue };
-        if has_adapter(engine, &desired.model, &adapter) || !may_begin(cx, engine, context, desired) {
+        if has_adapter(engine, &desired.model, &adapter) || !may_start(cx, engine, context, desired) {
             continue;
         }
         if resend_adapter(cx, engine, permit, &desired.model, &adapter) {
@@ -245,14 +245,14 @@
 }
 
 fn log_started(cx: &mut Cx<'_>, engine: &Engine, desired: &DesiredLoad, load: &Order) {
-    let what = match load {
+    let target = match load {
         Order::LoadAdapter { model, adapter, .. } => format!("{model}/{adapter}"),
         _ => desired.model.to_string(),
     };
     let copy = if engine.has_copy(&desired.model) { "here" } else { "none" };
     cx.note(
         "load_started",
-        format!("{what}@{}", engine.id),
+        format!("{target}@{}", engine.id),
         format!("cause={} order={} waiting={} copy={copy}", desired.cause, desired.order, desired.waiting),
     );
 }
@@ -272,8 +272,8 @@
     engine: &mut Engine,
     context: &mut DecisionContext<'_>,
 ) -> Vec<ModelName> {
-    let mut served = Vec::new();
-    let Some(report) = engine.report() else { return served };
+    let mut newly_ready = Vec::new();
+    let Some(report) = engine.report() else { return newly_ready };
     let ready: Vec<ModelName> =
         report.models.iter().filter(|m| m.state == LoadState::Ready).map(|m| m.model.clone()).collect();
     engine.ready_since.retain(|model, _| ready.contains(model));
@@ -284,7 +284,7 @@
         let Some(load) = engine.loads.remove(&model) else { continue };
         let took = cx.now.since(load.ordered);
         if engine.is_sequential() {
-            served.push(model.clone());
+            newly_ready.push(model.clone());
         }
         if let Some(need) = context.demand.of_model(&model) {
             context.history.record_cold_start(&model, need.waiting);
@@ -311,7 +311,7 @@
             record_failure(cx, engine, context.load_metrics, &model, "the engine doesn't show it any more");
         }
     }
-    served
+    newly_ready
 }
 
 /// Records a failed load. The retry delay doubles with every failure.
@@ -325,8 +325,8 @@
     engine.loads.remove(model);
     load_metrics.failed += 1;
     let count = engine.failures.get(model).map_or(0, |failures| failures.count).saturating_add(1);
-    let pause = RETRY_BASE.saturating_mul(1 << count.min(MAX_RETRY_DOUBLINGS));
-    engine.failures.insert(model.clone(), Failures { count, retry: cx.now.after(pause) });
+    let delay = RETRY_BASE.saturating_mul(1 << count.min(MAX_RETRY_DOUBLINGS));
+    engine.failures.insert(model.clone(), Failures { count, retry: cx.now.after(delay) });
     cx.note("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
 }
 
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -20,13 +20,13 @@
 use crate::cx::Cx;
 use crate::dump::Belief;
 use crate::id::{HostId, UpstreamId};
-use crate::loading::gate::{Gate, LoadKey, QUEUE_TTL, RENEW_EVERY, Urgency, rate};
+use crate::loading::gate::{Gate, LoadKey, QUEUE_TTL, RENEW_INTERVAL, Urgency, rate};
 use crate::peer::PeerMessage;
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
 /// How often a waiting load repeats its request.
-const ASK_INTERVAL: Duration = Duration::from_millis(150);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 /// How long repeated requests may go unanswered before a gate counts as silent.
 const GATE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a silent gate is not asked. Paused hosts stay paused for some seconds.
@@ -138,8 +138,8 @@
             }
             self.request_from_gate(cx, key);
         }
-        let is_one_heard = self.silent_gates.is_empty() && cx.cache.members().next().is_some();
-        !is_one_heard && self.gate_host(cx).is_none()
+        let is_gate_available = self.silent_gates.is_empty() && cx.cache.members().next().is_some();
+        !is_gate_available && self.gate_host(cx).is_none()
     }
 
     /// Records that a load has started.
@@ -166,20 +166,20 @@
     ///
     /// Processes with the same member list choose the same one.
     fn gate_host(&self, cx: &Cx<'_>) -> Option<HostId> {
-        let staying = cx.cache.members().filter(|(_, member)| !member.leaving).map(|(host, _)| host);
-        let mut ranked: Vec<(u64, &HostId)> = staying
+        let members = cx.cache.members().filter(|(_, member)| !member.leaving).map(|(host, _)| host);
+        let mut ranked: Vec<(u64, &HostId)> = members
             .map(|host| (FixedState::default().hash_one(("weight-store", host.as_str())), host))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let is_heard = |host: &&HostId| !self.silent_gates.contains_key(*host);
-        ranked.into_iter().take(MAX_GATES).map(|(_, host)| host).find(is_heard).cloned()
+        let is_responsive = |host: &&HostId| !self.silent_gates.contains_key(*host);
+        ranked.into_iter().take(MAX_GATES).map(|(_, host)| host).find(is_responsive).cloned()
     }
 
     fn grant_local(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
-        let spacing = local_interval(cx);
+        let interval = local_interval(cx);
         let is_taken = self.requests.values().any(|request| request.source == SlotSource::Local);
-        let is_early = self.last_local_grant.is_some_and(|last| !last.after(spacing).is_due(now));
+        let is_early = self.last_local_grant.is_some_and(|last| !last.after(interval).is_due(now));
         if is_taken || is_early {
             return false;
         }
@@ -187,7 +187,7 @@
         if let Some(request) = self.requests.get_mut(key) {
             request.source = SlotSource::Local;
         }
-        cx.note("store_gates_away", key, "the load begins without a gate");
+        cx.note("store_gates_away", key, "no gate answers; the load starts on the local share");
         true
     }
 
@@ -209,7 +209,7 @@
         }
         let gate = self.gate_host(cx);
         let Some(request) = self.requests.get_mut(key) else { return };
-        request.next_message = now.after(ASK_INTERVAL);
+        request.next_message = now.after(REQUEST_INTERVAL);
         let Some(gate) = gate else { return };
         // Requests from before a gap do not count as unanswered: an engine busy with
         // another order sends none meanwhile.
@@ -248,12 +248,12 @@
     pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
         let requests = self.requests.iter().map(|(key, request)| {
             let gate = request.gate.as_ref().map_or("none", HostId::as_str);
-            let standing = match (request.source, request.started) {
+            let status = match (request.source, request.started) {
                 (SlotSource::None, _) => "waits",
                 (_, false) => "may begin",
                 (_, true) => "in progress",
             };
-            let state = format!("{standing}; gate={gate}");
+            let state = format!("{status}; gate={gate}");
             Belief { kind: "load_slot", subject: key.to_string(), state, since: request.last_asked }
         });
         requests.chain(self.gate.beliefs())
@@ -311,7 +311,7 @@
         }
         let gate = self.gate_host(cx);
         let Some(request) = self.requests.get_mut(key) else { return };
-        request.next_message = cx.now.after(RENEW_EVERY);
+        request.next_message = cx.now.after(RENEW_INTERVAL);
         let Some(gate) = gate else { return };
         let former = request.gate.replace(gate.clone()).filter(|former| *former != gate);
         if let Some(former) = former {
@@ -362,7 +362,7 @@
         if request.source == SlotSource::None {
             request.source = SlotSource::Gate;
             request.gate = Some(from.clone());
-            request.next_message = cx.now.after(RENEW_EVERY);
+            request.next_message = cx.now.after(RENEW_INTERVAL);
         } else if request.gate.as_ref() != Some(from) {
             // Another gate has granted the slot meanwhile, and only that one will be
             // told of its end.
--- a/crates/skylarkshore-core/src/loading/pending_orders.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -43,9 +43,9 @@
 }
 
 impl PendingOrder {
-    fn unsettled(&self, id: OrderId) -> UnsettledOrder<'_> {
+    fn order_ref(&self, id: OrderId) -> PendingOrderRef<'_> {
         let resend = self.progress == Progress::Unanswered;
-        UnsettledOrder { id, action: &self.action, sent: self.sent, resend }
+        PendingOrderRef { id, action: &self.action, sent: self.sent, resend }
     }
 }
 
@@ -64,7 +64,7 @@
 
 /// An order that is no longer in doubt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Settled {
+pub(crate) struct ResolvedOrder {
     /// The order.
     pub action: Order,
     /// Whether the report shows its result.
@@ -188,27 +188,35 @@
     }
 
     /// Removes the orders that the report, requested at `as_of`, settles.
-    pub(crate) fn settle(&mut self, report: &EngineReport, as_of: Time, settle: Duration) -> Vec<Settled> {
+    pub(crate) fn resolve(
+        &mut self,
+        report: &EngineReport,
+        as_of: Time,
+        grace: Duration,
+    ) -> Vec<ResolvedOrder> {
         let is_resolved = |order: &OrderId, pending: &mut PendingOrder| {
             let named = report.settled.contains(order);
             if let Some((accepted, after)) = report.accepted.zip(pending.after) {
                 let taken = accepted > after && as_of >= pending.sent && !report.busy;
-                let expired = pending.lost.is_some_and(|lost| as_of >= lost.after(settle));
+                let expired = pending.lost.is_some_and(|lost| as_of >= lost.after(grace));
                 return taken || expired && !matches!(pending.progress, Progress::InFlight);
             }
             match (pending.progress, pending.lost) {
                 (Progress::InFlight, _) => false,
                 (Progress::Accepted { at }, None) => as_of >= at,
                 (Progress::Accepted { at }, Some(lost)) => {
-                    as_of >= at && (named || as_of >= lost.after(settle))
+                    as_of >= at && (named || as_of >= lost.after(grace))
                 }
-                (Progress::Unanswered, Some(lost)) => as_of >= lost && (named || as_of >= lost.after(settle)),
+                (Progress::Unanswered, Some(lost)) => as_of >= lost && (named || as_of >= lost.after(grace)),
                 (Progress::Unanswered, None) => true,
             }
         };
         self.orders
             .extract_if(.., is_resolved)
-            .map(|(_, pending)| Settled { shown: is_shown(report, &pending.action), action: pending.action })
+            .map(|(_, pending)| ResolvedOrder {
+                shown: is_shown(report, &pending.action),
+                action: pending.action,
+            })
             .collect()
     }
 
@@ -257,10 +265,10 @@
     }
 
     /// Returns a pending order for the model that matches `wanted`.
-    pub(crate) fn find(&self, model: &ModelName, wanted: fn(&Order) -> bool) -> Option<UnsettledOrder<'_>> {
+    pub(crate) fn find(&self, model: &ModelName, wanted: fn(&Order) -> bool) -> Option<PendingOrderRef<'_>> {
         self.current()
             .find(|(_, pending)| model_of(&pending.action) == Some(model) && wanted(&pending.action))
-            .map(|(id, pending)| pending.unsettled(*id))
+            .map(|(id, pending)| pending.order_ref(*id))
     }
 
     /// Returns a pending order that loads or unloads the adapter.
@@ -268,14 +276,14 @@
         &self,
         model: &ModelName,
         adapter: &AdapterName,
-    ) -> Option<UnsettledOrder<'_>> {
+    ) -> Option<PendingOrderRef<'_>> {
         let is_it = |action: &Order| match action {
             Order::LoadAdapter { model: base, adapter: name, .. }
             | Order::UnloadAdapter { model: base, adapter: name } => base == model && name == adapter,
             _ => false,
         };
         let found = self.current().find(|(_, pending)| is_it(&pending.action));
-        found.map(|(id, pending)| pending.unsettled(*id))
+        found.map(|(id, pending)| pending.order_ref(*id))
     }
 
     /// Reports whether an order for the model is pending.
@@ -373,7 +381,7 @@
 
 /// A pending order.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct UnsettledOrder<'a> {
+pub(crate) struct PendingOrderRef<'a> {
     /// The order's number.
     pub id: OrderId,
     /// The requested action.
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -78,8 +78,8 @@
     };
     // Engines may hold models before any homes are written. If those models counted
     // as surplus, a new deployment would unload everything first.
-    let is_placed = !engine.is_sequential() || cx.cache.homes(&reported.model).is_some();
-    if !is_placed {
+    let has_homes = !engine.is_sequential() || cx.cache.homes(&reported.model).is_some();
+    if !has_homes {
         return None;
     }
     // An unconfirmed home is not a lost one. After a takeover the homes are
@@ -106,8 +106,9 @@
 ) -> bool {
     let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.holds_live(&reported.model));
     let Some((_, homes)) = cx.cache.homes(&reported.model) else { return false };
-    let most = desired_loads::rule_outcome(cx, engine, context, &reported.model).replicas_max as usize;
-    engine.is_sequential() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < most
+    let max_replicas =
+        desired_loads::rule_outcome(cx, engine, context, &reported.model).replicas_max as usize;
+    engine.is_sequential() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < max_replicas
 }
 
 /// Updates the idle models that the policy wants to unload.
@@ -149,7 +150,7 @@
     let margin =
         engine.site.as_ref().map_or(Margin::Times(1.0), |site| context.power_shortages.margin(cx.now, site));
     let idle_models: Vec<IdleModel> = adaptive.iter().map(|(_, idle)| idle.clone()).collect();
-    if margin == Margin::Unreachable && !is_awake_anyway && !was_just_used(cx.now, engine) {
+    if margin == Margin::Unreachable && !is_awake_anyway && !was_recently_used(cx.now, engine) {
         unneeded.extend(report.models.iter().map(|reported| reported.model.clone()));
     } else if !must_stay && !policy::is_worth_keeping(&idle_models, margin) {
         unneeded.extend(adaptive.into_iter().map(|(model, _)| model));
@@ -158,7 +159,7 @@
 }
 
 /// Reports whether the engine was used so recently that a burst may not be over.
-fn was_just_used(now: Time, engine: &Engine) -> bool {
+fn was_recently_used(now: Time, engine: &Engine) -> bool {
     let ready = engine.ready_since.values();
     engine.last_busy.values().chain(ready).any(|used| !used.after(RECENT_USE).is_due(now))
 }
@@ -227,11 +228,11 @@
     desired: &DesiredLoad,
     missing: Mebibytes,
 ) -> bool {
-    let coming = memory_being_freed(engine);
+    let being_freed = memory_being_freed(engine);
     for closing in engine.closing.values_mut() {
         closing.last_needed = cx.now;
     }
-    let mut missing = missing.saturating_sub(coming);
+    let mut missing = missing.saturating_sub(being_freed);
     if missing == Mebibytes(0) {
         return true;
     }
@@ -344,11 +345,11 @@
 ) {
     let closing: Vec<(ModelName, Closing)> = engine.closing.iter().map(|(m, c)| (m.clone(), *c)).collect();
     for (model, closing) in closing {
-        if let Some(unsettled) =
+        if let Some(pending) =
             engine.pending_orders.find(&model, |order| matches!(order, Order::Unload { .. }))
         {
-            if unsettled.resend && unsettled.sent.after(RESEND_AFTER).is_due(cx.now) {
-                let (id, action) = (unsettled.id, unsettled.action.clone());
+            if pending.resend && pending.sent.after(RESEND_AFTER).is_due(cx.now) {
+                let (id, action) = (pending.id, pending.action.clone());
                 engine.send(cx, permit, Some(id), action);
             }
             continue;
