--- a/crates/skylarkshore-core/tests/loading.rs
+++ b/crates/skylarkshore-core/tests/loading.rs
@@ -3,21 +3,21 @@
 #[path = "support/loading.rs"]
 mod support;
 
-#[path = "loading/course.rs"]
-mod course;
 #[path = "loading/faults.rs"]
 mod faults;
-#[path = "loading/lives.rs"]
-mod lives;
-#[path = "loading/one_by_one.rs"]
-mod one_by_one;
-#[path = "loading/pace.rs"]
-mod pace;
-#[path = "loading/plan.rs"]
-mod plan;
+#[path = "loading/lifecycle.rs"]
+mod lifecycle;
+#[path = "loading/load_slots.rs"]
+mod load_slots;
 #[path = "loading/policy.rs"]
 mod policy;
-#[path = "loading/served.rs"]
-mod served;
-#[path = "loading/slots.rs"]
-mod slots;
+#[path = "loading/restarts.rs"]
+mod restarts;
+#[path = "loading/sequential_engines.rs"]
+mod sequential_engines;
+#[path = "loading/swaps.rs"]
+mod swaps;
+#[path = "loading/unserved.rs"]
+mod unserved;
+#[path = "loading/weight_store_gate.rs"]
+mod weight_store_gate;
--- a/crates/skylarkshore-core/tests/loading/served.rs
+++ b/crates/skylarkshore-core/tests/loading/unserved.rs
@@ -7,7 +7,7 @@
 use crate::support::{LOAD_TIME, Rig, TICK, name};
 
 /// Returns what operators were told of as asked for in vain.
-fn told_unserved(rig: &Rig) -> Vec<&str> {
+fn logged_unserved(rig: &Rig) -> Vec<&str> {
     rig.notes.iter().filter(|note| note.event == "model_unserved").map(|note| note.subject.as_str()).collect()
 }
 
@@ -15,53 +15,53 @@
 /// host. All are told to come back and none is served. No host could tell; the
 /// owner that hears of all of them has to say so.
 #[test]
-fn operators_are_told_of_a_model_that_is_asked_for_in_vain() {
-    let mut rig = Rig::one_by_one(&[("maize", 300), ("rye", 300)]);
+fn an_unserved_model_is_logged() {
+    let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
     rig.authority.permitted = false;
     rig.add_engine("engine-b", "entry-8");
-    rig.set_held("engine-b", "rye");
+    rig.set_listed_model("engine-b", "rye");
     for number in 0..6 {
         let router = format!("entry-{number}");
-        rig.arrive_for(&router, "maize", 1, Duration::ZERO);
-        rig.arrive(&router, "rye", 1);
+        rig.report_use_for(&router, "maize", 1, Duration::ZERO);
+        rig.report_use(&router, "rye", 1);
         rig.run(Duration::from_secs(2));
     }
-    assert_eq!(told_unserved(&rig), ["maize"], "{:?}", rig.notes);
+    assert_eq!(logged_unserved(&rig), ["maize"], "{:?}", rig.notes);
 }
 
 /// An engine holds a model, whose own callers are served. Those of one of its
 /// adapters are all refused, each at another host. Told of models only, operators
 /// would see a model that is in use, and nothing of the adapter.
 #[test]
-fn operators_are_told_of_an_adapter_that_is_asked_for_in_vain() {
-    let mut rig = Rig::one_by_one(&[("maize", 300)]);
+fn an_unserved_adapter_is_logged() {
+    let mut rig = Rig::sequential(&[("maize", 300)]);
     rig.add_adapter("maize", "blue");
     rig.add_adapter("maize", "red");
     rig.authority.permitted = false;
     rig.add_engine("engine-b", "entry-8");
-    rig.set_held("engine-b", "maize");
+    rig.set_listed_model("engine-b", "maize");
     for number in 0..6 {
         let router = format!("entry-{number}");
-        rig.arrive_for(&router, "maize/blue", 1, Duration::ZERO);
-        rig.arrive(&router, "maize/red", 1);
+        rig.report_use_for(&router, "maize/blue", 1, Duration::ZERO);
+        rig.report_use(&router, "maize/red", 1);
         rig.run(Duration::from_secs(2));
     }
-    assert_eq!(told_unserved(&rig), ["maize/blue"], "{:?}", rig.notes);
+    assert_eq!(logged_unserved(&rig), ["maize/blue"], "{:?}", rig.notes);
 }
 
 /// A model is loaded from the weight store and unloaded before a request has run
 /// on it. Its callers see refusals only; the line of the unload shows that the
 /// load was for nobody.
 #[test]
-fn an_unload_tells_whether_the_model_was_used() {
-    let mut rig = Rig::one_by_one(&[("maize", 600), ("rye", 600)]);
+fn an_unload_logs_whether_the_model_was_used() {
+    let mut rig = Rig::sequential(&[("maize", 600), ("rye", 600)]);
     for model in ["maize", "rye"] {
-        rig.run_wanting(Duration::from_secs(6), "entry-2", model, 1);
-        rig.want("entry-2", model, 0);
+        rig.run_with_demand(Duration::from_secs(6), "entry-2", model, 1);
+        rig.demand("entry-2", model, 0);
         rig.run(Duration::from_secs(1));
     }
-    rig.arrive("entry-2", "rye", 1);
-    rig.run_wanting(Duration::from_secs(6), "entry-2", "maize", 1);
+    rig.report_use("entry-2", "rye", 1);
+    rig.run_with_demand(Duration::from_secs(6), "entry-2", "maize", 1);
     let unloads = rig.notes.iter().filter(|note| note.event == "model_unloaded");
     let used: Vec<(&str, bool)> = unloads
         .map(|note| (note.subject.split('@').next().unwrap_or_default(), note.detail.contains("used=true")))
@@ -77,21 +77,21 @@
 /// The proof: of the refusals after a wait of five seconds and more, most named a
 /// third of the load's length, and the load's end followed within half a second.
 #[test]
-fn a_load_that_is_overdue_for_a_moment_is_not_taken_to_last_long() {
-    let mut rig = Rig::one_by_one(&[("maize", 300)]);
+fn a_briefly_overdue_load_gets_a_short_estimate() {
+    let mut rig = Rig::sequential(&[("maize", 300)]);
     let late = LOAD_TIME / 10;
     let known = rig.document.catalogue.models.get_mut(&name("maize")).expect("the model is listed");
     known.load_time = LOAD_TIME * 9 / 10;
     rig.run(Duration::from_millis(100));
-    rig.want("entry-2", "maize", 1);
+    rig.demand("entry-2", "maize", 1);
     rig.run_until("the load begins", |rig| rig.engine.loads_of("maize") == 1);
-    let begun = rig.now;
+    let started = rig.now;
     let mut longest = Duration::ZERO;
     while !rig.shows("entry-2", "maize", "Ready") {
-        rig.want("entry-2", "maize", 1);
+        rig.demand("entry-2", "maize", 1);
         rig.run(TICK);
         if let Some(remaining) = rig.remaining("entry-2", "maize") {
-            longest = longest.max(rig.now.since(begun) + remaining);
+            longest = longest.max(rig.now.since(started) + remaining);
         }
     }
     assert!(longest <= LOAD_TIME + late, "told to wait until {longest:?} from the load's begin");
@@ -105,20 +105,20 @@
 /// The proof: of forty loads from the store that ended in a day, thirteen models
 /// were unloaded within a second, and twenty-four weren't used once.
 #[test]
-fn a_model_from_the_weight_store_stays_for_callers_who_were_told_to_come_back() {
-    let mut rig = Rig::one_by_one(&[("maize", 600), ("rye", 600)]);
+fn a_model_from_the_weight_store_is_retained_for_retries() {
+    let mut rig = Rig::sequential(&[("maize", 600), ("rye", 600)]);
     rig.run(Duration::from_millis(100));
-    rig.want_with("entry-2", "maize", 1, ServiceOrder::default(), Duration::from_secs(1));
+    rig.demand_with("entry-2", "maize", 1, ServiceOrder::default(), Duration::from_secs(1));
     assert_eq!(rig.refusals(), ["maize TooSlow"]);
     rig.run_until("the load ends", |rig| {
         rig.notes.iter().any(|note| note.event == "load_ended" && note.subject.starts_with("maize"))
     });
     let ready = rig.now;
     while rig.now.since(ready) < LOAD_TIME / 5 {
-        rig.want("entry-3", "rye", 1);
+        rig.demand("entry-3", "rye", 1);
         rig.run(TICK);
     }
     assert!(rig.engine.holds("maize"), "{:?}", rig.notes);
-    rig.run_wanting(LOAD_TIME * 2, "entry-3", "rye", 1);
+    rig.run_with_demand(LOAD_TIME * 2, "entry-3", "rye", 1);
     assert!(rig.engine.holds("rye"), "the other one has its turn: {:?}", rig.notes);
 }
--- a/crates/skylarkshore-core/tests/support/fake_engine.rs
+++ b/crates/skylarkshore-core/tests/support/fake_engine.rs
@@ -12,7 +12,7 @@
 
 /// A model on the fake engine.
 #[derive(Clone, Debug)]
-struct Held {
+struct LoadedModel {
     version: String,
     memory: Mebibytes,
     ready_at: Time,
@@ -26,11 +26,11 @@
     /// Whether it answers at all.
     pub up: bool,
     /// Whether reports name the orders that were settled.
-    pub names_settled: bool,
+    pub reports_settled: bool,
     /// Which life it lives.
     pub incarnation: Incarnation,
     /// What it has done.
-    pub done: Vec<Order>,
+    pub executed: Vec<Order>,
     /// How many orders it has accepted, if it numbers them and takes one at a time.
     pub accepted: Option<u64>,
     /// The models of which it keeps copies.
@@ -44,7 +44,7 @@
     /// Until when it is carrying an unload out.
     unloading_until: Time,
     memory: Mebibytes,
-    models: OrderedMap<ModelName, Held>,
+    models: OrderedMap<ModelName, LoadedModel>,
     settled: Vec<OrderId>,
 }
 
@@ -53,9 +53,9 @@
     pub fn new(memory: Mebibytes) -> Self {
         Self {
             up: true,
-            names_settled: true,
+            reports_settled: true,
             incarnation: Incarnation(1),
-            done: Vec::new(),
+            executed: Vec::new(),
             accepted: None,
             copies: Copies::default(),
             unload_time: Duration::ZERO,
@@ -69,8 +69,8 @@
     }
 
     /// Carries an order out and fails the test if memory is overcommitted.
-    pub fn carry_out(&mut self, now: Time, order: OrderId, action: &Order) {
-        self.done.push(action.clone());
+    pub fn execute(&mut self, now: Time, order: OrderId, action: &Order) {
+        self.executed.push(action.clone());
         self.settled.push(order);
         if let Some(accepted) = &mut self.accepted
             && *action != Order::RaiseFence
@@ -81,7 +81,7 @@
         match action {
             Order::RaiseFence => {}
             Order::Load { model, version, memory } => {
-                let held = Held {
+                let held = LoadedModel {
                     version: version.to_string(),
                     memory: *memory,
                     ready_at: now.after(self.load_time(model)),
@@ -110,10 +110,15 @@
     }
 
     /// Puts a model on it that no order of its present owner brought there.
-    pub fn put(&mut self, model: &str, memory: u64) {
+    pub fn insert_model(&mut self, model: &str, memory: u64) {
         let (ready_at, adapters) = (Time::START, OrderedMap::new());
-        let held =
-            Held { version: "v1".to_owned(), memory: Mebibytes(memory), ready_at, running: 0, adapters };
+        let held = LoadedModel {
+            version: "v1".to_owned(),
+            memory: Mebibytes(memory),
+            ready_at,
+            running: 0,
+            adapters,
+        };
         self.models.insert(name(model), held);
     }
 
@@ -135,7 +140,7 @@
     }
 
     fn used(&self) -> Mebibytes {
-        let of = |held: &Held| held.memory + held.adapters.values().map(|(memory, _)| *memory).sum();
+        let of = |held: &LoadedModel| held.memory + held.adapters.values().map(|(memory, _)| *memory).sum();
         self.models.values().map(of).sum()
     }
 
@@ -156,7 +161,7 @@
     pub fn loads_of(&self, wanted: &str) -> usize {
         let is_wanted =
             |order: &&Order| matches!(order, Order::Load { model, .. } if model.as_str() == wanted);
-        self.done.iter().filter(is_wanted).count()
+        self.executed.iter().filter(is_wanted).count()
     }
 
     /// Tells whether it holds the model.
@@ -194,7 +199,7 @@
             waiting: 0,
             leaving: false,
             lag: Duration::from_millis(200),
-            settled: if self.names_settled { self.settled.clone() } else { Vec::new() },
+            settled: if self.reports_settled { self.settled.clone() } else { Vec::new() },
             busy: self.accepted.is_some() && (self.is_loading(now) || self.is_unloading(now)),
             accepted: self.accepted,
             copies: self.copies.clone(),
--- a/crates/skylarkshore-core/tests/support/loading.rs
+++ b/crates/skylarkshore-core/tests/support/loading.rs
@@ -41,7 +41,7 @@
 /// What an engine draws with something loaded.
 pub const ACTIVE: Watts = Watts(700);
 /// The host whose process is under test.
-pub const OWN: &str = "entry-1";
+pub const OWN_HOST: &str = "entry-1";
 /// The engine that it owns.
 pub const ENGINE: &str = "engine-a";
 
@@ -60,13 +60,13 @@
 
 /// What happens to an order on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     /// It arrives, and so does its answer.
-    Arrives,
+    Delivered,
     /// It arrives, but its answer doesn't.
     AnswerLost,
     /// It is held up; the sender gives it up for lost.
-    Held,
+    Delayed,
 }
 
 /// What the process under test may do.
@@ -114,21 +114,21 @@
     /// The operators' document.
     pub document: Document,
     /// What happens to the next loads and unloads; then all arrive.
-    pub fates: Vec<Fate>,
+    pub deliveries: Vec<Delivery>,
     /// How many orders each order says that the engine must have accepted before.
-    pub numbers: Vec<Option<u64>>,
+    pub expected_counts: Vec<Option<u64>>,
     /// Orders that were held up.
-    pub held: Vec<(OrderId, Order)>,
+    pub delayed: Vec<(OrderId, Order)>,
     /// Messages to other hosts and to the own router.
-    pub told: Vec<Envelope>,
+    pub sent: Vec<Envelope>,
     /// Notes for the operators.
     pub notes: Vec<Note>,
     /// How many reports were asked for.
-    pub reports_asked: usize,
+    pub report_requests: usize,
     /// Whether the engine's reports get lost.
-    pub reports_away: bool,
+    pub drop_reports: bool,
     /// Whether messages to the weight-store gate get lost.
-    pub gate_away: bool,
+    pub drop_gate_messages: bool,
     cfg: NodeConfig,
     cache: StoreCache,
     upstreams: UpstreamList,
@@ -143,7 +143,7 @@
 
 fn config() -> NodeConfig {
     NodeConfig {
-        host: name(OWN),
+        host: name(OWN_HOST),
         incarnation: Incarnation(1),
         data_centre: name("bern-a"),
         caller_address: address(1),
@@ -217,14 +217,14 @@
             },
             engine: FakeEngine::new(memory),
             document: Document::default(),
-            fates: Vec::new(),
-            numbers: Vec::new(),
-            held: Vec::new(),
-            told: Vec::new(),
+            deliveries: Vec::new(),
+            expected_counts: Vec::new(),
+            delayed: Vec::new(),
+            sent: Vec::new(),
             notes: Vec::new(),
-            reports_asked: 0,
-            reports_away: false,
-            gate_away: false,
+            report_requests: 0,
+            drop_reports: false,
+            drop_gate_messages: false,
             cfg,
             cache: StoreCache::default(),
             upstreams: std::iter::once(engine_upstream(memory)).collect(),
@@ -232,10 +232,10 @@
             rng: SmallRng::seed_from_u64(1),
             revision: 0,
         };
-        rig.add_member(OWN);
+        rig.add_member(OWN_HOST);
         rig.put(
             Key::Owner(name(ENGINE)),
-            Record::Owner(OwnerRecord { host: name(OWN), incarnation: Incarnation(1), fence: Fence(7) }),
+            Record::Owner(OwnerRecord { host: name(OWN_HOST), incarnation: Incarnation(1), fence: Fence(7) }),
         );
         for (model_name, memory) in models {
             rig.document.catalogue.models.insert(name(model_name), model(*memory));
@@ -249,7 +249,7 @@
     }
 
     /// Makes a process that has just acquired an engine which numbers its orders and takes one at a time.
-    pub fn one_by_one(models: &[(&str, u64)]) -> Self {
+    pub fn sequential(models: &[(&str, u64)]) -> Self {
         let mut rig = Self::new(models);
         rig.engine.accepted = Some(0);
         rig.upstreams.change(&name(ENGINE), |engine| {
@@ -262,7 +262,7 @@
 
     /// Makes the same with a copy of every model on the engine's disk, from which loads take `takes`.
     pub fn with_copies(models: &[(&str, u64)], takes: Duration) -> Self {
-        let mut rig = Self::one_by_one(models);
+        let mut rig = Self::sequential(models);
         for (model, _) in models {
             let model: ModelName = name(model);
             let known = rig.document.catalogue.models.get_mut(&model).expect("the model is listed");
@@ -276,7 +276,7 @@
 
     /// Returns the last that a router was told of a model, if that is that it comes.
     pub fn remaining(&self, router: &str, model: &str) -> Option<Duration> {
-        let views = self.told.iter().rev().filter(|e| e.to.as_str() == router);
+        let views = self.sent.iter().rev().filter(|e| e.to.as_str() == router);
         let mut seen = views.filter_map(|e| match &e.message {
             PeerMessage::View(view) => view.models.iter().find(|seen| seen.model.as_str() == model),
             _ => None,
@@ -302,7 +302,7 @@
     }
 
     /// Has the list say that an engine holds a model.
-    pub fn set_held(&mut self, engine: &str, model: &str) {
+    pub fn set_listed_model(&mut self, engine: &str, model: &str) {
         let memory = Mebibytes(1000);
         let id: UpstreamId = name(engine);
         if !self.upstreams.contains(&id) {
@@ -312,7 +312,7 @@
     }
 
     /// Has the list speak of another life of the engine.
-    pub fn set_listed_life(&mut self, life: Incarnation) {
+    pub fn set_listed_incarnation(&mut self, life: Incarnation) {
         self.upstreams.change(&name(ENGINE), |listed| listed.incarnation = life);
     }
 
@@ -325,7 +325,7 @@
     }
 
     /// Hands a report over that was asked for just now.
-    pub fn report(&mut self, report: &EngineReport) {
+    pub fn receive_report(&mut self, report: &EngineReport) {
         let asked = self.now;
         self.with(|loading, cx, authority| {
             loading.on_report(cx, authority, &name(ENGINE), asked, Some(report));
@@ -364,7 +364,8 @@
 
     fn put(&mut self, key: Key, record: Record) {
         self.revision += 1;
-        let writer = Writer { host: name(OWN), incarnation: Incarnation(1), call: CallId(self.revision) };
+        let writer =
+            Writer { host: name(OWN_HOST), incarnation: Incarnation(1), call: CallId(self.revision) };
         let revision = StoreRevision(self.revision);
         self.cache.apply(Versioned { key, revision, writer: Some(writer), record: Some(record) });
     }
@@ -376,12 +377,12 @@
     }
 
     /// Says on a router's behalf that requests wait.
-    pub fn want(&mut self, router: &str, wanted: &str, waiting: u32) {
-        self.want_with(router, wanted, waiting, ServiceOrder::default(), Duration::from_mins(1));
+    pub fn demand(&mut self, router: &str, wanted: &str, waiting: u32) {
+        self.demand_with(router, wanted, waiting, ServiceOrder::default(), Duration::from_mins(1));
     }
 
     /// Says on a router's behalf that requests of an order of service wait.
-    pub fn want_with(
+    pub fn demand_with(
         &mut self,
         router: &str,
         wanted: &str,
@@ -390,30 +391,30 @@
         patience: Duration,
     ) {
         let message = PeerMessage::Wanted { target: target(wanted), waiting, order, patience, aim: None };
-        self.hear(&name(router), &message);
+        self.receive(&name(router), &message);
     }
 
     /// Says on a router's behalf how many requests have arrived that needn't wait.
-    pub fn arrive(&mut self, router: &str, model: &str, arrived: u32) {
-        self.arrive_for(router, model, arrived, RUN_TIME);
+    pub fn report_use(&mut self, router: &str, model: &str, arrived: u32) {
+        self.report_use_for(router, model, arrived, RUN_TIME);
     }
 
     /// Says the same where engines began to answer some of them late.
-    pub fn arrive_late(&mut self, router: &str, model: &str, arrived: u32, late: u32) {
+    pub fn report_late_use(&mut self, router: &str, model: &str, arrived: u32, late: u32) {
         let (target, worked) = (target(model), RUN_TIME * arrived);
         let message = PeerMessage::Used { target, arrived, late, worked, waited_for: false };
-        self.hear(&name(router), &message);
+        self.receive(&name(router), &message);
     }
 
     /// Says the same of requests that run for a given time each.
-    pub fn arrive_for(&mut self, router: &str, model: &str, arrived: u32, run: Duration) {
+    pub fn report_use_for(&mut self, router: &str, model: &str, arrived: u32, run: Duration) {
         let (target, worked) = (target(model), run * arrived);
         let message = PeerMessage::Used { target, arrived, late: 0, worked, waited_for: false };
-        self.hear(&name(router), &message);
+        self.receive(&name(router), &message);
     }
 
     /// Hands a peer's message over.
-    pub fn hear(&mut self, from: &HostId, message: &PeerMessage) {
+    pub fn receive(&mut self, from: &HostId, message: &PeerMessage) {
         self.with(|loading, cx, authority| loading.on_peer(cx, authority, from, message));
     }
 
@@ -436,24 +437,24 @@
     }
 
     /// Keeps a router asking while time passes.
-    pub fn run_wanting(&mut self, d: Duration, router: &str, wanted: &str, waiting: u32) {
+    pub fn run_with_demand(&mut self, d: Duration, router: &str, wanted: &str, waiting: u32) {
         let end = self.now.after(d);
         while self.now < end {
-            self.want(router, wanted, waiting);
+            self.demand(router, wanted, waiting);
             self.run(Duration::from_millis(500));
         }
     }
 
     /// Lets an order that was held up arrive at last.
-    pub fn release_held(&mut self) {
-        for (order, action) in std::mem::take(&mut self.held) {
-            self.engine.carry_out(self.now, order, &action);
+    pub fn deliver_delayed(&mut self) {
+        for (order, action) in std::mem::take(&mut self.delayed) {
+            self.engine.execute(self.now, order, &action);
         }
     }
 
     /// Tells whether the last view that a router got shows the model in this state.
     pub fn shows(&self, router: &str, model: &str, readiness: &str) -> bool {
-        let views = self.told.iter().rev().filter(|e| e.to.as_str() == router);
+        let views = self.sent.iter().rev().filter(|e| e.to.as_str() == router);
         let mut views = views.filter_map(|e| match &e.message {
             PeerMessage::View(view) => Some(view),
             _ => None,
@@ -465,13 +466,13 @@
     }
 
     /// Counts the views that routers were sent.
-    pub fn views_told(&self) -> usize {
-        self.told.iter().filter(|e| matches!(e.message, PeerMessage::View(_))).count()
+    pub fn views_sent(&self) -> usize {
+        self.sent.iter().filter(|e| matches!(e.message, PeerMessage::View(_))).count()
     }
 
     /// Counts the views that a router was sent.
-    pub fn views_told_to(&self, router: &str) -> usize {
-        let to_it = self.told.iter().filter(|e| e.to.as_str() == router);
+    pub fn views_sent_to(&self, router: &str) -> usize {
+        let to_it = self.sent.iter().filter(|e| e.to.as_str() == router);
         to_it.filter(|e| matches!(e.message, PeerMessage::View(_))).count()
     }
 
@@ -481,7 +482,7 @@
             PeerMessage::CannotLoad { target, reason, .. } => Some(format!("{} {reason:?}", target.model)),
             _ => None,
         };
-        self.told.iter().filter_map(refusal).collect()
+        self.sent.iter().filter_map(refusal).collect()
     }
 
     /// Calls the process's loads and carries out what they want.
@@ -490,7 +491,7 @@
         self.call(&mut effects, f);
         while !effects.is_empty() {
             for effect in std::mem::take(&mut effects) {
-                self.act(&mut effects, effect);
+                self.apply_effect(&mut effects, effect);
             }
         }
     }
@@ -511,78 +512,78 @@
         f(&mut self.loading, &mut cx, &self.authority);
     }
 
-    fn act(&mut self, effects: &mut Vec<Effect>, effect: Effect) {
+    fn apply_effect(&mut self, effects: &mut Vec<Effect>, effect: Effect) {
         match effect {
             Effect::Order { order, action, after, .. } => {
-                self.numbers.push(after);
+                self.expected_counts.push(after);
                 let differs =
                     self.engine.accepted.zip(after).is_some_and(|(accepted, after)| accepted != after);
                 if (differs || self.engine.refuses_orders(self.now)) && self.engine.up {
-                    return self.answer(effects, order, &OrderAnswer::OutOfTurn);
+                    return self.answer_order(effects, order, &OrderAnswer::OutOfTurn);
                 }
-                self.carry(effects, order, &action);
+                self.deliver_order(effects, order, &action);
             }
             Effect::AskReport { .. } => {
-                self.reports_asked += 1;
-                let is_heard = self.engine.up && !self.reports_away;
+                self.report_requests += 1;
+                let is_heard = self.engine.up && !self.drop_reports;
                 let report = is_heard.then(|| self.engine.report(self.now));
                 let asked = self.now;
                 self.call(effects, |loading, cx, authority| {
                     loading.on_report(cx, authority, &name(ENGINE), asked, report.as_ref());
                 });
             }
-            Effect::Peer(envelope) => self.deliver(effects, envelope),
+            Effect::Peer(envelope) => self.deliver_message(effects, envelope),
             Effect::Note(note) => self.notes.push(note),
             other => panic!("loading has no business with {other:?}"),
         }
     }
 
-    fn deliver(&mut self, effects: &mut Vec<Effect>, envelope: Envelope) {
+    fn deliver_message(&mut self, effects: &mut Vec<Effect>, envelope: Envelope) {
         let is_slot = matches!(
             envelope.message,
             PeerMessage::LoadSlotWanted { .. }
                 | PeerMessage::LoadSlotHeld { .. }
                 | PeerMessage::LoadSlotReturned { .. }
         );
-        if is_slot && self.gate_away {
+        if is_slot && self.drop_gate_messages {
             return;
         }
-        if envelope.to.as_str() == OWN {
+        if envelope.to.as_str() == OWN_HOST {
             let message = envelope.message.clone();
             self.call(effects, |loading, cx, authority| {
-                loading.on_peer(cx, authority, &name(OWN), &message);
+                loading.on_peer(cx, authority, &name(OWN_HOST), &message);
             });
         }
-        self.told.push(envelope);
+        self.sent.push(envelope);
     }
 
-    fn carry(&mut self, effects: &mut Vec<Effect>, order: OrderId, action: &Order) {
-        let fate = if *action == Order::RaiseFence || self.fates.is_empty() {
-            Fate::Arrives
+    fn deliver_order(&mut self, effects: &mut Vec<Effect>, order: OrderId, action: &Order) {
+        let delivery = if *action == Order::RaiseFence || self.deliveries.is_empty() {
+            Delivery::Delivered
         } else {
-            self.fates.remove(0)
+            self.deliveries.remove(0)
         };
         if !self.engine.up {
-            self.answer(effects, order, &OrderAnswer::NotSent);
+            self.answer_order(effects, order, &OrderAnswer::NotSent);
             return;
         }
-        match fate {
-            Fate::Arrives => {
-                self.engine.carry_out(self.now, order, action);
-                self.answer(effects, order, &OrderAnswer::Accepted);
+        match delivery {
+            Delivery::Delivered => {
+                self.engine.execute(self.now, order, action);
+                self.answer_order(effects, order, &OrderAnswer::Accepted);
             }
-            Fate::AnswerLost => {
-                self.engine.carry_out(self.now, order, action);
-                self.answer(effects, order, &OrderAnswer::Lost);
+            Delivery::AnswerLost => {
+                self.engine.execute(self.now, order, action);
+                self.answer_order(effects, order, &OrderAnswer::Lost);
             }
-            Fate::Held => {
-                self.held.push((order, action.clone()));
-                self.answer(effects, order, &OrderAnswer::Lost);
+            Delivery::Delayed => {
+                self.delayed.push((order, action.clone()));
+                self.answer_order(effects, order, &OrderAnswer::Lost);
             }
         }
     }
 
-    fn answer(&mut self, effects: &mut Vec<Effect>, order: OrderId, answer: &OrderAnswer) {
+    fn answer_order(&mut self, effects: &mut Vec<Effect>, order: OrderId, answer: &OrderAnswer) {
         self.call(effects, |loading, cx, authority| {
             loading.on_order(cx, authority, &name(ENGINE), order, answer);
         });
