--- a/crates/skylarkshore-core/tests/loading.rs
+++ b/crates/skylarkshore-core/tests/loading.rs
@@ -1,4 +1,4 @@
-//! What is loaded on the engines that one process owns.
+//! Tests loading and unloading on the engines that one process owns.
 
 #[path = "support/loading.rs"]
 mod support;
--- a/crates/skylarkshore-core/tests/loading/faults.rs
+++ b/crates/skylarkshore-core/tests/loading/faults.rs
@@ -1,4 +1,4 @@
-//! Lost, late and doubled orders, and engines that begin a new life.
+//! Lost, late and duplicate orders, engine restarts, missing power and an unreachable gate.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::support::{ACTIVE, Delivery, Rig};
 
-/// The answer to a load gets lost, and the order itself is held up somewhere on
-/// its way. If its memory were given to another model meanwhile, both would end
-/// up on the engine, and users would see requests die for want of memory.
+/// The answer to a load is lost and the order itself is delayed. If its memory were
+/// given to another model, both could end up on the engine, and requests would fail
+/// for lack of memory.
 #[test]
 fn memory_stays_reserved_until_a_lost_order_is_settled() {
     let mut rig = Rig::new(&[("maize", 600), ("rye", 600)]);
-    // Every copy of the order is held up, and its sender gives up.
+    // Every copy of the order is delayed, and its sender gives up.
     rig.deliveries = vec![Delivery::Delayed; 40];
     rig.demand("entry-2", "maize", 1);
     rig.run(Duration::from_secs(3));
@@ -21,15 +21,15 @@
     rig.demand("entry-2", "maize", 0);
     rig.deliveries.clear();
     rig.run_with_demand(Duration::from_secs(20), "entry-3", "rye", 1);
-    assert_eq!(rig.engine.loads_of("rye"), 0, "its memory may still be taken by the held order");
+    assert_eq!(rig.engine.loads_of("rye"), 0, "the delayed order may still take its memory");
     // The fake engine fails the test if this overcommits its memory.
     rig.deliver_delayed();
     rig.run_with_demand(Duration::from_mins(1), "entry-3", "rye", 1);
-    assert_eq!(rig.engine.loads_of("rye"), 1, "an idle model makes room once its order is settled");
+    assert_eq!(rig.engine.loads_of("rye"), 1, "an idle model is evicted once its order is settled");
 }
 
-/// The engine carried a load out, but the answer got lost. The order is given
-/// again, which changes nothing, and callers wait no longer than without it.
+/// The engine executed a load, but the answer was lost. The order is resent, which
+/// has no effect, and callers do not wait longer.
 #[test]
 fn a_load_whose_answer_was_lost_becomes_ready() {
     let mut rig = Rig::new(&[("maize", 600)]);
@@ -42,9 +42,8 @@
     assert!(!rig.notes.iter().any(|note| note.event == "load_failed"));
 }
 
-/// A report that doesn't name settled orders proves nothing about a late one
-/// until enough time has passed; memory that is freed too early would be
-/// overcommitted by it.
+/// A report without order numbers does not settle a late order until the settle time
+/// has passed. Memory freed earlier would be overcommitted by that order.
 #[test]
 fn without_settled_order_numbers_memory_is_freed_only_after_the_settle_time() {
     let mut rig = Rig::new(&[("maize", 600), ("rye", 600)]);
@@ -59,8 +58,7 @@
     assert_eq!(rig.engine.loads_of("rye"), 1);
 }
 
-/// The engine restarts in the middle of a load and has forgotten it. Callers
-/// would wait for ever for a model that nobody loads.
+/// The engine restarts during a load and loses it. Without a new load, callers would wait forever.
 #[test]
 fn a_load_begins_again_when_the_engine_restarts_in_its_middle() {
     let mut rig = Rig::new(&[("maize", 600)]);
@@ -74,22 +72,22 @@
     assert!(rig.notes.iter().any(|note| note.event == "engine_restarted"));
 }
 
-/// The former owner froze with an order on its way to an engine that obeys
-/// everybody. When it arrives, there has to be room for it, or the engine runs
-/// out of memory in the middle of its requests.
+/// The former owner was paused with an order in flight to an engine that ignores
+/// fences. Memory must be reserved for it, or the engine runs out of memory while it
+/// serves requests.
 #[test]
 fn room_is_kept_for_a_late_order_of_the_former_owner() {
     let mut rig = Rig::taking_over(&[("maize", 500), ("oats", 300), ("rye", 600)], Time::NEVER);
     rig.run_with_demand(Duration::from_secs(10), "entry-2", "maize", 1);
-    assert_eq!(rig.engine.loads_of("maize"), 0, "rye may be on its way, and both don't fit");
+    assert_eq!(rig.engine.loads_of("maize"), 0, "a late load of rye may arrive, and both do not fit");
     rig.run_with_demand(Duration::from_secs(10), "entry-2", "oats", 1);
-    assert_eq!(rig.engine.loads_of("oats"), 1, "oats fits beside whatever comes");
+    assert_eq!(rig.engine.loads_of("oats"), 1, "oats fits beside any late load");
     rig.run_with_demand(Duration::from_secs(40), "entry-2", "maize", 1);
-    assert_eq!(rig.engine.loads_of("maize"), 1, "nothing unexpected came for long enough");
+    assert_eq!(rig.engine.loads_of("maize"), 1, "no unexpected model appeared for the settle time");
 }
 
-/// The site's power is granted to other engines. Waking this one would draw
-/// past the cap, and a fuse would end everybody's requests.
+/// The site's power is granted to other engines. Waking this one would exceed the
+/// cap, and a blown fuse would end all requests.
 #[test]
 fn nothing_is_loaded_beyond_the_granted_power() {
     let mut rig = Rig::new(&[("maize", 600)]);
@@ -106,8 +104,8 @@
     assert_eq!(rig.engine.loads_of("maize"), 1);
 }
 
-/// The process that keeps the weight store's gate is cut off. Callers of a cold
-/// model would wait until their time runs out if loads waited for its word.
+/// The host of the weight-store gate is unreachable. If loads waited for its grant,
+/// callers of an unloaded model would time out.
 #[test]
 fn a_cold_start_does_not_wait_for_a_gate_that_is_away() {
     let mut rig = Rig::new(&[("maize", 300), ("oats", 300), ("rye", 300)]);
@@ -115,12 +113,12 @@
     rig.demand("entry-2", "maize", 1);
     rig.demand("entry-2", "oats", 1);
     rig.demand("entry-2", "rye", 1);
-    rig.run_until("the first load begins", |rig| rig.engine.loads_of("maize") == 1);
+    rig.run_until("the first load starts", |rig| rig.engine.loads_of("maize") == 1);
     assert!(rig.now < Time::from_millis(2000), "it waited {} for the gate", rig.now);
     for model in ["maize", "oats", "rye"] {
         rig.demand("entry-2", model, 1);
     }
     rig.run(Duration::from_secs(1) / 2);
     let started = ["maize", "oats", "rye"].iter().filter(|model| rig.engine.holds(model)).count();
-    assert_eq!(started, 1, "without the gate, a process makes one load at a time");
+    assert_eq!(started, 1, "without the gate, a process runs one load at a time");
 }
--- a/crates/skylarkshore-core/tests/loading/lifecycle.rs
+++ b/crates/skylarkshore-core/tests/loading/lifecycle.rs
@@ -1,4 +1,4 @@
-//! From taking an engine over to an unload: the ordinary course.
+//! The normal lifecycle of an engine and its models, from takeover to unload.
 
 use std::time::Duration;
 
@@ -12,9 +12,7 @@
     for router in 1..=9 {
         rig.demand(&format!("entry-{router}"), "maize", 3);
     }
-    rig.run_until("the ninth router hears that the model is ready", |rig| {
-        rig.shows("entry-9", "maize", "Ready")
-    });
+    rig.run_until("the ninth router receives the ready model", |rig| rig.shows("entry-9", "maize", "Ready"));
     assert_eq!(rig.engine.loads_of("maize"), 1);
     assert_eq!(rig.engine.executed.first(), Some(&Order::RaiseFence));
     assert_eq!(rig.refusals(), Vec::<String>::new());
@@ -27,9 +25,9 @@
     rig.run_until("the model is ready", |rig| rig.shows("entry-2", "maize", "Ready"));
     rig.engine.set_running("maize", 1);
     rig.run_with_demand(Duration::from_mins(1), "entry-2", "maize", 0);
-    assert!(rig.engine.holds("maize"), "it was unloaded under a running request");
+    assert!(rig.engine.holds("maize"), "it was unloaded while a request ran");
     rig.engine.set_running("maize", 0);
-    rig.run_until("routers hear that it is closing", |rig| rig.shows("entry-2", "maize", "Closing"));
+    rig.run_until("routers receive the closing view", |rig| rig.shows("entry-2", "maize", "Closing"));
     let closing = rig.now;
     rig.run_until("it is unloaded", |rig| !rig.engine.holds("maize"));
     assert!(rig.now.since(closing) >= Duration::from_secs(2), "routers had no time to stop sending");
@@ -83,7 +81,10 @@
     rig.engine.set_running("oats", 1);
     rig.run(Duration::from_secs(1));
     rig.run_with_demand(Duration::from_secs(10), "entry-3", "rye", 1);
-    assert!(rig.engine.holds("oats") && rig.engine.holds("maize"), "one alone makes too little room");
+    assert!(
+        rig.engine.holds("oats") && rig.engine.holds("maize"),
+        "evicting only one frees too little memory"
+    );
     rig.engine.set_running("oats", 0);
     rig.run_with_demand(Duration::from_secs(10), "entry-3", "rye", 1);
     assert!(!rig.engine.holds("oats") && rig.engine.holds("rye"));
@@ -97,19 +98,19 @@
     rig.demand("entry-2", "unknown", 1);
     assert_eq!(rig.refusals(), ["maize TooSlow", "unknown NotOwner"]);
     rig.run(Duration::from_secs(6));
-    assert!(rig.shows("entry-2", "maize", "Ready"), "whoever asks again finds it");
+    assert!(rig.shows("entry-2", "maize", "Ready"), "a retry finds the model ready");
 }
 
-/// A model in use everywhere has every host as a listener. If each of them were
-/// told of every change of load, an owner at the target's size would spend three
-/// times what control may take, and its messages would crowd out others.
+/// Every host subscribes to a model that is in use everywhere. If each change of
+/// load were sent to all of them, an owner at target size would spend three times
+/// the control budget, and its messages would delay others.
 #[test]
 fn load_updates_are_sent_less_often_to_more_subscribers() {
     let mut rig = Rig::new(&[("maize", 600)]);
     for router in 0..200 {
         rig.demand(&format!("entry-{router}"), "maize", 1);
     }
-    rig.run_until("the last router hears that it is ready", |rig| rig.shows("entry-199", "maize", "Ready"));
+    rig.run_until("the last router receives the ready model", |rig| rig.shows("entry-199", "maize", "Ready"));
     let before = rig.views_sent();
     for second in 0..40 {
         rig.engine.set_running("maize", 1 + second % 3);
@@ -119,8 +120,8 @@
     assert!(sent <= 40 * 20 + 200, "{sent} views in 40 s");
 }
 
-/// An engine swaps rarely used models by turns; were all told of each swap who
-/// use another of its models, the messages would take up a large fleet.
+/// An engine swaps rarely used models by turns. If each swap were sent to the
+/// subscribers of all its models, the messages would overload a large fleet.
 #[test]
 fn a_swap_is_published_to_subscribers_of_the_changed_models() {
     let mut rig = Rig::new(&[("maize", 500), ("oats", 400), ("rye", 400)]);
--- a/crates/skylarkshore-core/tests/loading/load_slots.rs
+++ b/crates/skylarkshore-core/tests/loading/load_slots.rs
@@ -1,4 +1,4 @@
-//! For how long a load keeps its share of the weight store, and who hears of it.
+//! How long a load holds its slot at the weight store, and which processes know of it.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
     rig_with_rate,
 };
 
-/// Within that time after the last fault most requests have to be served again.
+/// Most requests must be served again within this time after the last fault.
 const RECOVERY: Duration = Duration::from_secs(12);
-/// For how long a fault may keep the weight store idle, so that a load can still end within [`RECOVERY`].
+/// How long a fault may keep the weight store idle, so that a load can still end
+/// within [`RECOVERY`].
 const STORE_IDLE: Duration = RECOVERY.saturating_sub(LOAD_TIME);
 
-/// A host that holds every slot of the weight store is killed, or the message that
-/// gives its slots back is lost. If the gate kept them for a host that says nothing
-/// any more, no other host could fetch a model, and callers of every model that
-/// lies on no disk would be refused until long after the fault is over.
+/// A host that holds all slots is killed, or its release message is lost. If the
+/// gate kept the slots, no other host could fetch a model, and callers of every
+/// model without a copy would be refused until long after the fault.
 #[test]
 fn slots_of_a_silent_host_expire_within_the_recovery_time() {
     let mut rig = rig_with_rate(100_000);
     request_slots(&mut rig, 12, Duration::from_secs(1));
-    assert_eq!(granted(&rig).len(), 4, "the store is taken");
+    assert_eq!(granted(&rig).len(), 4, "all slots are granted");
     request_slots_from(&mut rig, "entry-3", 20..21, STORE_IDLE);
     assert!(granted(&rig).contains(&remote_engine(20)), "{:?}", rig.notes);
 }
 
-/// The process that kept the gate goes, and with it what it knew of loads in
-/// progress. If its successor heard of none, it would let as many more through
-/// beside them, all of them would be slow, and their callers would leave.
+/// The gate's host leaves with its knowledge of running loads. If its successor did
+/// not learn of them, it would grant as many slots again, all loads would be slow,
+/// and their callers would give up.
 #[test]
 fn a_new_gate_learns_of_loads_in_progress() {
     let mut rig = rig_with_rate(100_000);
@@ -44,7 +44,7 @@
     assert!(sent.count() >= 1, "{:?}", rig.notes);
 }
 
-/// Has another process let a load of `maize` through, and returns that process.
+/// Starts a load of `maize` with a slot from another process, and returns that process.
 fn grant_by_remote_gate(rig: &mut Rig) -> HostId {
     for number in 2..=9 {
         rig.add_member(&format!("entry-{number}"));
@@ -59,8 +59,8 @@
     gate
 }
 
-/// Four loads are in progress that another process let through, and their holders
-/// tell of them. None more begins beside them on a store that carries four.
+/// Four loads with slots from another process are in progress, and their holders
+/// report them. No further load may start on a store that sustains four.
 #[test]
 fn slots_granted_by_a_former_gate_count() {
     let mut rig = rig_with_rate(100_000);
@@ -72,7 +72,7 @@
     assert_eq!(granted(&rig), [], "{:?}", rig.notes);
 }
 
-/// Tells whether the process still uses its share of the weight store for `maize`.
+/// Reports whether the process still holds its slot for `maize`.
 fn holds_slot(rig: &Rig) -> bool {
     let of_engine = rig.sent.iter().rev().find(|envelope| match &envelope.message {
         PeerMessage::LoadSlotHeld { upstream, .. }
@@ -83,14 +83,13 @@
     of_engine.is_some_and(|last| !matches!(last.message, PeerMessage::LoadSlotReturned { .. }))
 }
 
-/// A model has come from the weight store, and the order for its adapter gets lost
-/// on its way. Nobody asks for the adapter any more, so the order isn't sent again
-/// and stays in doubt. If that counted as a load in progress, the slot would be
-/// renewed for ever: where one load runs at a time, no host could fetch any model
-/// until the process ends, and callers would be refused.
-/// The proof: a host's state showed every engine idle and half empty, one adapter's
-/// memory reserved, and the gate let nothing through for the ten seconds in which
-/// callers of two models waited.
+/// A model was loaded from the weight store, and the order for its adapter is lost.
+/// The adapter is no longer requested, so the order is not resent and stays in
+/// doubt. If that counted as a load in progress, the slot would be renewed forever:
+/// with one load at a time, no host could fetch any model until the process ends.
+///
+/// A host's state dump showed every engine idle and half empty, one adapter's memory
+/// reserved, and no slot granted for ten seconds while callers of two models waited.
 #[test]
 fn an_adapter_order_in_doubt_holds_no_slot() {
     let mut rig = Rig::with_copies(&[("maize", 300)], COPY_LOAD_TIME);
@@ -104,9 +103,9 @@
     assert!(!holds_slot(&rig), "{:?}", rig.sent);
 }
 
-/// Every order to load a model is lost on its way to the engine, which stands idle.
-/// If its share of the weight store were kept for an order in doubt, no host could
-/// use it, and callers of other models would be refused.
+/// Every order to load a model is lost on its way to an idle engine. If an order in
+/// doubt kept its slot, no host could use it, and callers of other models would be
+/// refused.
 #[test]
 fn a_load_in_doubt_holds_no_slot() {
     let mut rig = Rig::with_copies(&[("maize", 300)], COPY_LOAD_TIME);
@@ -118,9 +117,9 @@
     assert!(!holds_slot(&rig), "{:?}", rig.sent);
 }
 
-/// An order to load a model is lost, its share of the weight store is given back,
-/// and the order is sent once more and taken. If the gate didn't hear of that load,
-/// it would let as many through beside it as the store carries, and all be slow.
+/// An order to load a model is lost, its slot is released, and a resent order is
+/// accepted. If the gate did not learn of that load, it would grant all slots beside
+/// it, and every load would be slow.
 #[test]
 fn a_load_accepted_after_a_resend_holds_its_slot_again() {
     let mut rig = Rig::with_copies(&[("maize", 300)], COPY_LOAD_TIME);
@@ -133,9 +132,9 @@
     assert!(holds_slot(&rig), "{:?}", rig.sent);
 }
 
-/// Nothing is fetched from the weight store, and an operator asks why. The state
-/// has to name the loads that hold its shares, those that wait, and the orders
-/// that are in doubt; from the logs alone it looked as if nobody asked for a load.
+/// When nothing is fetched from the weight store, the state dump must name the loads
+/// that hold slots, those that wait, and the orders in doubt. From the logs alone it
+/// looked as if nobody requested a load.
 #[test]
 fn the_state_dump_shows_slot_holders_and_the_queue() {
     let mut rig = Rig::with_copies(&[("maize", 300)], COPY_LOAD_TIME);
@@ -155,11 +154,10 @@
     assert!(rig.beliefs("order")[0].contains("in doubt: Load"), "{:?}", rig.beliefs("order"));
 }
 
-/// The gate stands still, so the next host lets the load through. Then the first
-/// one wakes, reads the old question and lets it through as well. If that second
-/// share weren't given back, the gate would keep it for a load that it doesn't
-/// need, and where the store runs one load at a time, nobody else would be let
-/// through for seconds after each pause of the gate's host.
+/// The gate's host is paused, so the next host grants the slot. Then the first one
+/// resumes and grants the old request as well. If that second slot were not
+/// released, the gate would keep it for a load that does not need it, and with one
+/// load at a time, nothing would be granted for seconds after each pause.
 #[test]
 fn a_late_grant_from_a_former_gate_is_released() {
     let mut rig = rig_with_rate(100_000);
@@ -171,14 +169,14 @@
         let mut sent = rig.sent.iter().filter(|envelope| envelope.to == *to);
         sent.any(|envelope| matches!(envelope.message, PeerMessage::LoadSlotReturned { .. }))
     };
-    assert!(!is_returned(&rig, &gate), "the gate has only said it twice: {:?}", rig.sent);
+    assert!(!is_returned(&rig, &gate), "a repeated grant of the same gate is not released: {:?}", rig.sent);
     let former: HostId = name(if gate.as_str() == "entry-7" { "entry-8" } else { "entry-7" });
     rig.receive(&former, &granted);
     assert!(is_returned(&rig, &former), "{:?}", rig.sent);
 }
 
-/// Guards against a model that is unloaded long before the one that takes its
-/// place can be fetched, so that its callers are refused though it had a place.
+/// Guards against unloading a model long before its replacement can be fetched,
+/// which would refuse its callers needlessly.
 #[test]
 fn a_model_stays_until_the_load_that_replaces_it_has_a_slot() {
     let mut rig = Rig::sequential(&[("maize", 600), ("rye", 600)]);
@@ -196,7 +194,7 @@
     assert_eq!(rig.engine.loads_of("rye"), 1, "{:?}", rig.notes);
 }
 
-/// Has another process keep a load waiting for its slot, and returns that process.
+/// Keeps a load in the queue of another process's gate, and returns that process.
 fn queue_at_remote_gate(rig: &mut Rig, model: &str, time: Duration) -> HostId {
     const STEP: Duration = Duration::from_millis(100);
     let mut gate = None;
--- a/crates/skylarkshore-core/tests/loading/policy.rs
+++ b/crates/skylarkshore-core/tests/loading/policy.rs
@@ -1,4 +1,4 @@
-//! How long models stay loaded, and which are loaded ahead of a request.
+//! How long models stay loaded, and which are prewarmed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::support::Rig;
 
-/// Uses the model for a moment, waiting for it where it isn't ready.
+/// Uses the model briefly, and waits for it if it is not ready.
 fn use_once(rig: &mut Rig, model: &str) {
     rig.demand("entry-2", model, 1);
     rig.run_until("the model is ready", |rig| rig.shows("entry-2", model, "Ready"));
@@ -26,9 +26,9 @@
     }
     use_once(&mut rig, "maize");
     rig.run_with_demand(Duration::from_mins(15), "entry-2", "maize", 0);
-    assert!(!rig.engine.holds("maize"), "it is kept although its next use is far off");
+    assert!(!rig.engine.holds("maize"), "it is kept although its next use is not expected soon");
     rig.run_with_demand(Duration::from_mins(15), "entry-2", "maize", 0);
-    assert!(rig.engine.holds("maize"), "its next use was to be expected");
+    assert!(rig.engine.holds("maize"), "its next use is expected soon");
 }
 
 #[test]
--- a/crates/skylarkshore-core/tests/loading/restarts.rs
+++ b/crates/skylarkshore-core/tests/loading/restarts.rs
@@ -1,13 +1,12 @@
-//! Engines that begin another life under the same name.
+//! Engines that restart under the same name.
 
 use std::time::Duration;
 
 use crate::support::{Delivery, Rig, name};
 
-/// An engine holds a model, crashes and is back under its name with nothing.
-/// Reports that were under way before tell of the model once more. If the last
-/// one to come were believed, callers would be sent to a model that is gone, be
-/// refused there, and nothing would load it.
+/// An engine restarts without its models, and a report requested before the restart
+/// arrives last. If it were applied, requests would be sent to a model that is gone,
+/// and nothing would load it again.
 #[test]
 fn a_report_from_a_previous_incarnation_is_ignored() {
     let mut rig = Rig::sequential(&[("rye", 300)]);
@@ -24,9 +23,9 @@
     assert!(rig.engine.holds("rye"), "{:?}", rig.notes);
 }
 
-/// The list tells of an engine's new life, and no report has come of it yet.
-/// Were orders planned by what the former life held, they would bear its numbers
-/// and be refused one after the other, while callers wait.
+/// The host list shows a new incarnation that has not sent a report yet. Orders
+/// based on the previous one would carry its order counts and be refused one after
+/// another while callers wait.
 #[test]
 fn no_order_is_based_on_the_previous_incarnation() {
     let mut rig = Rig::sequential(&[("rye", 300)]);
@@ -47,10 +46,9 @@
     assert!(rig.engine.holds("rye"), "{:?}", rig.notes);
 }
 
-/// A load gets no answer and is held up on its way; the engine begins a new life
-/// under the same name, whose count of orders is just the one that the load
-/// expects. If its memory were given to another model, the engine would hold more
-/// than it can and crash again.
+/// A load is delayed without an answer, and the engine restarts under the same name
+/// with the order count that the load expects. If its memory were given to another
+/// model, the late load would overcommit the engine and crash it again.
 #[test]
 fn a_load_sent_to_a_previous_incarnation_keeps_its_memory_reserved() {
     let mut rig = Rig::sequential(&[("rye", 600), ("oat", 600)]);
@@ -67,8 +65,8 @@
     assert!(rig.engine.holds("oat"), "{:?}", rig.notes);
 }
 
-/// The same load is wanted again by those who still wait. Its own memory isn't
-/// kept from it: a second load of a model that is there changes nothing.
+/// The same model is requested again. Its own reserved memory is available to the
+/// new load, because a second load of a loaded model has no effect.
 #[test]
 fn a_model_is_loaded_again_while_an_earlier_load_is_in_doubt() {
     let mut rig = Rig::sequential(&[("rye", 600)]);
@@ -79,9 +77,8 @@
     assert!(rig.engine.holds("rye"), "{:?}", rig.notes);
 }
 
-/// A load is in progress when the engine crashes. The model has to be loaded
-/// anew at once: its callers have waited long enough, and nothing speaks against
-/// the load itself.
+/// The engine crashes during a load. The model must be loaded again at once: its
+/// callers have waited long enough, and the load itself did not fail.
 #[test]
 fn a_load_ended_by_a_restart_does_not_count_as_failed() {
     let mut rig = Rig::sequential(&[("rye", 300)]);
--- a/crates/skylarkshore-core/tests/loading/sequential_engines.rs
+++ b/crates/skylarkshore-core/tests/loading/sequential_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that number their orders and carry them out one at a time.
+//! Engines that count their orders and execute one at a time.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
     rig.engine.executed.iter().filter_map(model).collect()
 }
 
-/// Callers of many rarely used models come one by one, each more urgent than the
-/// twenty that wait for one model. Were the urgent ones always let past, the
-/// twenty would run into their deadlines although a load takes seconds.
+/// Single requests for many rarely used models arrive, each more urgent than the
+/// twenty that wait for one model. If the urgent ones always went first, the twenty
+/// would miss their deadlines although a load takes seconds.
 #[test]
 fn a_model_with_many_waiting_requests_goes_before_single_more_urgent_requests() {
     let mut rig = Rig::sequential(&[("hot", 300), ("r0", 300), ("r1", 300), ("r2", 300)]);
@@ -37,9 +37,9 @@
     assert_eq!(loads(&rig)[..2], ["r0", "hot"]);
 }
 
-/// A model waits behind the load of another one. An owner that told only the
-/// model's own load time would promise again and again that it is nearly there;
-/// routers would keep their callers waiting for it and ask nobody else.
+/// A model waits behind another model's load. If the owner published only the
+/// model's own load time, routers would keep their callers waiting and ask no other
+/// owner.
 #[test]
 fn the_ready_time_includes_the_loads_ahead() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
@@ -53,14 +53,14 @@
         PeerMessage::View(view) => view.models.iter().find(|seen| seen.model.as_str() == "rye").cloned(),
         _ => None,
     });
-    let readiness = remaining.next().expect("the router hears of the model").readiness;
+    let readiness = remaining.next().expect("the router receives a view with the model").readiness;
     let Readiness::Loading { remaining } = readiness else { panic!("{readiness:?}") };
     assert!(remaining > LOAD_TIME + LOAD_TIME / 2, "{remaining:?}");
 }
 
-/// An engine is busy for longer than a caller likes to wait, and another home of
-/// the model may be idle. The router has to hear it at once; callers would
-/// otherwise wait behind somebody else's load while an engine stands idle.
+/// An engine is busy for longer than a request's target time, and another home of
+/// the model may be idle. Without an immediate refusal, callers would wait behind
+/// another model's load while that engine is idle.
 #[test]
 fn an_owner_refuses_as_busy_if_the_target_time_cannot_be_met() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
@@ -77,16 +77,16 @@
     rig.receive(&name("entry-3"), &wanted(Some(Duration::from_secs(3))));
     assert_eq!(rig.refusals(), ["rye Busy"]);
     rig.run(Duration::from_secs(10));
-    assert_eq!(loads(&rig), ["maize"], "nobody here was asked to take it on");
-    // Asked without an aim, it takes it on whatever it takes.
+    assert_eq!(loads(&rig), ["maize"], "the refused load must not start");
+    // Without a target time, the owner accepts the request however long it takes.
     rig.receive(&name("entry-3"), &wanted(None));
     rig.run(Duration::from_secs(10));
     assert_eq!(loads(&rig), ["maize", "rye"]);
 }
 
-/// Engines hold models before the first homes are written. An owner that let go
-/// of every model without a home would empty them all, and each would be loaded
-/// again seconds later while callers wait.
+/// Engines hold models before the first homes are written. If an owner unloaded
+/// every model without a home, all would be loaded again seconds later while callers
+/// wait.
 #[test]
 fn loaded_models_stay_until_homes_are_written() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -97,8 +97,8 @@
     assert!(rig.engine.holds("maize"));
 }
 
-/// Homes were given out before an engine was listed; what it holds, perhaps as
-/// the only one, would be unloaded before it becomes a home.
+/// Homes were assigned before the engine was listed. What it holds, perhaps as the
+/// only one, must not be unloaded before it can become a home.
 #[test]
 fn loaded_models_stay_while_another_home_is_possible() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -113,12 +113,12 @@
     assert!(rig.engine.holds("maize"));
     rig.set_homes("maize", &["engine-b", "engine-c"]);
     rig.run(Duration::from_secs(5));
-    assert!(!rig.engine.holds("maize"), "the rules allow no third one");
+    assert!(!rig.engine.holds("maize"), "the rules do not allow a third replica");
 }
 
-/// An engine takes an adapter's load at once and shows it in its reports only
-/// later. The next one's number has to follow on it all the same, or it is
-/// refused, and callers of the second adapter wait for another round.
+/// An engine accepts an adapter load at once and reports it later. If the next order
+/// did not carry the increased count, it would be refused and the second adapter's
+/// callers would wait for another round.
 #[test]
 fn each_order_carries_the_accepted_count_that_the_engine_expects() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -138,9 +138,9 @@
     assert_eq!(numbered.len(), 3, "{:?}", rig.engine.executed);
 }
 
-/// Nobody waits for a model of which the engine has no copy yet, and requests
-/// for another one run. A load from the weight store takes seconds, and the next
-/// request for a third model would have to wait for its end.
+/// Nobody waits for a model without a copy, and requests for another model run. A
+/// load from the weight store takes seconds, and the next request for a third model
+/// would wait for its end.
 #[test]
 fn copies_are_not_fetched_while_requests_run() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
@@ -153,10 +153,10 @@
     assert_eq!(loads(&rig), ["rye"]);
 }
 
-/// An engine changes hands while it holds a model. Its new owner may load there
-/// only once it has written the homes anew, which takes a moment. Were the model
-/// taken for homeless until then, each take-over would empty the engine, and
-/// callers of all its models would wait for loads.
+/// An engine changes owner while it holds a model. The new owner may load only after
+/// it has rewritten the homes. If the model counted as surplus until then, each
+/// takeover would empty the engine, and callers of all its models would wait for
+/// loads.
 #[test]
 fn models_stay_while_their_home_is_unconfirmed() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -166,9 +166,9 @@
     assert!(rig.engine.holds("maize"), "{:?}", rig.notes);
 }
 
-/// Nothing has been asked for yet, and an engine is to fetch a copy of a model
-/// for which something has to make way. What other engines hold as well is asked
-/// for often; if it went, the first callers would wait for it.
+/// There were no requests yet, and something must be evicted so that an engine can
+/// fetch a copy. A model that other engines hold as well is likely in frequent use;
+/// if it were evicted, its first callers would wait.
 #[test]
 fn a_copy_does_not_evict_a_model_held_by_several_engines() {
     let mut rig = Rig::sequential(&[("hot", 700), ("rare", 700)]);
@@ -181,10 +181,10 @@
     assert!(!made_way, "{:?}", rig.notes);
 }
 
-/// An order gets no answer, and the engine crashes and is back before anybody
-/// knows what became of it. The new life counts its orders from zero. If the old
-/// order were sent again, it would be refused for its number for as long as it is
-/// in doubt, and callers of all models would wait until then.
+/// An order gets no answer, and the engine restarts before its outcome is known. The
+/// new incarnation counts its orders from zero, so the old order would be refused
+/// for its count while it is in doubt, and callers of all models would wait until
+/// then.
 #[test]
 fn an_order_in_doubt_is_not_resent_after_a_restart() {
     let mut rig = Rig::sequential(&[("rye", 300)]);
@@ -197,8 +197,7 @@
     assert_eq!(loads(&rig), ["rye"], "{:?}", rig.notes);
 }
 
-/// Guards against questions to thousands of engines that nobody uses, each of
-/// which takes their time and the host's.
+/// Guards against polling thousands of unused engines, which costs time on both sides.
 #[test]
 fn a_quiescent_engine_is_polled_rarely() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -206,7 +205,7 @@
     let before = rig.report_requests;
     rig.run(Duration::from_mins(1));
     let asked = rig.report_requests - before;
-    assert!(asked <= 15, "{asked} questions in a minute");
+    assert!(asked <= 15, "{asked} report requests in a minute");
     rig.demand("entry-2", "maize", 1);
     rig.run(LOAD_TIME + Duration::from_secs(1));
     assert!(rig.shows("entry-2", "maize", "Ready"), "{:?}", rig.notes);
--- a/crates/skylarkshore-core/tests/loading/swaps.rs
+++ b/crates/skylarkshore-core/tests/loading/swaps.rs
@@ -1,4 +1,5 @@
-//! Swaps of models that are on an engine's own disk, and what callers are told of them.
+//! Swaps between models with copies on an engine's disk, replicas, and the estimates
+//! published to routers.
 
 use std::time::Duration;
 
@@ -11,10 +12,10 @@
 const COPY_LOAD_TIME: Duration = Duration::from_millis(500);
 const LONG_WAIT: Duration = Duration::from_secs(8);
 
-/// An engine unloads a model to make room for one that callers wait for, and its
-/// reports tell of the end only later, here never. If the load waited for a
-/// report, every caller of a rarely used model would wait some tenths of a second
-/// longer than the swap takes, and the engine would make a third fewer swaps.
+/// An engine unloads a model to make room for another, and reports show the end
+/// late, here never. If the load waited for a report, callers of rarely used models
+/// would wait some tenths of a second longer than the swap takes, and the engine
+/// would make a third fewer swaps.
 #[test]
 fn a_load_follows_its_unload_without_waiting_for_a_report() {
     let models = [("maize", 300), ("rye", 300), ("oat", 300), ("spelt", 300)];
@@ -30,9 +31,8 @@
     assert_eq!(rig.engine.loads_of("spelt"), 1, "{:?} {:?}", rig.engine.executed, rig.notes);
 }
 
-/// The same with requests that run on for a while on the model that leaves. Each
-/// try that comes too early is refused; the load must neither count as failed nor
-/// be given up.
+/// The unload waits for running requests. Each early retry of the load is refused;
+/// the load must neither count as failed nor be given up.
 #[test]
 fn a_load_is_retried_until_the_unload_has_ended() {
     let models = [("maize", 300), ("rye", 300), ("oat", 300), ("spelt", 300)];
@@ -47,8 +47,8 @@
     assert!(!rig.notes.iter().any(|note| note.event == "load_failed"), "{:?}", rig.notes);
 }
 
-/// A load from a copy takes as long as is listed, and no report comes to show its
-/// end. If one were waited for, callers would wait a quarter longer for each swap.
+/// A load from a copy takes the listed time, and no report shows its end. Waiting
+/// for one would make callers wait a quarter longer for each swap.
 #[test]
 fn a_model_is_ready_after_its_listed_load_time() {
     let mut rig = Rig::with_copies(&[("maize", 300)], COPY_LOAD_TIME);
@@ -60,9 +60,9 @@
     assert!(rig.shows("entry-2", "maize", "Ready"), "{:?}", rig.notes);
 }
 
-/// Loads take half as long again as is listed. Taken for ended, a model gets
-/// requests that the engine refuses, and its next order is refused as well.
-/// Reports show it, and the loads that follow have to be relied on less.
+/// Loads take half as long again as listed. If a load is assumed to have ended too
+/// early, the engine refuses the model's requests and its next order. Reports reveal
+/// this, and the margin for later loads must grow.
 #[test]
 fn the_margin_grows_if_loads_take_longer_than_listed() {
     let names: Vec<String> = (0..8).map(|number| format!("m{number}")).collect();
@@ -82,10 +82,10 @@
     assert!(rig.now.since(asked) >= COPY_LOAD_TIME * 3 / 2, "{:?}", rig.now.since(asked));
 }
 
-/// Forty requests a second need no load, as their model is there; the routers
-/// tell of them now and then. Other models on the engine were asked for later. If
-/// what was used last decided, a single caller of a fourth model would have the
-/// first one unloaded, and the next second's forty callers would wait.
+/// Forty requests a second need no load because their model is ready; routers report
+/// them only at intervals, and other models were requested more recently. If recency
+/// decided, a single request for a fourth model would evict the first one, and the
+/// next second's forty callers would wait.
 #[test]
 fn a_model_in_constant_use_is_not_evicted_for_a_single_request() {
     let models = [("hot", 300), ("rye", 300), ("oat", 300), ("spelt", 300)];
@@ -109,9 +109,9 @@
     assert!(rig.engine.holds("hot"), "{:?}", rig.notes);
 }
 
-/// Demand has moved to a model of which no engine has a replica but this one, if
-/// it loads it. Single callers of other models ask all the while; if those always
-/// went first, hundreds would wait for the one replica that there is elsewhere.
+/// Demand has moved to a model whose only other replica is elsewhere, while single
+/// requests for other models keep arriving. If those always went first, hundreds
+/// would wait for that one replica.
 #[test]
 fn an_under_replicated_model_is_loaded_before_a_single_request() {
     let mut rig = Rig::with_copies(&[("hot", 300), ("rye", 300), ("oat", 300)], COPY_LOAD_TIME);
@@ -129,9 +129,9 @@
     assert!(rig.engine.holds("rye"), "{:?}", rig.notes);
 }
 
-/// Two models are asked for equally often, and the requests of one run eight times
-/// as long. If replicas were counted by requests, that one's engines would run
-/// more at a time than they can at a good pace, and its callers wait.
+/// Two models have the same request rate, but the requests of one run eight times as
+/// long. If replicas were computed from the rate, its engines would run too many
+/// requests concurrently, and its callers would wait.
 #[test]
 fn a_model_whose_requests_run_for_long_gets_more_replicas() {
     let mut rig = Rig::with_copies(&[("quick", 300), ("slow", 300)], COPY_LOAD_TIME);
@@ -146,13 +146,12 @@
         rig.run(Duration::from_millis(500));
     }
     assert!(rig.engine.holds("slow"), "{:?}", rig.notes);
-    assert!(!rig.engine.holds("quick"), "two other engines are enough for it");
+    assert!(!rig.engine.holds("quick"), "two other replicas are sufficient");
 }
 
-/// Two engines have a model that is asked for twice a second, which is little
-/// work; but their answers begin late, as prompts are long or others run there.
-/// If only the work counted, callers would go on waiting on two engines while a
-/// third stands idle.
+/// Two engines serve a model with two requests a second, which is little work, but
+/// answers begin late because of long prompts or other models. If only the work
+/// counted, callers would keep waiting on two engines while a third is idle.
 #[test]
 fn a_model_whose_answers_begin_late_gets_one_more_replica() {
     for (late, is_needed) in [(0, false), (2, true)] {
@@ -170,9 +169,9 @@
     }
 }
 
-/// An engine is new and keeps nothing. Another one has the model on its disk, so
-/// that its callers wait for half a second at most. A copy from the weight store
-/// would keep the new engine from everything else for seconds.
+/// A new engine has no copies, but another engine has the model on disk, so that its
+/// callers wait half a second at most. Fetching a copy from the weight store would
+/// block the new engine for seconds.
 #[test]
 fn a_copy_held_by_another_engine_is_not_prefetched() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
@@ -183,10 +182,10 @@
     assert!(rig.engine.holds("rye"), "{:?}", rig.notes);
 }
 
-/// Engines were replaced one after the other, and a model with twenty requests a
-/// second is left on one that may go next; no other has a copy. Single callers of
-/// models that are held nowhere ask the new engine all the while. If they went
-/// first, hundreds would wait for the weight store once the old engine goes.
+/// After a rolling replacement, a model with twenty requests a second is left on one
+/// engine that may leave next, and no other has a copy. Single requests for models
+/// held nowhere keep arriving at the new engine. If they went first, hundreds would
+/// wait for the weight store once the old engine leaves.
 #[test]
 fn the_second_copy_of_a_hot_model_goes_before_single_requests() {
     let mut rig = Rig::sequential(&[("hot", 300), ("rye", 300)]);
@@ -202,9 +201,9 @@
     assert_eq!(rig.engine.loads_of("rye"), 0, "{:?}", rig.notes);
 }
 
-/// A load takes four times as long as it should. A router that hears once that it
-/// is nearly there, and nothing more, has its callers wait until they give up,
-/// and sends new ones there too.
+/// A load takes four times its listed time. A router that heard only once that it is
+/// nearly done would keep its callers waiting until they give up, and send new ones
+/// there too.
 #[test]
 fn routers_are_updated_if_a_load_is_delayed() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -212,15 +211,14 @@
     known.load_time = LOAD_TIME / 4;
     rig.run(Duration::from_millis(100));
     rig.run_with_demand(LOAD_TIME * 9 / 10, "entry-2", "maize", 1);
-    let remaining = rig.remaining("entry-2", "maize").expect("the router hears when it comes");
+    let remaining = rig.remaining("entry-2", "maize").expect("the router receives the remaining time");
     assert!(remaining > Duration::from_millis(300), "{remaining:?}");
 }
 
-/// All places of an engine are taken by models that were used a moment ago, and
-/// callers who wait two seconds ask for another one, which is on its disk. A swap
-/// takes less than a second. If the room were taken to come free only seconds
-/// after the last use, these callers would be refused although an engine could
-/// serve them in time.
+/// All memory of an engine is taken by recently used models, and callers with a
+/// limit of two seconds request another one from its disk, which takes less than a
+/// second. If memory were assumed to become free only seconds after the last use,
+/// they would be refused although they could be served in time.
 #[test]
 fn a_swap_shorter_than_the_wait_limit_is_not_refused() {
     let models = [("maize", 300), ("rye", 300), ("oat", 300), ("spelt", 300)];
@@ -238,15 +236,15 @@
     }
     rig.demand_with("entry-3", "spelt", 1, ServiceOrder::default(), Duration::from_secs(2));
     rig.run(TICK);
-    let remaining = rig.remaining("entry-3", "spelt").expect("the router hears when it comes");
+    let remaining = rig.remaining("entry-3", "spelt").expect("the router receives the remaining time");
     assert!(remaining < Duration::from_millis(1200), "{remaining:?}");
     rig.run(Duration::from_secs(1));
     assert!(rig.engine.holds("spelt"), "{:?}", rig.notes);
 }
 
-/// Unloads take far longer here than elsewhere, as requests run for long. What
-/// callers are told has to follow what is seen; with a fixed time they would wait
-/// in vain where it is too short.
+/// Unloads take far longer than usual because requests run for long. The published
+/// estimate must follow measured times; with a fixed time that is too short, callers
+/// would wait in vain.
 #[test]
 fn the_ready_time_follows_measured_unload_times() {
     let names: Vec<String> = (0..12).map(|number| format!("m{number}")).collect();
@@ -263,7 +261,7 @@
     let asked: Time = rig.now;
     rig.demand("entry-2", &names[11], 1);
     rig.run(TICK);
-    let estimate = rig.remaining("entry-2", &names[11]).expect("the router hears when it comes");
+    let estimate = rig.remaining("entry-2", &names[11]).expect("the router receives the remaining time");
     while !rig.shows("entry-2", "m11", "Ready") {
         assert!(rig.now.since(asked) < LONG_WAIT, "{:?}", rig.notes);
         rig.run_with_demand(TICK, "entry-2", "m11", 1);
--- a/crates/skylarkshore-core/tests/loading/unserved.rs
+++ b/crates/skylarkshore-core/tests/loading/unserved.rs
@@ -1,4 +1,4 @@
-//! Whether what is loaded reaches those for whom it is loaded, and what operators see of it.
+//! Logging of unserved targets and unused loads, and retention of models for callers who retry.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use crate::support::{LOAD_TIME, Rig, TICK, name};
 
-/// Returns what operators were told of as asked for in vain.
+/// Returns the targets that were logged as unserved.
 fn logged_unserved(rig: &Rig) -> Vec<&str> {
     rig.notes.iter().filter(|note| note.event == "model_unserved").map(|note| note.subject.as_str()).collect()
 }
 
-/// Callers at many hosts ask for a model that no engine has, one or two at each
-/// host. All are told to come back and none is served. No host could tell; the
-/// owner that hears of all of them has to say so.
+/// Requests for a model that no engine holds arrive at many hosts, one or two at
+/// each. All are told to retry and none is served. No single host can notice; the
+/// owner that receives all usage reports has to log it.
 #[test]
 fn an_unserved_model_is_logged() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
@@ -29,9 +29,9 @@
     assert_eq!(logged_unserved(&rig), ["maize"], "{:?}", rig.notes);
 }
 
-/// An engine holds a model, whose own callers are served. Those of one of its
-/// adapters are all refused, each at another host. Told of models only, operators
-/// would see a model that is in use, and nothing of the adapter.
+/// An engine serves a model but refuses the requests of one of its adapters, each at
+/// another host. If only models were tracked, the base would seem in use and the
+/// adapter would go unnoticed.
 #[test]
 fn an_unserved_adapter_is_logged() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -49,9 +49,9 @@
     assert_eq!(logged_unserved(&rig), ["maize/blue"], "{:?}", rig.notes);
 }
 
-/// A model is loaded from the weight store and unloaded before a request has run
-/// on it. Its callers see refusals only; the line of the unload shows that the
-/// load was for nobody.
+/// A model is loaded from the weight store and unloaded before any request has run
+/// on it. Callers only get refusals; the log entry of the unload shows that the load
+/// was not used.
 #[test]
 fn an_unload_logs_whether_the_model_was_used() {
     let mut rig = Rig::sequential(&[("maize", 600), ("rye", 600)]);
@@ -69,13 +69,14 @@
     assert_eq!(used, [("maize", false), ("rye", true)], "{:?}", rig.notes);
 }
 
-/// Callers wait for a model that comes from the weight store. An engine's report
-/// shows the end of the load some tenths of a second after it, so that each load
-/// seems overdue for a moment. Callers who had waited ten seconds of thirteen were
-/// told then that it takes another four and a half, and were sent away a third
-/// of a second before the model was there; they came back to find it gone.
-/// The proof: of the refusals after a wait of five seconds and more, most named a
-/// third of the load's length, and the load's end followed within half a second.
+/// Callers wait for a model from the weight store. A report shows the end of its
+/// load some tenths of a second late, so each load seems overdue for a moment.
+/// Callers who had waited ten of thirteen seconds were then given another four and a
+/// half, and were refused a third of a second before the model was ready; when they
+/// retried, it was gone.
+///
+/// Most refusals after a wait of five seconds or more named a third of the load's
+/// length, and the load ended within half a second.
 #[test]
 fn a_briefly_overdue_load_gets_a_short_estimate() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
@@ -84,7 +85,7 @@
     known.load_time = LOAD_TIME * 9 / 10;
     rig.run(Duration::from_millis(100));
     rig.demand("entry-2", "maize", 1);
-    rig.run_until("the load begins", |rig| rig.engine.loads_of("maize") == 1);
+    rig.run_until("the load starts", |rig| rig.engine.loads_of("maize") == 1);
     let started = rig.now;
     let mut longest = Duration::ZERO;
     while !rig.shows("entry-2", "maize", "Ready") {
@@ -94,16 +95,17 @@
             longest = longest.max(rig.now.since(started) + remaining);
         }
     }
-    assert!(longest <= LOAD_TIME + late, "told to wait until {longest:?} from the load's begin");
+    assert!(longest <= LOAD_TIME + late, "the estimate reached {longest:?} after the load's start");
 }
 
-/// A caller can't wait for the weight store and is told to come back. The model
-/// is loaded for it, and another one is wanted on the same engine meanwhile. The
-/// model was unloaded as soon as it was there, unused: nobody waited for it at that
-/// moment. The caller came back as it was told and was refused once more, with
-/// the weight store's time before it again, and so all day long.
-/// The proof: of forty loads from the store that ended in a day, thirteen models
-/// were unloaded within a second, and twenty-four weren't used once.
+/// A caller with a short timeout is told to retry, and the model is loaded
+/// meanwhile. Another model is requested on the same engine. Without retention, the
+/// first one was unloaded as soon as it was ready because no request waited at that
+/// moment, and the retry was refused with the store's load time ahead again, all day
+/// long.
+///
+/// Of forty loads from the store that ended in a day, thirteen models were unloaded
+/// within a second and twenty-four were never used.
 #[test]
 fn a_model_from_the_weight_store_is_retained_for_retries() {
     let mut rig = Rig::sequential(&[("maize", 600), ("rye", 600)]);
@@ -120,5 +122,5 @@
     }
     assert!(rig.engine.holds("maize"), "{:?}", rig.notes);
     rig.run_with_demand(LOAD_TIME * 2, "entry-3", "rye", 1);
-    assert!(rig.engine.holds("rye"), "the other one has its turn: {:?}", rig.notes);
+    assert!(rig.engine.holds("rye"), "the other model is loaded after that: {:?}", rig.notes);
 }
--- a/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
+++ b/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
@@ -1,4 +1,4 @@
-//! The gate that keeps all processes to what the weight store carries.
+//! The gate that limits the loads of all processes to what the weight store sustains.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::support::{ENGINE, LOAD_TIME, Rig, name};
 
-/// How long a load from an engine's own disk takes here.
+/// How long a load from an engine's own disk takes.
 pub const COPY_LOAD_TIME: Duration = Duration::from_millis(600);
 
 pub const PEER: &str = "entry-2";
@@ -19,7 +19,7 @@
     name(&format!("far-{number}"))
 }
 
-/// Has a peer ask for loads of `maize` on so many engines, again and again for a while.
+/// Requests slots for loads of `maize` on a number of engines repeatedly for a while, as a peer.
 pub fn request_slots(rig: &mut Rig, engines: usize, d: Duration) {
     request_slots_from(rig, PEER, 0..engines, d);
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the engines whose load was let through, each once.
+/// Returns the engines that were granted a slot, without duplicates.
 pub fn granted(rig: &Rig) -> Vec<UpstreamId> {
     let mut engines: Vec<UpstreamId> = Vec::new();
     for envelope in &rig.sent {
@@ -66,13 +66,14 @@
     rig
 }
 
-/// The operators' platform lets one load begin every two seconds. A process that
-/// kept to a rate of its own would pass that, and loads would be held against it.
+/// The configuration allows one load to start every two seconds. A process with a
+/// rate of its own would exceed it, and the excess loads would be
+/// counted against it.
 #[test]
 fn loads_keep_to_the_configured_rate() {
     let mut rig = rig_with_rate(500);
     request_slots(&mut rig, 10, Duration::from_millis(5900));
-    // One at a time is carried at full speed, and each of them is given back at once.
+    // The store sustains one load at full speed; each slot is released at once.
     let mut started = granted(&rig).len();
     for _ in 0..20 {
         let engines = granted(&rig);
@@ -80,12 +81,12 @@
         request_slots(&mut rig, 10, Duration::from_millis(200));
         started = started.max(granted(&rig).len());
     }
-    assert!((3..=6).contains(&started), "{started} loads began within 10 s");
+    assert!((3..=6).contains(&started), "{started} loads started within 10 s");
 }
 
-/// Loads take twice as long as listed, since too many run at once. Were as many
-/// begun again, each engine would be kept from any other load for twice as long,
-/// and not one load more would end. Once they end on time, more run again.
+/// Loads take twice the listed time because too many run concurrently. Starting as
+/// many again would block each engine for twice as long without any gain. Once loads
+/// end on time, the limit grows again.
 #[test]
 fn the_limit_decreases_while_loads_are_slow() {
     let mut rig = rig_with_rate(4000);
@@ -98,12 +99,12 @@
         running = granted(&rig);
         started.push(running.len());
     }
-    assert_eq!(started[0], 4, "as the settings say");
+    assert_eq!(started[0], 4, "the configured limit");
     assert!(started[1] < started[0] && started[2] > started[1], "{started:?}: {:?}", rig.notes);
 }
 
-/// The gate is away, and every process goes on with a share of its own. If each
-/// began a load a second, all together would pass the rate.
+/// The gate is unreachable and every process uses its local share. If each started
+/// one load a second, all together would exceed the rate.
 #[test]
 fn without_the_gate_all_hosts_together_keep_to_the_rate() {
     let mut rig = rig_with_rate(1000);
@@ -116,11 +117,10 @@
     assert_eq!(started(), 1);
 }
 
-/// The weight store runs one load at full speed, and four were let through at
-/// first. Each takes four times as long, so that for a minute none ends. If only
-/// the loads that have ended told how many it carries, further ones would be let
-/// in beside them, none would ever end, and callers of their models would wait
-/// in vain for as long as the deployment runs.
+/// The store sustains one load, and four were granted at first. Each takes four
+/// times as long, so none ends for a minute. If the limit were learned from finished
+/// loads only, more would be granted beside them, none would ever end, and callers
+/// of their models would wait as long as the deployment runs.
 #[test]
 fn the_limit_decreases_for_loads_that_do_not_end() {
     let mut rig = rig_with_rate(100_000);
@@ -133,8 +133,8 @@
     assert_eq!(granted(&rig).len(), 4, "two of four slow loads are still in progress");
 }
 
-/// Four loads are in progress and eight wait. Whoever waits hears for how long,
-/// so that callers who can't wait as long are told at once.
+/// Four loads run and eight wait. Each waiting load gets an estimate, so that
+/// callers who cannot wait that long are refused at once.
 #[test]
 fn queued_loads_get_a_wait_estimate() {
     let mut rig = rig_with_rate(100_000);
@@ -144,28 +144,26 @@
         _ => None,
     });
     let waits: Vec<Duration> = waits.collect();
-    let longest = waits.iter().max().expect("eight wait");
+    let longest = waits.iter().max().expect("eight loads wait");
     assert!(*longest > LOAD_TIME && *longest < LOAD_TIME * 2, "{waits:?}");
     assert!(waits.iter().all(|wait| *wait > Duration::ZERO), "{waits:?}");
 }
 
-/// The weight store is taken by others, and a load waits for its turn at the
-/// gate, which answers within milliseconds. Meanwhile the engine loads another
-/// model from its own disk and asks the gate for nothing. With its next question
-/// the owner found that it had not heard of the gate for half a second, took it
-/// for silent and began the load without it. On eighty hosts that came to
-/// forty-seven loads on a store that carries one at full speed: all of them slowed
-/// each other down, three ended in a day, and callers of forty models were refused
-/// from morning to night.
-/// The proof: forty-six of those loads followed a line that says that the gate was
-/// silent, which had last been heard 0.3 to 2 s before; it had let four through.
+/// A load waits at the gate while its engine loads another model from disk and sends
+/// no slot requests. The owner then took the gate, which had answered within
+/// milliseconds, for silent and started the load without it. On eighty hosts this
+/// led to forty-seven loads on a store that sustains one: three of them ended in a
+/// day, and callers of forty models were refused all day.
+///
+/// Forty-six of those loads followed a log entry for a silent gate that had last
+/// answered 0.3 to 2 s before; the gate had granted four.
 #[test]
 fn a_load_that_pauses_its_requests_does_not_bypass_the_gate() {
     let mut rig = Rig::with_copies(&[("maize", 300), ("rye", 300)], COPY_LOAD_TIME);
     rig.engine.copies.on_disk.remove(&name("maize"));
     rig.document.catalogue.load_rate = Some(LoadRate(100_000));
     request_slots(&mut rig, 12, Duration::from_secs(1));
-    assert_eq!(granted(&rig).len(), 4, "the store is taken");
+    assert_eq!(granted(&rig).len(), 4, "all slots are granted");
     for round in 0..10 {
         rig.demand("entry-3", "maize", 1);
         if round == 2 {
@@ -177,10 +175,9 @@
     assert_eq!(rig.engine.loads_of("maize"), 0, "{:?}", rig.notes);
 }
 
-/// The host that keeps the gate stands still for some seconds. If every host went
-/// on with a share of its own, dozens of loads would slow each other down until
-/// long after it is back. The next host of the same order is asked instead, which
-/// lets through what one gate does.
+/// The gate's host is paused for some seconds. If every host used its local share,
+/// dozens of loads would slow each other down until long after its return. The next
+/// host in hash order takes over and grants what one gate grants.
 #[test]
 fn the_next_host_takes_over_a_silent_gate() {
     let mut rig = rig_with_rate(100_000);
@@ -200,10 +197,10 @@
     assert_eq!(rig.engine.loads_of("maize"), 1, "{:?}", rig.notes);
 }
 
-/// A load begins alone, and three more begin beside it some time later. The first
-/// one ends in time, as it had the store to itself at its beginning; the others
-/// will last several times as long. If it counted as run beside them, twice as
-/// many would be let through, and none of those would end for minutes.
+/// A load starts alone, and three more start some time later. The first one ends on
+/// time because it had the store to itself at its start; the others will take
+/// several times as long. If it counted as concurrent with them, the limit would
+/// double, and none of those loads would end for minutes.
 #[test]
 fn a_load_that_started_alone_does_not_raise_the_limit() {
     let mut rig = rig_with_rate(100_000);
--- a/crates/skylarkshore-core/tests/support/fake_engine.rs
+++ b/crates/skylarkshore-core/tests/support/fake_engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that does as it is told, and fails the test when it is told wrong.
+//! A fake model engine that executes orders and fails the test on invalid ones.
 
 use std::time::Duration;
 
@@ -20,28 +20,28 @@
     adapters: OrderedMap<AdapterName, (Mebibytes, Time)>,
 }
 
-/// An engine that does as it is told, and keeps a record of it.
+/// An engine that executes orders and records them.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// Whether it answers at all.
+    /// Whether it responds at all.
     pub up: bool,
-    /// Whether reports name the orders that were settled.
+    /// Whether its reports contain the numbers of settled orders.
     pub reports_settled: bool,
-    /// Which life it lives.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What it has done.
+    /// The executed orders.
     pub executed: Vec<Order>,
-    /// How many orders it has accepted, if it numbers them and takes one at a time.
+    /// Number of accepted orders, if the engine is sequential.
     pub accepted: Option<u64>,
-    /// The models of which it keeps copies.
+    /// The models of which it has copies.
     pub copies: Copies,
-    /// How long an unload takes, where it numbers its orders.
+    /// How long an unload takes, if the engine is sequential.
     pub unload_time: Duration,
-    /// How long a load takes of a model of which it keeps a copy.
+    /// How long a load from a copy takes.
     pub copy_load_time: Duration,
-    /// Whether it refuses an order that comes while a load is carried out, instead of failing the test.
+    /// Whether it refuses an order during a load instead of failing the test.
     pub refuses_while_loading: bool,
-    /// Until when it is carrying an unload out.
+    /// When the unload in progress ends.
     unloading_until: Time,
     memory: Mebibytes,
     models: OrderedMap<ModelName, LoadedModel>,
@@ -49,7 +49,7 @@
 }
 
 impl FakeEngine {
-    /// Makes an engine with nothing loaded.
+    /// Creates an engine with nothing loaded.
     pub fn new(memory: Mebibytes) -> Self {
         Self {
             up: true,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Carries an order out and fails the test if memory is overcommitted.
+    /// Executes an order. Fails the test if memory is overcommitted.
     pub fn execute(&mut self, now: Time, order: OrderId, action: &Order) {
         self.executed.push(action.clone());
         self.settled.push(order);
@@ -76,7 +76,7 @@
             && *action != Order::RaiseFence
         {
             *accepted += 1;
-            assert!(!self.is_loading(now), "an order came while another was carried out");
+            assert!(!self.is_loading(now), "an order arrived during another one");
         }
         match action {
             Order::RaiseFence => {}
@@ -92,13 +92,13 @@
             }
             Order::LoadAdapter { model, adapter, memory } => {
                 let held = self.models.get_mut(model).expect("an adapter is loaded after its base");
-                assert!(held.ready_at.is_due(now), "an adapter came before its base was ready");
+                assert!(held.ready_at.is_due(now), "an adapter load arrived before its base was ready");
                 held.adapters.entry(adapter.clone()).or_insert((*memory, now.after(LOAD_TIME / 4)));
             }
             Order::Unload { model } => {
                 let running = self.models.remove(model).map_or(0, |held| held.running);
                 self.unloading_until = now.after(self.unload_time);
-                assert_eq!(running, 0, "the unload of {model} cut requests off");
+                assert_eq!(running, 0, "the unload of {model} aborted requests");
             }
             Order::UnloadAdapter { model, adapter } => {
                 if let Some(held) = self.models.get_mut(model) {
@@ -109,7 +109,7 @@
         assert!(self.used() <= self.memory, "memory is overcommitted: {} of {}", self.used(), self.memory);
     }
 
-    /// Puts a model on it that no order of its present owner brought there.
+    /// Adds a model that was not loaded by an order of its current owner.
     pub fn insert_model(&mut self, model: &str, memory: u64) {
         let (ready_at, adapters) = (Time::START, OrderedMap::new());
         let held = LoadedModel {
@@ -126,7 +126,7 @@
         if self.copies.has(model) { self.copy_load_time } else { LOAD_TIME }
     }
 
-    /// Tells whether it refuses any other order for now.
+    /// Reports whether it currently refuses other orders.
     pub fn refuses_orders(&self, now: Time) -> bool {
         self.is_unloading(now) || self.refuses_while_loading && self.is_loading(now)
     }
@@ -144,7 +144,7 @@
         self.models.values().map(of).sum()
     }
 
-    /// Begins a new life with nothing loaded.
+    /// Starts a new incarnation with nothing loaded.
     pub fn restart(&mut self) {
         self.incarnation = self.incarnation.next();
         self.accepted = self.accepted.map(|_| 0);
@@ -157,21 +157,21 @@
         self.models.get_mut(&name(model)).expect("the model is loaded").running = running;
     }
 
-    /// Returns how many loads of the model it has carried out.
+    /// Returns how many loads of the model it has executed.
     pub fn loads_of(&self, wanted: &str) -> usize {
         let is_wanted =
             |order: &&Order| matches!(order, Order::Load { model, .. } if model.as_str() == wanted);
         self.executed.iter().filter(is_wanted).count()
     }
 
-    /// Tells whether it holds the model.
+    /// Reports whether it holds the model.
     pub fn holds(&self, model: &str) -> bool {
         self.models.contains_key(&name(model))
     }
 
-    /// Tells how it stands.
+    /// Returns a report.
     pub fn report(&self, now: Time) -> EngineReport {
-        // One that numbers its orders shows a model only once it is there.
+        // A sequential engine reports a model only once it is loaded.
         let shown =
             self.models.iter().filter(|(_, held)| self.accepted.is_none() || held.ready_at.is_due(now));
         let models = shown.map(|(model, held)| ReportedModel {
--- a/crates/skylarkshore-core/tests/support/loading.rs
+++ b/crates/skylarkshore-core/tests/support/loading.rs
@@ -1,4 +1,4 @@
-//! One process's loads with a fake engine, driven in given time.
+//! Test rig: the loading state of one process with a fake engine and a simulated clock.
 
 #[path = "fake_engine.rs"]
 mod fake_engine;
@@ -32,25 +32,25 @@
 };
 use skylarkshore_core::view::Readiness;
 
-/// How far apart ticks are.
+/// The interval between ticks.
 pub const TICK: Duration = Duration::from_millis(50);
 /// How long the fake engine takes for a load.
 pub const LOAD_TIME: Duration = Duration::from_secs(4);
-/// How long a request runs that needn't wait.
+/// How long a request runs that does not have to wait.
 const RUN_TIME: Duration = Duration::from_millis(400);
-/// What an engine draws with something loaded.
+/// The power of an engine with models loaded.
 pub const ACTIVE: Watts = Watts(700);
-/// The host whose process is under test.
+/// The host of the process under test.
 pub const OWN_HOST: &str = "entry-1";
-/// The engine that it owns.
+/// The engine that the process owns.
 pub const ENGINE: &str = "engine-a";
 
-/// Parses a name that the test wrote itself.
+/// Parses a name from a test.
 pub fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(s: &str) -> T {
-    s.parse().expect("a test's own name is valid")
+    s.parse().expect("names in tests are valid")
 }
 
-/// Names a model, or with a slash a model and its adapter.
+/// Parses a target: `model` or `model/adapter`.
 pub fn target(s: &str) -> ModelTarget {
     match s.split_once('/') {
         Some((model, adapter)) => ModelTarget { model: name(model), adapter: Some(name(adapter)) },
@@ -58,27 +58,27 @@
     }
 }
 
-/// What happens to an order on its way.
+/// How an order and its answer are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives, and so does its answer.
+    /// Both arrive.
     Delivered,
-    /// It arrives, but its answer doesn't.
+    /// The order arrives, but its answer is lost.
     AnswerLost,
-    /// It is held up; the sender gives it up for lost.
+    /// The order is delayed, and its sender gives it up as lost.
     Delayed,
 }
 
-/// What the process under test may do.
+/// The permissions of the process under test.
 #[derive(Debug)]
 pub struct FakeAuthority {
-    /// Whether it may give orders.
+    /// Whether orders are permitted.
     pub permitted: bool,
-    /// What its engine may draw.
+    /// The power granted to the engine.
     pub granted: Watts,
     /// The models whose home the engine is.
     pub homes: OrderedSet<ModelName>,
-    /// The models that may not stay, as other engines are their homes.
+    /// The models that must be unloaded because other engines are their homes.
     pub surplus: OrderedSet<ModelName>,
 }
 
@@ -100,34 +100,34 @@
     }
 }
 
-/// A process's loads, its surroundings and one engine.
+/// The loading state of a process, its environment and one engine.
 #[derive(Debug)]
 pub struct Rig {
-    /// The time.
+    /// The simulated time.
     pub now: Time,
-    /// What is under test.
+    /// The state under test.
     pub loading: Loading,
-    /// What it may do.
+    /// Its permissions.
     pub authority: FakeAuthority,
     /// The engine.
     pub engine: FakeEngine,
     /// The operators' document.
     pub document: Document,
-    /// What happens to the next loads and unloads; then all arrive.
+    /// Deliveries of the next loads and unloads; later ones all arrive.
     pub deliveries: Vec<Delivery>,
-    /// How many orders each order says that the engine must have accepted before.
+    /// The accepted count that each order expects.
     pub expected_counts: Vec<Option<u64>>,
-    /// Orders that were held up.
+    /// Orders that were delayed.
     pub delayed: Vec<(OrderId, Order)>,
-    /// Messages to other hosts and to the own router.
+    /// Messages to other hosts and to the process's own router.
     pub sent: Vec<Envelope>,
-    /// Notes for the operators.
+    /// Log events.
     pub notes: Vec<Note>,
-    /// How many reports were asked for.
+    /// Number of report requests.
     pub report_requests: usize,
-    /// Whether the engine's reports get lost.
+    /// Whether the engine's reports are lost.
     pub drop_reports: bool,
-    /// Whether messages to the weight-store gate get lost.
+    /// Whether messages to the weight-store gate are lost.
     pub drop_gate_messages: bool,
     cfg: NodeConfig,
     cache: StoreCache,
@@ -183,7 +183,7 @@
     }
 }
 
-/// Describes a model of the given size; a tenth of it is KV cache.
+/// Creates a model of the given size, a tenth of which is KV cache.
 pub fn model(memory: u64) -> Model {
     Model {
         version: name("v1"),
@@ -197,12 +197,13 @@
 }
 
 impl Rig {
-    /// Makes a process that has just acquired an engine of 1000 MiB.
+    /// Creates a process that has just acquired an engine of 1000 MiB.
     pub fn new(models: &[(&str, u64)]) -> Self {
         Self::taking_over(models, Time::START)
     }
 
-    /// Makes a process that has just acquired an engine whose former owner may act until `late_orders_until`.
+    /// Creates a process that has just acquired an engine whose former owner may act
+    /// until `late_orders_until`.
     pub fn taking_over(models: &[(&str, u64)], late_orders_until: Time) -> Self {
         let memory = Mebibytes(1000);
         let cfg = config();
@@ -248,7 +249,7 @@
         rig
     }
 
-    /// Makes a process that has just acquired an engine which numbers its orders and takes one at a time.
+    /// Creates a process that has just acquired a sequential engine.
     pub fn sequential(models: &[(&str, u64)]) -> Self {
         let mut rig = Self::new(models);
         rig.engine.accepted = Some(0);
@@ -260,7 +261,7 @@
         rig
     }
 
-    /// Makes the same with a copy of every model on the engine's disk, from which loads take `takes`.
+    /// Creates the same with a copy of every model on disk, from which a load takes `takes`.
     pub fn with_copies(models: &[(&str, u64)], takes: Duration) -> Self {
         let mut rig = Self::sequential(models);
         for (model, _) in models {
@@ -274,7 +275,8 @@
         rig
     }
 
-    /// Returns the last that a router was told of a model, if that is that it comes.
+    /// Returns the remaining time in the last view that a router received of a
+    /// model, if it is loading.
     pub fn remaining(&self, router: &str, model: &str) -> Option<Duration> {
         let views = self.sent.iter().rev().filter(|e| e.to.as_str() == router);
         let mut seen = views.filter_map(|e| match &e.message {
@@ -287,21 +289,21 @@
         }
     }
 
-    /// Names the homes of a model, of which the engine may be one.
+    /// Sets the homes of a model.
     pub fn set_homes(&mut self, model: &str, engines: &[&str]) {
         let homes =
             HomesRecord { engines: engines.iter().map(|engine| name(engine)).collect(), left: Vec::new() };
         self.put(Key::Homes(name(model)), Record::Homes(homes));
     }
 
-    /// Takes a model's homes away, as before they have been written.
+    /// Removes a model's homes, as before they are first written.
     pub fn clear_homes(&mut self, model: &str) {
         self.revision += 1;
         let revision = StoreRevision(self.revision);
         self.cache.apply(Versioned { key: Key::Homes(name(model)), revision, writer: None, record: None });
     }
 
-    /// Has the list say that an engine holds a model.
+    /// Lists a model as held by an engine in the host list.
     pub fn set_listed_model(&mut self, engine: &str, model: &str) {
         let memory = Mebibytes(1000);
         let id: UpstreamId = name(engine);
@@ -311,12 +313,12 @@
         self.upstreams.change(&id, |listed| listed.holds.push(name(model)));
     }
 
-    /// Has the list speak of another life of the engine.
+    /// Lists another incarnation of the engine in the host list.
     pub fn set_listed_incarnation(&mut self, life: Incarnation) {
         self.upstreams.change(&name(ENGINE), |listed| listed.incarnation = life);
     }
 
-    /// Returns what the process believes of the kind, each as its subject and state.
+    /// Returns the state-dump entries of a kind, each as its subject and state.
     pub fn beliefs(&mut self, kind: &str) -> Vec<String> {
         let mut beliefs = Vec::new();
         self.with(|loading, cx, _| beliefs = loading.dump(cx));
@@ -324,7 +326,7 @@
         of_kind.map(|belief| format!("{}: {}", belief.subject, belief.state)).collect()
     }
 
-    /// Hands a report over that was asked for just now.
+    /// Delivers a report that was requested at the current time.
     pub fn receive_report(&mut self, report: &EngineReport) {
         let asked = self.now;
         self.with(|loading, cx, authority| {
@@ -332,7 +334,7 @@
         });
     }
 
-    /// Has the list name another engine, which a live process owns.
+    /// Lists another engine in the host list, owned by a live process.
     pub fn add_engine(&mut self, engine: &str, owner: &str) {
         let memory = Mebibytes(1000);
         self.upstreams.insert(Upstream { id: name(engine), ..engine_upstream(memory) });
@@ -376,12 +378,12 @@
         model.adapters.insert(name(adapter), Mebibytes(10));
     }
 
-    /// Says on a router's behalf that requests wait.
+    /// Reports waiting requests on behalf of a router.
     pub fn demand(&mut self, router: &str, wanted: &str, waiting: u32) {
         self.demand_with(router, wanted, waiting, ServiceOrder::default(), Duration::from_mins(1));
     }
 
-    /// Says on a router's behalf that requests of an order of service wait.
+    /// Reports waiting requests with a service order and a wait limit on behalf of a router.
     pub fn demand_with(
         &mut self,
         router: &str,
@@ -394,31 +396,31 @@
         self.receive(&name(router), &message);
     }
 
-    /// Says on a router's behalf how many requests have arrived that needn't wait.
+    /// Reports requests that did not wait on behalf of a router.
     pub fn report_use(&mut self, router: &str, model: &str, arrived: u32) {
         self.report_use_for(router, model, arrived, RUN_TIME);
     }
 
-    /// Says the same where engines began to answer some of them late.
+    /// Reports such requests, of which some were answered late.
     pub fn report_late_use(&mut self, router: &str, model: &str, arrived: u32, late: u32) {
         let (target, worked) = (target(model), RUN_TIME * arrived);
         let message = PeerMessage::Used { target, arrived, late, worked, waited_for: false };
         self.receive(&name(router), &message);
     }
 
-    /// Says the same of requests that run for a given time each.
+    /// Reports such requests with a given running time each.
     pub fn report_use_for(&mut self, router: &str, model: &str, arrived: u32, run: Duration) {
         let (target, worked) = (target(model), run * arrived);
         let message = PeerMessage::Used { target, arrived, late: 0, worked, waited_for: false };
         self.receive(&name(router), &message);
     }
 
-    /// Hands a peer's message over.
+    /// Delivers a peer's message.
     pub fn receive(&mut self, from: &HostId, message: &PeerMessage) {
         self.with(|loading, cx, authority| loading.on_peer(cx, authority, from, message));
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn run(&mut self, d: Duration) {
         let end = self.now.after(d);
         while self.now < end {
@@ -427,7 +429,7 @@
         }
     }
 
-    /// Lets time pass until something holds; fails after two minutes.
+    /// Advances the time until a condition holds; fails after two minutes.
     pub fn run_until(&mut self, what: &str, holds: impl Fn(&Self) -> bool) {
         let end = self.now.after(Duration::from_mins(2));
         while !holds(self) {
@@ -436,7 +438,7 @@
         }
     }
 
-    /// Keeps a router asking while time passes.
+    /// Advances the time while a router keeps reporting waiting requests.
     pub fn run_with_demand(&mut self, d: Duration, router: &str, wanted: &str, waiting: u32) {
         let end = self.now.after(d);
         while self.now < end {
@@ -445,14 +447,14 @@
         }
     }
 
-    /// Lets an order that was held up arrive at last.
+    /// Delivers the delayed orders.
     pub fn deliver_delayed(&mut self) {
         for (order, action) in std::mem::take(&mut self.delayed) {
             self.engine.execute(self.now, order, &action);
         }
     }
 
-    /// Tells whether the last view that a router got shows the model in this state.
+    /// Reports whether the last view that a router received shows the model in this state.
     pub fn shows(&self, router: &str, model: &str, readiness: &str) -> bool {
         let views = self.sent.iter().rev().filter(|e| e.to.as_str() == router);
         let mut views = views.filter_map(|e| match &e.message {
@@ -465,18 +467,18 @@
             .any(|m| m.model.as_str() == model && format!("{:?}", m.readiness).starts_with(readiness))
     }
 
-    /// Counts the views that routers were sent.
+    /// Returns the number of views sent.
     pub fn views_sent(&self) -> usize {
         self.sent.iter().filter(|e| matches!(e.message, PeerMessage::View(_))).count()
     }
 
-    /// Counts the views that a router was sent.
+    /// Returns the number of views sent to a router.
     pub fn views_sent_to(&self, router: &str) -> usize {
         let to_it = self.sent.iter().filter(|e| e.to.as_str() == router);
         to_it.filter(|e| matches!(e.message, PeerMessage::View(_))).count()
     }
 
-    /// Lists the refusals that routers were given.
+    /// Returns the refusals sent to routers.
     pub fn refusals(&self) -> Vec<String> {
         let refusal = |e: &Envelope| match &e.message {
             PeerMessage::CannotLoad { target, reason, .. } => Some(format!("{} {reason:?}", target.model)),
@@ -485,7 +487,7 @@
         self.sent.iter().filter_map(refusal).collect()
     }
 
-    /// Calls the process's loads and carries out what they want.
+    /// Calls the loading state and applies the resulting effects.
     pub fn with(&mut self, f: impl FnOnce(&mut Loading, &mut Cx<'_>, &dyn Authority)) {
         let mut effects = Vec::new();
         self.call(&mut effects, f);
@@ -534,7 +536,7 @@
             }
             Effect::Peer(envelope) => self.deliver_message(effects, envelope),
             Effect::Note(note) => self.notes.push(note),
-            other => panic!("loading has no business with {other:?}"),
+            other => panic!("unexpected effect: {other:?}"),
         }
     }
 
