--- a/crates/skylarkshore-core/src/loading/concurrency_limit.rs
+++ b/crates/skylarkshore-core/src/loading/concurrency_limit.rs
@@ -45,7 +45,7 @@
         others: usize,
     ) {
         let ratio = so_far.as_secs_f64() / listed.as_secs_f64().max(f64::MIN_POSITIVE);
-        let before = self.limit(cx);
+        let previous = self.limit(cx);
         if ratio <= SLOWDOWN_RATIO || others == 0 {
             return;
         }
@@ -55,37 +55,44 @@
             clippy::cast_precision_loss,
             reason = "a few loads at once"
         )]
-        let carried = ((others + 1) as f64 / ratio) as usize;
+        let sustained = ((others + 1) as f64 / ratio) as usize;
         self.slowed = true;
-        self.learn(cx, before, carried.clamp(1, before), listed, so_far);
+        self.learn(cx, previous, sustained.clamp(1, previous), listed, so_far);
     }
 
     /// Adjusts the limit by the length of a finished load; `others` loads ran when it started.
     pub(crate) fn record_end(&mut self, cx: &mut Cx<'_>, listed: Duration, took: Duration, others: usize) {
-        let before = self.limit(cx);
+        let previous = self.limit(cx);
         let ratio = took.as_secs_f64() / listed.as_secs_f64().max(f64::MIN_POSITIVE);
         // A slow load that started alone was delayed by something other than concurrency.
-        let now = if ratio > SLOWDOWN_RATIO && others == 0 {
-            before
+        let new_limit = if ratio > SLOWDOWN_RATIO && others == 0 {
+            previous
         } else if ratio > SLOWDOWN_RATIO {
             self.slowed = true;
-            ((others + 1) * 2 / 3).clamp(1, before)
-        } else if ratio <= ON_TIME_RATIO && others + 1 >= before {
-            let more = if self.slowed { before + 1 } else { before * 2 };
+            ((others + 1) * 2 / 3).clamp(1, previous)
+        } else if ratio <= ON_TIME_RATIO && others + 1 >= previous {
+            let more = if self.slowed { previous + 1 } else { previous * 2 };
             more.min(max_loads_at_once(cx))
         } else {
-            before
+            previous
         };
-        self.learn(cx, before, now, listed, took);
+        self.learn(cx, previous, new_limit, listed, took);
     }
 
-    fn learn(&mut self, cx: &mut Cx<'_>, before: usize, now: usize, listed: Duration, took: Duration) {
-        if now == before {
+    fn learn(
+        &mut self,
+        cx: &mut Cx<'_>,
+        previous: usize,
+        new_limit: usize,
+        listed: Duration,
+        took: Duration,
+    ) {
+        if new_limit == previous {
             return;
         }
-        self.learned = Some(now);
-        let detail = format!("from={before} took_ms={} listed_ms={}", took.as_millis(), listed.as_millis());
-        cx.note("loads_at_once", now, detail);
+        self.learned = Some(new_limit);
+        let detail = format!("from={previous} took_ms={} listed_ms={}", took.as_millis(), listed.as_millis());
+        cx.note("loads_at_once", new_limit, detail);
     }
 }
 
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -305,8 +305,8 @@
     for load in engine.loads.values_mut() {
         load.last_checked = cx.now;
     }
-    let gone: Vec<ModelName> = engine.loads.keys().cloned().collect();
-    for model in gone {
+    let absent: Vec<ModelName> = engine.loads.keys().cloned().collect();
+    for model in absent {
         if engine.model(&model).is_none() && !engine.pending_orders.concerns(&model) {
             record_failure(cx, engine, context.load_metrics, &model, "the engine doesn't show it any more");
         }
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -365,7 +365,7 @@
             request.next_message = cx.now.after(RENEW_INTERVAL);
         } else if request.gate.as_ref() != Some(from) {
             // Another gate has granted the slot meanwhile, and only that one will be
-            // told of its end.
+            // notified of its end.
             cx.tell(from, slot_returned(key));
         }
     }
--- a/crates/skylarkshore-core/src/loading/pending_orders.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -277,12 +277,12 @@
         model: &ModelName,
         adapter: &AdapterName,
     ) -> Option<PendingOrderRef<'_>> {
-        let is_it = |action: &Order| match action {
+        let is_match = |action: &Order| match action {
             Order::LoadAdapter { model: base, adapter: name, .. }
             | Order::UnloadAdapter { model: base, adapter: name } => base == model && name == adapter,
             _ => false,
         };
-        let found = self.current().find(|(_, pending)| is_it(&pending.action));
+        let found = self.current().find(|(_, pending)| is_match(&pending.action));
         found.map(|(id, pending)| pending.order_ref(*id))
     }
 
@@ -324,8 +324,8 @@
     /// Reports whether the engine accepted a load of the model.
     pub(crate) fn has_accepted_load(&self, model: &ModelName) -> bool {
         self.current().any(|(_, pending)| {
-            let is_it = matches!(&pending.action, Order::Load { model: named, .. } if named == model);
-            is_it && matches!(pending.progress, Progress::Accepted { .. })
+            let is_match = matches!(&pending.action, Order::Load { model: named, .. } if named == model);
+            is_match && matches!(pending.progress, Progress::Accepted { .. })
         })
     }
 
@@ -339,8 +339,8 @@
 
     /// Removes and returns the load of a model.
     pub(crate) fn finish_load(&mut self, model: &ModelName) -> Option<Order> {
-        let is_it = |pending: &PendingOrder| matches!(&pending.action, Order::Load { model: named, .. } if named == model);
-        let id = self.current().find(|(_, pending)| is_it(pending)).map(|(id, _)| *id)?;
+        let is_match = |pending: &PendingOrder| matches!(&pending.action, Order::Load { model: named, .. } if named == model);
+        let id = self.current().find(|(_, pending)| is_match(pending)).map(|(id, _)| *id)?;
         self.orders.remove(&id).map(|pending| pending.action)
     }
 
--- a/crates/skylarkshore-core/src/loading/publishing.rs
+++ b/crates/skylarkshore-core/src/loading/publishing.rs
@@ -78,17 +78,17 @@
         return subscribers(last, view, demand);
     }
     let changed = view.models.iter().filter(|model| !has_same(last, model));
-    let gone = last.models.iter().filter(|model| !has_same(view, model));
-    subscribers_to(changed.chain(gone), demand)
+    let removed = last.models.iter().filter(|model| !has_same(view, model));
+    subscribers_to(changed.chain(removed), demand)
 }
 
 /// Returns the subscribers of models whose readiness matches.
 fn subscribers_in(
     view: &EngineView,
-    is_it: impl Fn(Readiness) -> bool,
+    matches: impl Fn(Readiness) -> bool,
     demand: &Demand,
 ) -> OrderedSet<HostId> {
-    subscribers_to(view.models.iter().filter(|model| is_it(model.readiness)), demand)
+    subscribers_to(view.models.iter().filter(|model| matches(model.readiness)), demand)
 }
 
 fn subscribers_to<'a>(models: impl Iterator<Item = &'a ModelView>, demand: &Demand) -> OrderedSet<HostId> {
@@ -116,8 +116,8 @@
     }
     let view = build_view(cx, engine);
     let view = record_published(cx.now, engine, view);
-    let again = cx.cfg.timings.wanted_every / 2;
-    if engine.published.sent_to.get(host).is_some_and(|sent| !sent.after(again).is_due(cx.now)) {
+    let min_interval = cx.cfg.timings.wanted_every / 2;
+    if engine.published.sent_to.get(host).is_some_and(|sent| !sent.after(min_interval).is_due(cx.now)) {
         return;
     }
     engine.published.sent_to.insert(host.clone(), cx.now);
@@ -126,8 +126,8 @@
 
 fn record_published(now: Time, engine: &mut Engine, mut view: EngineView) -> EngineView {
     let ago = now.since(engine.published.changed_at);
-    let is_news = |last: &EngineView| !is_same(last, &view, true) || is_delayed(ago, last, &view);
-    if engine.published.last.as_ref().is_none_or(is_news) {
+    let is_changed = |last: &EngineView| !is_same(last, &view, true) || is_delayed(ago, last, &view);
+    if engine.published.last.as_ref().is_none_or(is_changed) {
         engine.published.number += 1;
         engine.published.changed_at = now;
         engine.published.sent_to.clear();
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -99,8 +99,8 @@
     waiting: u32,
 ) -> bool {
     let rate = context.usage.request_rate(cx.now, model);
-    let away = context.load_times.expected_unload() + context.load_times.expected_on(cx, engine, model);
-    if !engine.is_sequential() || rate * away.as_secs_f64() < f64::from(waiting.max(1)) {
+    let absence = context.load_times.expected_unload() + context.load_times.expected_on(cx, engine, model);
+    if !engine.is_sequential() || rate * absence.as_secs_f64() < f64::from(waiting.max(1)) {
         return false;
     }
     let Some((_, homes)) = cx.cache.homes(model) else { return true };
--- a/crates/skylarkshore-core/src/loading/usage.rs
+++ b/crates/skylarkshore-core/src/loading/usage.rs
@@ -29,11 +29,11 @@
 impl UsageRate {
     fn at(self, now: Time) -> Self {
         let age = now.since(self.at).as_secs_f64() / TIME_CONSTANT.as_secs_f64();
-        let left = (-age).exp();
+        let decay = (-age).exp();
         Self {
-            requests: self.requests * left,
-            late: self.late * left,
-            running: self.running * left,
+            requests: self.requests * decay,
+            late: self.late * decay,
+            running: self.running * decay,
             at: now,
             ..self
         }
--- a/crates/skylarkshore-core/tests/loading/load_slots.rs
+++ b/crates/skylarkshore-core/tests/loading/load_slots.rs
@@ -50,8 +50,8 @@
         rig.add_member(&format!("entry-{number}"));
     }
     rig.run_with_demand(Duration::from_millis(200), PEER, "maize", 1);
-    let asked = rig.sent.iter().find(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
-    let gate = asked.expect("a gate is asked").to.clone();
+    let request = rig.sent.iter().find(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
+    let gate = request.expect("a slot is requested").to.clone();
     let granted = PeerMessage::LoadSlotGranted { upstream: name(ENGINE), model: name("maize") };
     rig.receive(&gate, &granted);
     rig.run_with_demand(Duration::from_millis(200), PEER, "maize", 1);
@@ -202,15 +202,15 @@
         rig.sent.clear();
         rig.demand(PEER, model, 1);
         rig.run(STEP);
-        let asked = rig.sent.iter().find(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
-        if let Some(asked) = asked.map(|envelope| envelope.to.clone()) {
+        let request = rig.sent.iter().find(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
+        if let Some(request) = request.map(|envelope| envelope.to.clone()) {
             let wait = Duration::from_secs(10);
             rig.receive(
-                &asked,
+                &request,
                 &PeerMessage::LoadSlotQueued { upstream: name(ENGINE), model: name(model), wait },
             );
-            gate = Some(asked);
+            gate = Some(request);
         }
     }
-    gate.expect("a gate is asked")
+    gate.expect("a slot is requested")
 }
--- a/crates/skylarkshore-core/tests/loading/sequential_engines.rs
+++ b/crates/skylarkshore-core/tests/loading/sequential_engines.rs
@@ -204,8 +204,8 @@
     rig.run(Duration::from_secs(2));
     let before = rig.report_requests;
     rig.run(Duration::from_mins(1));
-    let asked = rig.report_requests - before;
-    assert!(asked <= 15, "{asked} report requests in a minute");
+    let requests = rig.report_requests - before;
+    assert!(requests <= 15, "{requests} report requests in a minute");
     rig.demand("entry-2", "maize", 1);
     rig.run(LOAD_TIME + Duration::from_secs(1));
     assert!(rig.shows("entry-2", "maize", "Ready"), "{:?}", rig.notes);
--- a/crates/skylarkshore-core/tests/loading/swaps.rs
+++ b/crates/skylarkshore-core/tests/loading/swaps.rs
@@ -75,11 +75,11 @@
         rig.demand("entry-2", model, 0);
         assert!(rig.engine.holds(model), "{:?}", rig.notes);
     }
-    let asked = rig.now;
+    let requested = rig.now;
     while !rig.shows("entry-2", "m7", "Ready") {
         rig.run_with_demand(TICK, "entry-2", "m7", 1);
     }
-    assert!(rig.now.since(asked) >= COPY_LOAD_TIME * 3 / 2, "{:?}", rig.now.since(asked));
+    assert!(rig.now.since(requested) >= COPY_LOAD_TIME * 3 / 2, "{:?}", rig.now.since(requested));
 }
 
 /// Forty requests a second need no load because their model is ready; routers report
@@ -258,14 +258,17 @@
         rig.run_with_demand(Duration::from_secs(5), "entry-2", model, 1);
         rig.demand("entry-2", model, 0);
     }
-    let asked: Time = rig.now;
+    let requested: Time = rig.now;
     rig.demand("entry-2", &names[11], 1);
     rig.run(TICK);
     let estimate = rig.remaining("entry-2", &names[11]).expect("the router receives the remaining time");
     while !rig.shows("entry-2", "m11", "Ready") {
-        assert!(rig.now.since(asked) < LONG_WAIT, "{:?}", rig.notes);
+        assert!(rig.now.since(requested) < LONG_WAIT, "{:?}", rig.notes);
         rig.run_with_demand(TICK, "entry-2", "m11", 1);
     }
-    let took = rig.now.since(asked);
-    assert!(estimate > took.mul_f64(0.6) && estimate < took.mul_f64(1.4), "told {estimate:?}, took {took:?}");
+    let took = rig.now.since(requested);
+    assert!(
+        estimate > took.mul_f64(0.6) && estimate < took.mul_f64(1.4),
+        "estimated {estimate:?}, took {took:?}"
+    );
 }
--- a/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
+++ b/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
@@ -185,12 +185,12 @@
         rig.add_member(&format!("entry-{number}"));
     }
     rig.run_with_demand(Duration::from_millis(500), PEER, "maize", 1);
-    let asked = rig.sent.iter().filter(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
-    let mut asked: Vec<String> = asked.map(|envelope| envelope.to.to_string()).collect();
-    asked.dedup();
-    assert_eq!(asked.len(), 2, "{asked:?}: {:?}", rig.notes);
+    let gates = rig.sent.iter().filter(|e| matches!(e.message, PeerMessage::LoadSlotWanted { .. }));
+    let mut gates: Vec<String> = gates.map(|envelope| envelope.to.to_string()).collect();
+    gates.dedup();
+    assert_eq!(gates.len(), 2, "{gates:?}: {:?}", rig.notes);
     assert_eq!(rig.engine.loads_of("maize"), 0);
-    let gate: HostId = name(&asked[1]);
+    let gate: HostId = name(&gates[1]);
     let granted = PeerMessage::LoadSlotGranted { upstream: name(ENGINE), model: name("maize") };
     rig.receive(&gate, &granted);
     rig.run_with_demand(Duration::from_millis(500), PEER, "maize", 1);
--- a/crates/skylarkshore-core/tests/support/loading.rs
+++ b/crates/skylarkshore-core/tests/support/loading.rs
@@ -314,8 +314,8 @@
     }
 
     /// Lists another incarnation of the engine in the host list.
-    pub fn set_listed_incarnation(&mut self, life: Incarnation) {
-        self.upstreams.change(&name(ENGINE), |listed| listed.incarnation = life);
+    pub fn set_listed_incarnation(&mut self, incarnation: Incarnation) {
+        self.upstreams.change(&name(ENGINE), |listed| listed.incarnation = incarnation);
     }
 
     /// Returns the state-dump entries of a kind, each as its subject and state.
