--- a/crates/skylarkshore-core/tests/loading/faults.rs
+++ b/crates/skylarkshore-core/tests/loading/faults.rs
@@ -47,7 +47,7 @@
 #[test]
 fn without_settled_order_numbers_memory_is_freed_only_after_the_settle_time() {
     let mut rig = Rig::new(&[("maize", 600), ("rye", 600)]);
-    rig.engine.reports_settled = false;
+    rig.engine.names_settled = false;
     rig.deliveries = vec![Delivery::Delayed];
     rig.demand("entry-2", "maize", 1);
     rig.run(Duration::from_secs(1) / 4);
--- a/crates/skylarkshore-core/tests/loading/lifecycle.rs
+++ b/crates/skylarkshore-core/tests/loading/lifecycle.rs
@@ -14,7 +14,7 @@
     }
     rig.run_until("the ninth router receives the ready model", |rig| rig.shows("entry-9", "maize", "Ready"));
     assert_eq!(rig.engine.loads_of("maize"), 1);
-    assert_eq!(rig.engine.executed.first(), Some(&Order::RaiseFence));
+    assert_eq!(rig.engine.done.first(), Some(&Order::RaiseFence));
     assert_eq!(rig.refusals(), Vec::<String>::new());
 }
 
@@ -47,8 +47,7 @@
         rig.run(Duration::from_millis(500));
     }
     assert_eq!(rig.engine.loads_of("maize"), 1);
-    let adapters =
-        rig.engine.executed.iter().filter(|order| matches!(order, Order::LoadAdapter { .. })).count();
+    let adapters = rig.engine.done.iter().filter(|order| matches!(order, Order::LoadAdapter { .. })).count();
     assert_eq!(adapters, 3);
     assert_eq!(rig.refusals(), Vec::<String>::new());
 }
--- a/crates/skylarkshore-core/tests/loading/load_slots.rs
+++ b/crates/skylarkshore-core/tests/loading/load_slots.rs
@@ -187,7 +187,7 @@
         rig.add_member(&format!("entry-{number}"));
     }
     let gate = queue_at_remote_gate(&mut rig, "rye", Duration::from_secs(3));
-    let unloads = rig.engine.executed.iter().filter(|order| matches!(order, Order::Unload { .. })).count();
+    let unloads = rig.engine.done.iter().filter(|order| matches!(order, Order::Unload { .. })).count();
     assert_eq!(unloads, 0, "{:?}", rig.notes);
     rig.receive(&gate, &PeerMessage::LoadSlotGranted { upstream: name(ENGINE), model: name("rye") });
     rig.run_with_demand(Duration::from_secs(2), PEER, "rye", 1);
--- a/crates/skylarkshore-core/tests/loading/restarts.rs
+++ b/crates/skylarkshore-core/tests/loading/restarts.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_report_from_a_previous_incarnation_is_ignored() {
     let mut rig = Rig::sequential(&[("rye", 300)]);
-    rig.engine.insert_model("rye", 300);
+    rig.engine.put("rye", 300);
     rig.run_with_demand(Duration::from_secs(1), "entry-2", "rye", 1);
     assert!(rig.shows("entry-2", "rye", "Ready"));
     let old = rig.engine.report(rig.now);
--- a/crates/skylarkshore-core/tests/loading/sequential_engines.rs
+++ b/crates/skylarkshore-core/tests/loading/sequential_engines.rs
@@ -16,7 +16,7 @@
         Order::Load { model, .. } => Some(model.to_string()),
         _ => None,
     };
-    rig.engine.executed.iter().filter_map(model).collect()
+    rig.engine.done.iter().filter_map(model).collect()
 }
 
 /// Single requests for many rarely used models arrive, each more urgent than the
@@ -92,7 +92,7 @@
     let mut rig = Rig::sequential(&[("maize", 300)]);
     rig.clear_homes("maize");
     rig.authority.homes.clear();
-    rig.engine.insert_model("maize", 300);
+    rig.engine.put("maize", 300);
     rig.run(Duration::from_secs(20));
     assert!(rig.engine.holds("maize"));
 }
@@ -108,7 +108,7 @@
     rig.set_listed_model(crate::support::ENGINE, "maize");
     rig.authority.homes.clear();
     rig.authority.surplus.insert(name("maize"));
-    rig.engine.insert_model("maize", 300);
+    rig.engine.put("maize", 300);
     rig.run(Duration::from_secs(5));
     assert!(rig.engine.holds("maize"));
     rig.set_homes("maize", &["engine-b", "engine-c"]);
@@ -135,7 +135,7 @@
     let numbered: Vec<u64> = rig.expected_counts.iter().flatten().copied().collect();
     let expected: Vec<u64> = (0..numbered.len() as u64).collect();
     assert_eq!(numbered, expected);
-    assert_eq!(numbered.len(), 3, "{:?}", rig.engine.executed);
+    assert_eq!(numbered.len(), 3, "{:?}", rig.engine.done);
 }
 
 /// Nobody waits for a model without a copy, and requests for another model run. A
@@ -144,7 +144,7 @@
 #[test]
 fn copies_are_not_fetched_while_requests_run() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
-    rig.engine.insert_model("maize", 300);
+    rig.engine.put("maize", 300);
     rig.engine.set_running("maize", 1);
     rig.run(Duration::from_secs(10));
     assert_eq!(loads(&rig), [""; 0]);
@@ -161,7 +161,7 @@
 fn models_stay_while_their_home_is_unconfirmed() {
     let mut rig = Rig::sequential(&[("maize", 300)]);
     rig.authority.homes.clear();
-    rig.engine.insert_model("maize", 300);
+    rig.engine.put("maize", 300);
     rig.run(Duration::from_secs(1));
     assert!(rig.engine.holds("maize"), "{:?}", rig.notes);
 }
@@ -172,7 +172,7 @@
 #[test]
 fn a_copy_does_not_evict_a_model_held_by_several_engines() {
     let mut rig = Rig::sequential(&[("hot", 700), ("rare", 700)]);
-    rig.engine.insert_model("hot", 700);
+    rig.engine.put("hot", 700);
     rig.engine.copies.on_disk.insert(name("hot"));
     rig.set_listed_model("engine-b", "hot");
     rig.set_listed_model("engine-a", "hot");
--- a/crates/skylarkshore-core/tests/loading/swaps.rs
+++ b/crates/skylarkshore-core/tests/loading/swaps.rs
@@ -22,13 +22,13 @@
     let mut rig = Rig::with_copies(&models, COPY_LOAD_TIME);
     rig.engine.unload_time = Duration::from_millis(120);
     for model in ["maize", "rye", "oat"] {
-        rig.engine.insert_model(model, 300);
+        rig.engine.put(model, 300);
     }
     rig.run(Duration::from_secs(1));
     rig.drop_reports = true;
     rig.demand("entry-2", "spelt", 1);
     rig.run(Duration::from_millis(200));
-    assert_eq!(rig.engine.loads_of("spelt"), 1, "{:?} {:?}", rig.engine.executed, rig.notes);
+    assert_eq!(rig.engine.loads_of("spelt"), 1, "{:?} {:?}", rig.engine.done, rig.notes);
 }
 
 /// The unload waits for running requests. Each early retry of the load is refused;
@@ -39,7 +39,7 @@
     let mut rig = Rig::with_copies(&models, COPY_LOAD_TIME);
     rig.engine.unload_time = Duration::from_secs(2);
     for model in ["maize", "rye", "oat"] {
-        rig.engine.insert_model(model, 300);
+        rig.engine.put(model, 300);
     }
     rig.run(Duration::from_secs(1));
     rig.run_with_demand(Duration::from_millis(3500), "entry-2", "spelt", 1);
@@ -91,7 +91,7 @@
     let models = [("hot", 300), ("rye", 300), ("oat", 300), ("spelt", 300)];
     let mut rig = Rig::with_copies(&models, COPY_LOAD_TIME);
     for model in ["hot", "rye", "oat"] {
-        rig.engine.insert_model(model, 300);
+        rig.engine.put(model, 300);
     }
     for _ in 0..10 {
         rig.report_use("entry-2", "hot", 20);
@@ -115,13 +115,13 @@
 #[test]
 fn an_under_replicated_model_is_loaded_before_a_single_request() {
     let mut rig = Rig::with_copies(&[("hot", 300), ("rye", 300), ("oat", 300)], COPY_LOAD_TIME);
-    rig.engine.insert_model("oat", 300);
+    rig.engine.put("oat", 300);
     for _ in 0..4 {
         rig.report_use("entry-2", "hot", 40);
     }
     rig.demand("entry-3", "rye", 1);
     rig.run(Duration::from_secs(2));
-    let first = rig.engine.executed.iter().find_map(|order| match order {
+    let first = rig.engine.done.iter().find_map(|order| match order {
         Order::Load { model, .. } => Some(model.to_string()),
         _ => None,
     });
@@ -225,7 +225,7 @@
     let mut rig = Rig::with_copies(&models, COPY_LOAD_TIME);
     rig.engine.unload_time = Duration::from_millis(100);
     for model in ["maize", "rye", "oat"] {
-        rig.engine.insert_model(model, 300);
+        rig.engine.put(model, 300);
         rig.engine.set_running(model, 0);
     }
     for _ in 0..4 {
@@ -252,7 +252,7 @@
     let mut rig = Rig::with_copies(&models, COPY_LOAD_TIME);
     rig.engine.unload_time = Duration::from_secs(3);
     for model in &names[..3] {
-        rig.engine.insert_model(model, 300);
+        rig.engine.put(model, 300);
     }
     for model in &names[3..11] {
         rig.run_with_demand(Duration::from_secs(5), "entry-2", model, 1);
--- a/crates/skylarkshore-core/tests/support/fake_engine.rs
+++ b/crates/skylarkshore-core/tests/support/fake_engine.rs
@@ -1,4 +1,4 @@
-//! A fake model engine that executes orders and fails the test on invalid ones.
+//! A model engine that does as it is told, and fails the test when it is told wrong.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 /// A model on the fake engine.
 #[derive(Clone, Debug)]
-struct LoadedModel {
+struct Held {
     version: String,
     memory: Mebibytes,
     ready_at: Time,
@@ -20,42 +20,42 @@
     adapters: OrderedMap<AdapterName, (Mebibytes, Time)>,
 }
 
-/// An engine that executes orders and records them.
+/// An engine that does as it is told, and keeps a record of it.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// Whether it responds at all.
+    /// Whether it answers at all.
     pub up: bool,
-    /// Whether its reports contain the numbers of settled orders.
-    pub reports_settled: bool,
-    /// Its incarnation.
+    /// Whether reports name the orders that were settled.
+    pub names_settled: bool,
+    /// Which life it lives.
     pub incarnation: Incarnation,
-    /// The executed orders.
-    pub executed: Vec<Order>,
-    /// Number of accepted orders, if the engine is sequential.
+    /// What it has done.
+    pub done: Vec<Order>,
+    /// How many orders it has accepted, if it numbers them and takes one at a time.
     pub accepted: Option<u64>,
-    /// The models of which it has copies.
+    /// The models of which it keeps copies.
     pub copies: Copies,
-    /// How long an unload takes, if the engine is sequential.
+    /// How long an unload takes, where it numbers its orders.
     pub unload_time: Duration,
-    /// How long a load from a copy takes.
+    /// How long a load takes of a model of which it keeps a copy.
     pub copy_load_time: Duration,
-    /// Whether it refuses an order during a load instead of failing the test.
+    /// Whether it refuses an order that comes while a load is carried out, instead of failing the test.
     pub refuses_while_loading: bool,
-    /// When the unload in progress ends.
+    /// Until when it is carrying an unload out.
     unloading_until: Time,
     memory: Mebibytes,
-    models: OrderedMap<ModelName, LoadedModel>,
+    models: OrderedMap<ModelName, Held>,
     settled: Vec<OrderId>,
 }
 
 impl FakeEngine {
-    /// Creates an engine with nothing loaded.
+    /// Makes an engine with nothing loaded.
     pub fn new(memory: Mebibytes) -> Self {
         Self {
             up: true,
-            reports_settled: true,
+            names_settled: true,
             incarnation: Incarnation(1),
-            executed: Vec::new(),
+            done: Vec::new(),
             accepted: None,
             copies: Copies::default(),
             unload_time: Duration::ZERO,
@@ -68,20 +68,20 @@
         }
     }
 
-    /// Executes an order. Fails the test if memory is overcommitted.
-    pub fn execute(&mut self, now: Time, order: OrderId, action: &Order) {
-        self.executed.push(action.clone());
+    /// Carries an order out and fails the test if memory is overcommitted.
+    pub fn carry_out(&mut self, now: Time, order: OrderId, action: &Order) {
+        self.done.push(action.clone());
         self.settled.push(order);
         if let Some(accepted) = &mut self.accepted
             && *action != Order::RaiseFence
         {
             *accepted += 1;
-            assert!(!self.is_loading(now), "an order arrived during another one");
+            assert!(!self.is_loading(now), "an order came while another was carried out");
         }
         match action {
             Order::RaiseFence => {}
             Order::Load { model, version, memory } => {
-                let held = LoadedModel {
+                let held = Held {
                     version: version.to_string(),
                     memory: *memory,
                     ready_at: now.after(self.load_time(model)),
@@ -92,13 +92,13 @@
             }
             Order::LoadAdapter { model, adapter, memory } => {
                 let held = self.models.get_mut(model).expect("an adapter is loaded after its base");
-                assert!(held.ready_at.is_due(now), "an adapter load arrived before its base was ready");
+                assert!(held.ready_at.is_due(now), "an adapter came before its base was ready");
                 held.adapters.entry(adapter.clone()).or_insert((*memory, now.after(LOAD_TIME / 4)));
             }
             Order::Unload { model } => {
                 let running = self.models.remove(model).map_or(0, |held| held.running);
                 self.unloading_until = now.after(self.unload_time);
-                assert_eq!(running, 0, "the unload of {model} aborted requests");
+                assert_eq!(running, 0, "the unload of {model} cut requests off");
             }
             Order::UnloadAdapter { model, adapter } => {
                 if let Some(held) = self.models.get_mut(model) {
@@ -109,16 +109,11 @@
         assert!(self.used() <= self.memory, "memory is overcommitted: {} of {}", self.used(), self.memory);
     }
 
-    /// Adds a model that was not loaded by an order of its current owner.
-    pub fn insert_model(&mut self, model: &str, memory: u64) {
+    /// Puts a model on it that no order of its present owner brought there.
+    pub fn put(&mut self, model: &str, memory: u64) {
         let (ready_at, adapters) = (Time::START, OrderedMap::new());
-        let held = LoadedModel {
-            version: "v1".to_owned(),
-            memory: Mebibytes(memory),
-            ready_at,
-            running: 0,
-            adapters,
-        };
+        let held =
+            Held { version: "v1".to_owned(), memory: Mebibytes(memory), ready_at, running: 0, adapters };
         self.models.insert(name(model), held);
     }
 
@@ -126,7 +121,7 @@
         if self.copies.has(model) { self.copy_load_time } else { LOAD_TIME }
     }
 
-    /// Reports whether it currently refuses other orders.
+    /// Tells whether it refuses any other order for now.
     pub fn refuses_orders(&self, now: Time) -> bool {
         self.is_unloading(now) || self.refuses_while_loading && self.is_loading(now)
     }
@@ -140,11 +135,11 @@
     }
 
     fn used(&self) -> Mebibytes {
-        let of = |held: &LoadedModel| held.memory + held.adapters.values().map(|(memory, _)| *memory).sum();
+        let of = |held: &Held| held.memory + held.adapters.values().map(|(memory, _)| *memory).sum();
         self.models.values().map(of).sum()
     }
 
-    /// Starts a new incarnation with nothing loaded.
+    /// Begins a new life with nothing loaded.
     pub fn restart(&mut self) {
         self.incarnation = self.incarnation.next();
         self.accepted = self.accepted.map(|_| 0);
@@ -157,21 +152,21 @@
         self.models.get_mut(&name(model)).expect("the model is loaded").running = running;
     }
 
-    /// Returns how many loads of the model it has executed.
+    /// Returns how many loads of the model it has carried out.
     pub fn loads_of(&self, wanted: &str) -> usize {
         let is_wanted =
             |order: &&Order| matches!(order, Order::Load { model, .. } if model.as_str() == wanted);
-        self.executed.iter().filter(is_wanted).count()
+        self.done.iter().filter(is_wanted).count()
     }
 
-    /// Reports whether it holds the model.
+    /// Tells whether it holds the model.
     pub fn holds(&self, model: &str) -> bool {
         self.models.contains_key(&name(model))
     }
 
-    /// Returns a report.
+    /// Tells how it stands.
     pub fn report(&self, now: Time) -> EngineReport {
-        // A sequential engine reports a model only once it is loaded.
+        // One that numbers its orders shows a model only once it is there.
         let shown =
             self.models.iter().filter(|(_, held)| self.accepted.is_none() || held.ready_at.is_due(now));
         let models = shown.map(|(model, held)| ReportedModel {
@@ -199,7 +194,7 @@
             waiting: 0,
             leaving: false,
             lag: Duration::from_millis(200),
-            settled: if self.reports_settled { self.settled.clone() } else { Vec::new() },
+            settled: if self.names_settled { self.settled.clone() } else { Vec::new() },
             busy: self.accepted.is_some() && (self.is_loading(now) || self.is_unloading(now)),
             accepted: self.accepted,
             copies: self.copies.clone(),
--- a/crates/skylarkshore-core/tests/support/loading.rs
+++ b/crates/skylarkshore-core/tests/support/loading.rs
@@ -450,7 +450,7 @@
     /// Delivers the delayed orders.
     pub fn deliver_delayed(&mut self) {
         for (order, action) in std::mem::take(&mut self.delayed) {
-            self.engine.execute(self.now, order, &action);
+            self.engine.carry_out(self.now, order, &action);
         }
     }
 
@@ -571,11 +571,11 @@
         }
         match delivery {
             Delivery::Delivered => {
-                self.engine.execute(self.now, order, action);
+                self.engine.carry_out(self.now, order, action);
                 self.answer_order(effects, order, &OrderAnswer::Accepted);
             }
             Delivery::AnswerLost => {
-                self.engine.execute(self.now, order, action);
+                self.engine.carry_out(self.now, order, action);
                 self.answer_order(effects, order, &OrderAnswer::Lost);
             }
             Delivery::Delayed => {
