--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -37,11 +37,11 @@
 
 use std::time::Duration;
 
-use crate::authority::{Authority, EngineUse, HomeWish, OwnershipChange};
+use crate::authority::{Authority, EngineUse, HomeRequest, OwnershipChange};
 use crate::collections::OrderedMap;
 use crate::config::NodeConfig;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::id::{ModelName, OrderId, UpstreamId};
 use crate::loading::demand::Demand;
 use crate::loading::engine::Engine;
@@ -179,7 +179,7 @@
         match answered {
             Answered::Accepted => self.on_accepted(cx, authority, id, &action),
             Answered::Done => engine.record_done(cx.now, &action),
-            Answered::InDoubt => cx.note("order_lost", id, format!("order={order}")),
+            Answered::InDoubt => cx.log_event("order_lost", id, format!("order={order}")),
             Answered::NotDone => handle_not_executed(cx, engine, &mut self.load_metrics, &action, answer),
         }
     }
@@ -190,7 +190,7 @@
             Order::Load { model, .. } => {
                 load::on_accepted(cx, engine, model);
                 if pipelining::complete_unloads(engine, cx.now, context.load_times) {
-                    cx.note("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
+                    cx.log_event("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
                 }
             }
             Order::Unload { .. } => decide(cx, engine, context),
@@ -227,7 +227,7 @@
             }
             newly_ready = load::record_ended(cx, engine, context);
             if status == ReportStatus::Restarted {
-                cx.note("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
+                cx.log_event("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
                 engine.on_restart(cx.now);
             }
             decide(cx, engine, context);
@@ -262,7 +262,7 @@
     }
 
     /// Returns the state dump.
-    pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
+    pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
         diagnostics::dump(self, cx)
     }
 
@@ -292,7 +292,7 @@
         desired_loads::review_missing_copies(cx, engine, context);
     }
     let desired_loads = desired_loads::collect(cx, engine, context);
-    engine.lacks = desired_loads::missing_power(engine, context, &desired_loads);
+    engine.power_shortfall = desired_loads::missing_power(engine, context, &desired_loads);
     let Some(permit) = context.authority.permit(cx.now, &engine.id) else {
         engine.planned.clear();
         return;
@@ -314,7 +314,7 @@
     let copies = &report.copies;
     let (in_memory, on_disk) = (copies.in_memory.len(), copies.on_disk.len());
     let detail = format!("holds=[{}] copies_in_memory={in_memory} copies_on_disk={on_disk}", held.join(" "));
-    cx.note("engine_surveyed", &engine.id, detail);
+    cx.log_event("engine_surveyed", &engine.id, detail);
 }
 
 fn handle_not_executed(
@@ -326,14 +326,14 @@
 ) {
     if let OrderAnswer::FenceTooLow { seen } = answer {
         engine.phase = engine_state::Phase::Superseded;
-        cx.note("engine_superseded", &engine.id, format!("fence={} seen={seen}", engine.fence));
+        cx.log_event("engine_superseded", &engine.id, format!("fence={} seen={seen}", engine.fence));
     }
     let reason = match answer {
         OrderAnswer::Refused { reason } => reason.as_str(),
         OrderAnswer::NotSent => "the engine refuses connections",
         OrderAnswer::FenceTooLow { .. } => "the engine has seen a higher fence",
-        // An order out of sequence is retried once a report shows the engine's order count.
-        OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OutOfTurn | OrderAnswer::Lost => return,
+        // A conflicting order is retried once a report shows the engine's accepted count.
+        OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OrderConflict | OrderAnswer::Lost => return,
     };
     if let Order::Load { model, .. } | Order::LoadAdapter { model, .. } = action {
         load::record_failure(cx, engine, load_metrics, model, reason);
@@ -341,27 +341,27 @@
 }
 
 impl EngineUse for Loading {
-    fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        self.engines.get(engine).is_some_and(|engine| engine.is_free_of(model))
+    fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool {
+        self.engines.get(engine).is_some_and(|engine| engine.is_unused_by(model))
     }
 
-    fn is_settled(&self, engine: &UpstreamId) -> bool {
+    fn has_no_open_orders(&self, engine: &UpstreamId) -> bool {
         self.engines.get(engine).is_none_or(|engine| engine.pending_orders.is_empty())
     }
 
-    fn drawn(&self, engine: &UpstreamId) -> Watts {
-        self.engines.get(engine).map_or(Watts(0), Engine::drawn)
+    fn power_draw(&self, engine: &UpstreamId) -> Watts {
+        self.engines.get(engine).map_or(Watts(0), Engine::power_draw)
     }
 
-    fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
-        self.engines.get(engine)?.lacks
+    fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
+        self.engines.get(engine)?.power_shortfall
     }
 
     fn free_memory(&self, engine: &UpstreamId) -> Mebibytes {
         self.engines.get(engine).map_or(Mebibytes(0), Engine::free_memory)
     }
 
-    fn home_wishes(&self) -> Vec<HomeWish> {
+    fn home_requests(&self) -> Vec<HomeRequest> {
         self.engines.values().flat_map(|engine| &engine.rehoming.due).cloned().collect()
     }
 }
--- a/crates/skylarkshore-core/src/loading/concurrency_limit.rs
+++ b/crates/skylarkshore-core/src/loading/concurrency_limit.rs
@@ -92,7 +92,7 @@
         }
         self.learned = Some(new_limit);
         let detail = format!("from={previous} took_ms={} listed_ms={}", took.as_millis(), listed.as_millis());
-        cx.note("loads_at_once", new_limit, detail);
+        cx.log_event("loads_at_once", new_limit, detail);
     }
 }
 
--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -26,7 +26,7 @@
     /// The latest deadline among them.
     deadline: Time,
     /// When the first of their answers loses value.
-    aim: Time,
+    soft_deadline: Time,
     /// When the report expires unless the router repeats it.
     expires: Time,
     /// Whether the router was told to retry, so that the load continues meanwhile.
@@ -41,7 +41,7 @@
     /// The latest deadline of the waiting requests.
     pub deadline: Time,
     /// When the first answer loses value; never if no answer has a target time.
-    pub aim: Time,
+    pub soft_deadline: Time,
     /// Number of waiting requests.
     pub waiting: u32,
 }
@@ -51,7 +51,7 @@
         Self {
             order: self.order.min(other.order),
             deadline: self.deadline.max(other.deadline),
-            aim: self.aim.min(other.aim),
+            soft_deadline: self.soft_deadline.min(other.soft_deadline),
             waiting: self.waiting + other.count,
         }
     }
@@ -69,9 +69,9 @@
     /// The most urgent service order among them.
     pub order: ServiceOrder,
     /// The longest remaining wait among them.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// The shortest remaining time in which an answer keeps its full value.
-    pub aim: Option<Duration>,
+    pub soft_deadline: Option<Duration>,
 }
 
 /// Waiting requests and subscriptions.
@@ -91,8 +91,8 @@
         let waiting = HostDemand {
             count: wanted.waiting,
             order: wanted.order,
-            deadline: now.after(wanted.patience),
-            aim: wanted.aim.map_or(Time::NEVER, |aim| now.after(aim)),
+            deadline: now.after(wanted.max_wait),
+            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             expires: now.after(timings.wanted_every * MAX_MISSED_MESSAGES),
             held_for_retry: false,
         };
@@ -161,15 +161,15 @@
     pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
         let reported = ModelDemand {
             order: wanted.order,
-            deadline: now.after(wanted.patience),
-            aim: wanted.aim.map_or(Time::NEVER, |aim| now.after(aim)),
+            deadline: now.after(wanted.max_wait),
+            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             waiting: wanted.waiting,
         };
         let Some(others) = self.of_model(&wanted.target.model) else { return reported };
         ModelDemand {
             order: reported.order.min(others.order),
             deadline: reported.deadline.max(others.deadline),
-            aim: reported.aim.min(others.aim),
+            soft_deadline: reported.soft_deadline.min(others.soft_deadline),
             waiting: reported.waiting.saturating_add(others.waiting),
         }
     }
@@ -198,7 +198,11 @@
 
 fn sum<'a>(mut all: impl Iterator<Item = &'a HostDemand>) -> Option<ModelDemand> {
     let first = all.next()?;
-    let need =
-        ModelDemand { order: first.order, deadline: first.deadline, aim: first.aim, waiting: first.count };
+    let need = ModelDemand {
+        order: first.order,
+        deadline: first.deadline,
+        soft_deadline: first.soft_deadline,
+        waiting: first.count,
+    };
     Some(all.fold(need, ModelDemand::with))
 }
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -10,7 +10,7 @@
 use crate::loading::policy::{self, ModelUse};
 use crate::loading::replicas;
 use crate::loading::{DecisionContext, demand::ModelDemand};
-use crate::rules::{Outcome, Percent, ServiceOrder};
+use crate::rules::{Percent, RuleOutcome, ServiceOrder};
 use crate::time::Time;
 use crate::units::Watts;
 
@@ -67,7 +67,7 @@
     /// The latest deadline of the waiting requests; never if none wait.
     pub deadline: Time,
     /// The earliest time at which an answer loses value, if the load can end before.
-    pub aim: Option<Time>,
+    pub soft_deadline: Option<Time>,
     /// Number of waiting requests.
     pub waiting: u32,
 }
@@ -83,15 +83,15 @@
     /// Requests that can still be answered at full value go before those that
     /// cannot, which lose nothing by waiting longer.
     pub(crate) fn rank(&self) -> (LoadCause, Rank) {
-        (self.cause, rank(self.waiting, self.order, self.aim, self.deadline))
+        (self.cause, rank(self.waiting, self.order, self.soft_deadline, self.deadline))
     }
 }
 
 /// Sort key of a model among those that requests wait for.
 pub(crate) type Rank = (Precedence, bool, Time);
 
-fn rank(waiting: u32, order: ServiceOrder, aim: Option<Time>, deadline: Time) -> Rank {
-    (precedence(waiting, order), aim.is_none(), aim.unwrap_or(deadline))
+fn rank(waiting: u32, order: ServiceOrder, soft_deadline: Option<Time>, deadline: Time) -> Rank {
+    (precedence(waiting, order), soft_deadline.is_none(), soft_deadline.unwrap_or(deadline))
 }
 
 /// Returns the rank on an engine of a model that requests wait for.
@@ -102,19 +102,19 @@
     model: &ModelName,
     need: &ModelDemand,
 ) -> Rank {
-    rank(need.waiting, need.order, attainable(cx, engine, context, model, need.aim), need.deadline)
+    rank(need.waiting, need.order, attainable(cx, engine, context, model, need.soft_deadline), need.deadline)
 }
 
-/// Returns `aim` if a load started now would end by then.
+/// Returns `soft_deadline` if a load started now would end by then.
 fn attainable(
     cx: &Cx<'_>,
     engine: &Engine,
     context: &DecisionContext<'_>,
     model: &ModelName,
-    aim: Time,
+    soft_deadline: Time,
 ) -> Option<Time> {
     let ready = cx.now.after(context.load_times.expected_on(cx, engine, model));
-    (ready <= aim && aim != Time::NEVER).then_some(aim)
+    (ready <= soft_deadline && soft_deadline != Time::NEVER).then_some(soft_deadline)
 }
 
 /// Returns the loads an engine should make, the most urgent first.
@@ -145,9 +145,16 @@
     if let Some(need) = context.demand.of_model(&model)
         && context.owned_engines.position(&engine.id, &model, homes) < replicas_needed(engine, &need, outcome)
     {
-        let aim = attainable(cx, engine, context, &model, need.aim);
+        let soft_deadline = attainable(cx, engine, context, &model, need.soft_deadline);
         let ModelDemand { order, deadline, waiting, .. } = need;
-        return Some(DesiredLoad { cause: LoadCause::Waiting, model, order, deadline, aim, waiting });
+        return Some(DesiredLoad {
+            cause: LoadCause::Waiting,
+            model,
+            order,
+            deadline,
+            soft_deadline,
+            waiting,
+        });
     }
     let (cause, order) = if engine.under_replicated.contains(&model) {
         (LoadCause::UnderReplicated, FIRST_ORDER)
@@ -162,7 +169,7 @@
     } else {
         return None;
     };
-    Some(DesiredLoad { cause, model, order, deadline: Time::NEVER, aim: None, waiting: 0 })
+    Some(DesiredLoad { cause, model, order, deadline: Time::NEVER, soft_deadline: None, waiting: 0 })
 }
 
 /// Updates the models that the rules keep loaded on the engine regardless of requests.
@@ -206,7 +213,7 @@
 /// Reports whether another engine that is not leaving has the model or a copy,
 /// according to the host list.
 fn has_copy_elsewhere(cx: &Cx<'_>, engine: &Engine, model: &ModelName) -> bool {
-    cx.upstreams.keepers(model).any(|known| known.id != engine.id)
+    cx.upstreams.engines_with_weights(model).any(|known| known.id != engine.id)
 }
 
 /// Updates the models to load ahead of their next request.
@@ -235,7 +242,7 @@
 }
 
 /// Returns the number of replicas that the waiting requests justify.
-fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &Outcome) -> u32 {
+fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &RuleOutcome) -> u32 {
     let justified = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
     justified.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
@@ -247,7 +254,7 @@
     desired_loads: &[DesiredLoad],
 ) -> Option<(Watts, ServiceOrder)> {
     let required = engine.spec.as_ref()?.active_watts;
-    let granted = context.authority.granted(&engine.id);
+    let granted = context.authority.granted_power(&engine.id);
     // Prewarming does not justify putting another engine to sleep.
     let candidates = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
     let unmet = candidates.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
@@ -260,7 +267,7 @@
     engine: &Engine,
     context: &DecisionContext<'_>,
     model: &ModelName,
-) -> &'a Outcome {
+) -> &'a RuleOutcome {
     let total = engine.memory();
     let taken = total.saturating_sub(engine.free_memory());
     let usage = ModelUse {
--- a/crates/skylarkshore-core/src/loading/diagnostics.rs
+++ b/crates/skylarkshore-core/src/loading/diagnostics.rs
@@ -1,7 +1,7 @@
 //! State dump and metrics of loading.
 
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::id::ModelName;
 use crate::loading::Loading;
 use crate::loading::engine::Engine;
@@ -12,23 +12,23 @@
 use crate::upstream::{LoadState, ReportedModel};
 
 /// Returns the state of every engine, its models and its pending orders, and of the load slots.
-pub(crate) fn dump(loading: &Loading, cx: &Cx<'_>) -> Vec<Belief> {
-    let mut beliefs = Vec::new();
+pub(crate) fn dump(loading: &Loading, cx: &Cx<'_>) -> Vec<DumpEntry> {
+    let mut entries = Vec::new();
     for engine in loading.engines.values() {
-        beliefs.push(engine_belief(cx, engine));
-        beliefs.extend(engine.pending_orders.beliefs(&engine.id));
+        entries.push(engine_entry(cx, engine));
+        entries.extend(engine.pending_orders.dump_entries(&engine.id));
         let shown = engine.report().into_iter().flat_map(|report| &report.models);
-        beliefs.extend(shown.map(|reported| model_belief(engine, reported)));
+        entries.extend(shown.map(|reported| model_entry(engine, reported)));
         let hidden = engine.loads.iter().filter(|(model, _)| engine.model(model).is_none());
-        beliefs.extend(hidden.map(|(model, progress)| {
-            belief(engine, model, "load ordered, not seen yet".to_owned(), Some(progress.ordered))
+        entries.extend(hidden.map(|(model, progress)| {
+            entry(engine, model, "load ordered, not seen yet".to_owned(), Some(progress.ordered))
         }));
     }
-    beliefs.extend(loading.load_slots.beliefs());
-    beliefs
+    entries.extend(loading.load_slots.dump_entries());
+    entries
 }
 
-fn engine_belief(cx: &Cx<'_>, engine: &Engine) -> Belief {
+fn engine_entry(cx: &Cx<'_>, engine: &Engine) -> DumpEntry {
     let phase = match engine.phase {
         Phase::RaisingFence { .. } => "raising the fence",
         Phase::FenceRaised { .. } => "waiting for its first report",
@@ -44,13 +44,13 @@
         engine.free_memory(),
         reserved(engine),
     );
-    Belief { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired_at) }
+    DumpEntry { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired_at) }
 }
 
-fn model_belief(engine: &Engine, reported: &ReportedModel) -> Belief {
+fn model_entry(engine: &Engine, reported: &ReportedModel) -> DumpEntry {
     if let Some(closing) = engine.closing.get(&reported.model) {
         let text = format!("closing for {}; running={}", closing.reason, reported.running);
-        return belief(engine, &reported.model, text, Some(closing.since));
+        return entry(engine, &reported.model, text, Some(closing.since));
     }
     let adapters: Vec<&str> = reported.adapters.iter().map(|a| a.adapter.as_str()).collect();
     let (stage, since) = match reported.state {
@@ -64,11 +64,11 @@
         reported.running,
         adapters.join(" ")
     );
-    belief(engine, &reported.model, text, since)
+    entry(engine, &reported.model, text, since)
 }
 
-fn belief(engine: &Engine, model: &ModelName, state: String, since: Option<Time>) -> Belief {
-    Belief { kind: "model", subject: format!("{model}@{}", engine.id), state, since }
+fn entry(engine: &Engine, model: &ModelName, state: String, since: Option<Time>) -> DumpEntry {
+    DumpEntry { kind: "model", subject: format!("{model}@{}", engine.id), state, since }
 }
 
 /// Returns the metric values.
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -18,7 +18,7 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 use crate::units::{Mebibytes, Watts};
-use crate::upstream::{EngineReport, EngineSpec, LoadState, OrderMode, ReportedModel, Standing};
+use crate::upstream::{EngineReport, EngineSpec, LoadState, OrderMode, ReportedModel, UpstreamStatus};
 
 /// How long an accepted adapter load takes until the adapter answers requests.
 /// Engines state 5 to 10 ms.
@@ -36,7 +36,7 @@
     pub late_orders_memory: Mebibytes,
     pub spec: Option<EngineSpec>,
     pub site: Option<SiteName>,
-    pub standing: Standing,
+    pub status: UpstreamStatus,
     pub pending_orders: PendingOrders,
     pub last_report: Option<LastReport>,
     /// The highest incarnation known from reports or the host list.
@@ -52,7 +52,7 @@
     pub retain_until: OrderedMap<ModelName, Time>,
     /// When each model last had a request in progress.
     pub last_busy: OrderedMap<ModelName, Time>,
-    pub lacks: Option<(Watts, ServiceOrder)>,
+    pub power_shortfall: Option<(Watts, ServiceOrder)>,
     /// Models in the last report.
     pub reported_models: OrderedSet<ModelName>,
     /// Idle models that the keep-alive policy wants to unload.
@@ -119,7 +119,7 @@
             late_orders_memory: Mebibytes(0),
             spec: None,
             site: None,
-            standing: Standing::Live,
+            status: UpstreamStatus::Live,
             pending_orders: PendingOrders::default(),
             last_report: None,
             latest_incarnation: Incarnation::default(),
@@ -131,7 +131,7 @@
             ready_since: OrderedMap::new(),
             retain_until: OrderedMap::new(),
             last_busy: OrderedMap::new(),
-            lacks: None,
+            power_shortfall: None,
             reported_models: OrderedSet::new(),
             unneeded: OrderedSet::new(),
             pinned: OrderedSet::new(),
@@ -164,7 +164,7 @@
     pub(crate) fn refresh(&mut self, cx: &Cx<'_>) {
         if let Some(upstream) = cx.upstreams.get(&self.id) {
             self.spec = upstream.engine().cloned();
-            self.standing = upstream.standing;
+            self.status = upstream.status;
             self.site = Some(upstream.site.clone());
             if self.incarnation().is_some_and(|known| known < upstream.incarnation) {
                 self.on_listed_incarnation(cx.now, upstream.incarnation);
@@ -187,7 +187,7 @@
 
     /// Reports whether the model is certainly absent: not loaded, not loading, and
     /// with no pending order.
-    pub(crate) fn is_free_of(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_unused_by(&self, model: &ModelName) -> bool {
         self.report().is_some()
             && self.late_orders == LateOrders::None
             && self.model(model).is_none()
@@ -195,7 +195,7 @@
     }
 
     /// Returns the power that the engine may be drawing.
-    pub(crate) fn drawn(&self) -> Watts {
+    pub(crate) fn power_draw(&self) -> Watts {
         let Some(spec) = &self.spec else { return Watts(0) };
         if self.may_hold_models() { spec.active_watts } else { spec.sleep_watts }
     }
@@ -244,7 +244,7 @@
 
     /// Reports whether the engine counts its orders and executes one at a time.
     pub(crate) fn is_sequential(&self) -> bool {
-        self.spec.as_ref().is_some_and(|spec| spec.order_mode == OrderMode::OneByOne)
+        self.spec.as_ref().is_some_and(|spec| spec.order_mode == OrderMode::Sequential)
     }
 
     /// Reports whether an order for a base model would be executed at once.
@@ -289,7 +289,7 @@
 
     /// Reports whether the engine gets no new work.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.standing == Standing::Leaving || self.report().is_some_and(|report| report.leaving)
+        self.status == UpstreamStatus::Leaving || self.report().is_some_and(|report| report.leaving)
     }
 
     /// Returns how many requests the engine runs concurrently.
--- a/crates/skylarkshore-core/src/loading/engine/orders.rs
+++ b/crates/skylarkshore-core/src/loading/engine/orders.rs
@@ -27,7 +27,7 @@
     pub(crate) fn expire_orders(&mut self, cx: &mut Cx<'_>) {
         let expired = self.pending_orders.expire(cx.now, cx.cfg.timings.order_settle);
         if expired > 0 {
-            cx.note("order_lost", &self.id, format!("unanswered={expired}"));
+            cx.log_event("order_lost", &self.id, format!("unanswered={expired}"));
         }
     }
 
@@ -66,7 +66,7 @@
         };
         self.next_poll = cx.now.after(every);
         self.unanswered_since.get_or_insert(cx.now);
-        cx.push(Effect::AskReport { upstream: self.id.clone() });
+        cx.push(Effect::RequestReport { upstream: self.id.clone() });
     }
 
     /// Reports whether the engine is idle: no requests, no pending orders, no subscribed host.
@@ -120,7 +120,7 @@
             OrderAnswer::Refused { .. } if ignores => self.on_fence_raised(cx),
             OrderAnswer::FenceTooLow { .. } => self.phase = Phase::Superseded,
             OrderAnswer::Refused { .. }
-            | OrderAnswer::OutOfTurn
+            | OrderAnswer::OrderConflict
             | OrderAnswer::NotSent
             | OrderAnswer::Lost => {
                 self.phase = Phase::RaisingFence { order: None, retry: cx.now.after(FENCE_RETRY) };
@@ -138,7 +138,7 @@
     pub(crate) fn count_answer(&mut self, now: Time, answer: &OrderAnswer) {
         match answer {
             OrderAnswer::Accepted => self.count_accepted(now),
-            OrderAnswer::OutOfTurn | OrderAnswer::Refused { .. } | OrderAnswer::Lost => {
+            OrderAnswer::OrderConflict | OrderAnswer::Refused { .. } | OrderAnswer::Lost => {
                 self.accepted_count = None;
                 self.recount_after = now;
                 self.next_poll = now;
--- a/crates/skylarkshore-core/src/loading/engine/reports.rs
+++ b/crates/skylarkshore-core/src/loading/engine/reports.rs
@@ -37,7 +37,7 @@
         // Sequential engines may hold models from before they had an owner.
         if !is_first && !self.is_sequential() {
             for model in unexpected {
-                cx.note(
+                cx.log_event(
                     "unexpected_model",
                     format!("{model}@{}", self.id),
                     "not loaded by an order of this owner",
@@ -50,7 +50,7 @@
     pub(crate) fn log_missing_adapters(&mut self, cx: &mut Cx<'_>, resolved: &[ResolvedOrder]) {
         for order in resolved.iter().filter(|order| !order.shown) {
             if let Order::LoadAdapter { model, adapter, .. } = &order.action {
-                cx.note(
+                cx.log_event(
                     "adapter_not_shown",
                     format!("{model}/{adapter}@{}", self.id),
                     "not in the report; the adapter will be requested again",
--- a/crates/skylarkshore-core/src/loading/engine_state.rs
+++ b/crates/skylarkshore-core/src/loading/engine_state.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Display;
 
-use crate::authority::HomeWish;
+use crate::authority::HomeRequest;
 use crate::collections::OrderedMap;
 use crate::id::{ModelName, OrderId};
 use crate::rules::ServiceOrder;
@@ -166,5 +166,5 @@
     /// Models for which no memory can be freed.
     pub memory_blocked: OrderedMap<ModelName, Time>,
     /// Requests whose cause has lasted long enough.
-    pub due: Vec<HomeWish>,
+    pub due: Vec<HomeRequest>,
 }
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -202,9 +202,15 @@
             continue;
         }
         let takes = if engine.is_sequential() {
-            let aim = desired.aim.unwrap_or(Time::NEVER);
+            let soft_deadline = desired.soft_deadline.unwrap_or(Time::NEVER);
             let DesiredLoad { order, deadline, waiting, .. } = *desired;
-            time_to_ready(cx, engine, context, model, &ModelDemand { order, deadline, aim, waiting })
+            time_to_ready(
+                cx,
+                engine,
+                context,
+                model,
+                &ModelDemand { order, deadline, soft_deadline, waiting },
+            )
         } else {
             context.load_times.expected_on(cx, engine, model)
                 + store_wait(cx, engine, context, model)
@@ -239,7 +245,7 @@
     reason: CannotLoad,
     retry_after: Duration,
 ) -> Assessment {
-    if takes <= wanted.patience {
+    if takes <= wanted.max_wait {
         Assessment::InTime
     } else {
         Assessment::Unavailable { reason, retry_after }
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -7,7 +7,7 @@
 
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{HostId, ModelName, UpstreamId};
 use crate::loading::concurrency_limit::ConcurrencyLimit;
 use crate::peer::PeerMessage;
@@ -46,7 +46,7 @@
     /// Their service order.
     pub order: ServiceOrder,
     /// Their longest remaining wait.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// Returns how many loads may start in the whole deployment.
@@ -110,7 +110,7 @@
         let queued = QueuedLoad {
             from: from.clone(),
             order: urgency.order,
-            deadline: cx.now.after(urgency.patience),
+            deadline: cx.now.after(urgency.max_wait),
             since,
             expires: cx.now.after(QUEUE_TTL),
         };
@@ -120,7 +120,7 @@
             let ahead = self.queue.values().filter(|other| rank(other) < rank(entry)).count();
             let wait = self.expected_wait(cx, ahead);
             let (upstream, model) = (key.engine.clone(), key.model.clone());
-            cx.tell(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
+            cx.send(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
         }
     }
 
@@ -214,14 +214,14 @@
     }
 
     /// Returns the granted slots and the queue for the state dump.
-    pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
         let granted = self.granted.iter().map(|(key, granted)| {
             let state = format!("let through for {}", granted.from);
-            Belief { kind: "store_slot", subject: key.to_string(), state, since: Some(granted.renewed) }
+            DumpEntry { kind: "store_slot", subject: key.to_string(), state, since: Some(granted.renewed) }
         });
         let queued = self.queue.iter().map(|(key, queued)| {
             let state = format!("waits for {}", queued.from);
-            Belief { kind: "store_slot", subject: key.to_string(), state, since: Some(queued.since) }
+            DumpEntry { kind: "store_slot", subject: key.to_string(), state, since: Some(queued.since) }
         });
         granted.chain(queued)
     }
@@ -240,7 +240,7 @@
             let concurrent_at_start = self.granted.len();
             let (to, waiting) = (&queued.from, self.queue.len());
             let detail = format!("to={to} running={concurrent_at_start} of={limit} waiting={waiting}");
-            cx.note("load_slot_granted", &key, detail);
+            cx.log_event("load_slot_granted", &key, detail);
             send_granted(cx, &queued.from, &key);
             self.granted.insert(
                 key,
@@ -264,5 +264,5 @@
 
 fn send_granted(cx: &mut Cx<'_>, to: &HostId, key: &LoadKey) {
     let granted = PeerMessage::LoadSlotGranted { upstream: key.engine.clone(), model: key.model.clone() };
-    cx.tell(to, granted);
+    cx.send(to, granted);
 }
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -123,7 +123,7 @@
 
 /// Reports whether the granted power covers the engine's active power.
 pub(crate) fn has_power(engine: &Engine, context: &DecisionContext<'_>) -> bool {
-    engine.spec.as_ref().is_some_and(|spec| context.authority.granted(&engine.id) >= spec.active_watts)
+    engine.spec.as_ref().is_some_and(|spec| context.authority.granted_power(&engine.id) >= spec.active_watts)
 }
 
 fn load_adapters(
@@ -186,7 +186,7 @@
         return true;
     }
     let key = LoadKey { engine: engine.id.clone(), model: desired.model.clone() };
-    let urgency = Urgency { order: desired.order, patience: desired.deadline.remaining(cx.now) };
+    let urgency = Urgency { order: desired.order, max_wait: desired.deadline.remaining(cx.now) };
     context.load_slots.request(cx, &key, urgency) == SlotStatus::Granted
 }
 
@@ -250,7 +250,7 @@
         _ => desired.model.to_string(),
     };
     let copy = if engine.has_copy(&desired.model) { "here" } else { "none" };
-    cx.note(
+    cx.log_event(
         "load_started",
         format!("{target}@{}", engine.id),
         format!("cause={} order={} waiting={} copy={copy}", desired.cause, desired.order, desired.waiting),
@@ -300,7 +300,7 @@
         let source = if load.is_from_store { "store" } else { "copy" };
         let waiting = context.demand.of_model(&model).map_or(0, |need| need.waiting);
         let detail = format!("took_ms={} source={source} waiting={waiting}", took.as_millis());
-        cx.note("load_ended", format!("{model}@{}", engine.id), detail);
+        cx.log_event("load_ended", format!("{model}@{}", engine.id), detail);
     }
     for load in engine.loads.values_mut() {
         load.last_checked = cx.now;
@@ -327,7 +327,7 @@
     let count = engine.failures.get(model).map_or(0, |failures| failures.count).saturating_add(1);
     let delay = RETRY_BASE.saturating_mul(1 << count.min(MAX_RETRY_DOUBLINGS));
     engine.failures.insert(model.clone(), Failures { count, retry: cx.now.after(delay) });
-    cx.note("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
+    cx.log_event("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
 }
 
 /// Reports whether the engine is, or may be, loading the model or its adapters.
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -18,7 +18,7 @@
 
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{HostId, UpstreamId};
 use crate::loading::gate::{Gate, LoadKey, QUEUE_TTL, RENEW_INTERVAL, Urgency, rate};
 use crate::peer::PeerMessage;
@@ -133,7 +133,7 @@
             request.unanswered_since = None;
             request.next_message = now;
             if let Some(gate) = request.gate.clone() {
-                cx.note("store_gate_silent", &gate, format!("asked for {key}"));
+                cx.log_event("store_gate_silent", &gate, format!("asked for {key}"));
                 self.silent_gates.insert(gate, now.after(GATE_RETRY_AFTER));
             }
             self.request_from_gate(cx, key);
@@ -156,7 +156,7 @@
         if self.requests.contains_key(key) {
             return;
         }
-        let urgency = Urgency { order: ServiceOrder::default(), patience: Duration::ZERO };
+        let urgency = Urgency { order: ServiceOrder::default(), max_wait: Duration::ZERO };
         let request =
             SlotRequest { source: SlotSource::Gate, started: true, ..SlotRequest::new(now, urgency) };
         self.requests.insert(key.clone(), request);
@@ -187,7 +187,7 @@
         if let Some(request) = self.requests.get_mut(key) {
             request.source = SlotSource::Local;
         }
-        cx.note("store_gates_away", key, "no gate answers; the load starts on the local share");
+        cx.log_event("store_gates_away", key, "no gate answers; the load starts on the local share");
         true
     }
 
@@ -224,9 +224,9 @@
             upstream: key.engine.clone(),
             model: key.model.clone(),
             order: request.urgency.order,
-            patience: request.urgency.patience,
+            max_wait: request.urgency.max_wait,
         };
-        cx.tell(&gate, wanted);
+        cx.send(&gate, wanted);
     }
 
     /// Releases a slot that a load cannot use, unless the load has started.
@@ -240,12 +240,12 @@
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let Some(request) = self.requests.remove(key) else { return };
         if let Some(gate) = request.gate {
-            cx.tell(&gate, slot_returned(key));
+            cx.send(&gate, slot_returned(key));
         }
     }
 
     /// Returns this process's slot requests, and the gate's slots if it hosts the gate.
-    pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
         let requests = self.requests.iter().map(|(key, request)| {
             let gate = request.gate.as_ref().map_or("none", HostId::as_str);
             let status = match (request.source, request.started) {
@@ -254,9 +254,9 @@
                 (_, true) => "in progress",
             };
             let state = format!("{status}; gate={gate}");
-            Belief { kind: "load_slot", subject: key.to_string(), state, since: request.last_asked }
+            DumpEntry { kind: "load_slot", subject: key.to_string(), state, since: request.last_asked }
         });
-        requests.chain(self.gate.beliefs())
+        requests.chain(self.gate.dump_entries())
     }
 
     /// Releases all slots of an engine.
@@ -315,17 +315,17 @@
         let Some(gate) = gate else { return };
         let former = request.gate.replace(gate.clone()).filter(|former| *former != gate);
         if let Some(former) = former {
-            cx.tell(&former, slot_returned(key));
+            cx.send(&former, slot_returned(key));
         }
-        cx.tell(&gate, slot_held(key));
+        cx.send(&gate, slot_held(key));
     }
 
     /// Handles a peer's message about load slots.
     pub(crate) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
-            PeerMessage::LoadSlotWanted { upstream, model, order, patience } => {
+            PeerMessage::LoadSlotWanted { upstream, model, order, max_wait } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.gate.request(cx, from, &key, Urgency { order: *order, patience: *patience });
+                self.gate.request(cx, from, &key, Urgency { order: *order, max_wait: *max_wait });
             }
             PeerMessage::LoadSlotReturned { upstream, model } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
@@ -355,7 +355,7 @@
     fn on_granted(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
         let Some(request) = self.requests.get_mut(key) else {
             // The load is no longer wanted; release the slot for others.
-            cx.tell(from, slot_returned(key));
+            cx.send(from, slot_returned(key));
             return;
         };
         request.unanswered_since = None;
@@ -366,7 +366,7 @@
         } else if request.gate.as_ref() != Some(from) {
             // Another gate has granted the slot meanwhile, and only that one will be
             // notified of its end.
-            cx.tell(from, slot_returned(key));
+            cx.send(from, slot_returned(key));
         }
     }
 }
--- a/crates/skylarkshore-core/src/loading/owned_engines.rs
+++ b/crates/skylarkshore-core/src/loading/owned_engines.rs
@@ -25,7 +25,7 @@
         let is_able = engine.report().is_some()
             && !engine.is_silent(cx.now, cx.cfg.timings.engine_timeout)
             && !engine.is_leaving()
-            && engine.lacks.is_none();
+            && engine.power_shortfall.is_none();
         let ability = LoadAbility { is_able, memory_blocked: engine.memory_blocked.clone() };
         self.engines.insert(engine.id.clone(), ability);
     }
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -23,13 +23,13 @@
     ) {
         self.load_slots.on_peer(cx, from, message);
         match message {
-            PeerMessage::Used { target, arrived, late, worked, waited_for } => {
+            PeerMessage::Used { target, arrived, late, run_time, waited_for } => {
                 self.usage.record(
                     cx.now,
                     &target.model,
-                    UsageSample { arrived: *arrived, late: *late, worked: *worked },
+                    UsageSample { arrived: *arrived, late: *late, run_time: *run_time },
                 );
-                self.unserved.record(cx.now, target, *arrived, *worked);
+                self.unserved.record(cx.now, target, *arrived, *run_time);
                 self.record_use(cx, &target.model);
                 self.record_adapter_use(cx.now, target);
                 self.demand.subscribe(cx.now, from, &target.model, &cx.cfg.timings);
@@ -37,7 +37,7 @@
                     self.demand.clear_waiting(from, target);
                 }
             }
-            PeerMessage::Wanted { target, waiting, order, patience, aim } => {
+            PeerMessage::Wanted { target, waiting, order, max_wait, soft_deadline } => {
                 if *waiting > 0 {
                     self.history.record_use(cx.now, &target.model);
                 }
@@ -47,20 +47,20 @@
                     target,
                     waiting: *waiting,
                     order: *order,
-                    patience: *patience,
-                    aim: *aim,
+                    max_wait: *max_wait,
+                    soft_deadline: *soft_deadline,
                 };
                 if let Some(busy_refusal) = self.busy_refusal(cx, authority, &wanted) {
                     self.demand.record(cx.now, WaitReport { waiting: 0, ..wanted }, &cx.cfg.timings);
-                    return cx.tell(from, busy_refusal);
+                    return cx.send(from, busy_refusal);
                 }
                 self.demand.record(cx.now, wanted, &cx.cfg.timings);
                 self.answer_wanted(cx, authority, &wanted);
             }
             PeerMessage::PowerWanted { site, .. } => self.power_shortages.record(cx.now, site),
-            PeerMessage::ReservationWanted { upstream, patience } => {
+            PeerMessage::ReservationWanted { upstream, max_wait } => {
                 let Some(engine) = self.engines.get_mut(upstream) else { return };
-                engine.reservation.reserve(cx.now, from, *patience);
+                engine.reservation.reserve(cx.now, from, *max_wait);
                 publishing::publish_changes(cx, engine, &self.demand);
                 publishing::publish_to(cx, engine, from);
             }
@@ -100,7 +100,7 @@
         authority: &dyn Authority,
         wanted: &WaitReport<'_>,
     ) -> Option<PeerMessage> {
-        let aim = wanted.aim.filter(|_| wanted.waiting > 0)?;
+        let soft_deadline = wanted.soft_deadline.filter(|_| wanted.waiting > 0)?;
         let model = &wanted.target.model;
         let homes = cx.cache.homes(model).map_or(0, |(_, homes)| homes.engines.len());
         let concerned = self.engines.values().filter(|engine| authority.is_home(&engine.id, model));
@@ -116,7 +116,11 @@
             });
         }
         let (target, retry_after) = (wanted.target.clone(), min_cost);
-        (min_cost > aim).then_some(PeerMessage::CannotLoad { target, reason: CannotLoad::Busy, retry_after })
+        (min_cost > soft_deadline).then_some(PeerMessage::CannotLoad {
+            target,
+            reason: CannotLoad::Busy,
+            retry_after,
+        })
     }
 
     /// Acts on a router's waiting requests at once and sends it the current view.
@@ -141,6 +145,6 @@
         if let PeerMessage::CannotLoad { reason: CannotLoad::TooSlow, retry_after, .. } = &refusal {
             self.demand.hold_for_retry(cx.now, wanted, *retry_after);
         }
-        cx.tell(wanted.from, refusal);
+        cx.send(wanted.from, refusal);
     }
 }
--- a/crates/skylarkshore-core/src/loading/pending_orders.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::collections::OrderedMap;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{AdapterName, ModelName, OrderId, UpstreamId};
 use crate::time::Time;
 use crate::units::Mebibytes;
@@ -175,10 +175,10 @@
     }
 
     /// Marks orders as lost that were sent too long ago to be answered.
-    pub(crate) fn expire(&mut self, now: Time, patience: Duration) -> usize {
+    pub(crate) fn expire(&mut self, now: Time, max_wait: Duration) -> usize {
         let mut expired = 0;
         for pending in self.orders.values_mut() {
-            if pending.progress == Progress::InFlight && pending.sent.after(patience).is_due(now) {
+            if pending.progress == Progress::InFlight && pending.sent.after(max_wait).is_due(now) {
                 pending.progress = Progress::Unanswered;
                 pending.lost = Some(now);
                 expired += 1;
@@ -195,7 +195,7 @@
         grace: Duration,
     ) -> Vec<ResolvedOrder> {
         let is_resolved = |order: &OrderId, pending: &mut PendingOrder| {
-            let named = report.settled.contains(order);
+            let named = report.finished_orders.contains(order);
             if let Some((accepted, after)) = report.accepted.zip(pending.after) {
                 let taken = accepted > after && as_of >= pending.sent && !report.busy;
                 let expired = pending.lost.is_some_and(|lost| as_of >= lost.after(grace));
@@ -247,7 +247,7 @@
     }
 
     /// Returns the pending orders for the state dump.
-    pub(crate) fn beliefs(&self, engine: &UpstreamId) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self, engine: &UpstreamId) -> impl Iterator<Item = DumpEntry> {
         self.orders.iter().map(move |(id, pending)| {
             let progress = match pending.progress {
                 Progress::InFlight => "on its way",
@@ -255,7 +255,7 @@
                 Progress::Unanswered => "in doubt",
             };
             let state = format!("order {id}, {progress}: {:?}", pending.action);
-            Belief { kind: "order", subject: engine.to_string(), state, since: Some(pending.sent) }
+            DumpEntry { kind: "order", subject: engine.to_string(), state, since: Some(pending.sent) }
         })
     }
 
--- a/crates/skylarkshore-core/src/loading/pipelining.rs
+++ b/crates/skylarkshore-core/src/loading/pipelining.rs
@@ -52,7 +52,7 @@
     answer: &OrderAnswer,
 ) -> bool {
     let Order::Load { model, .. } = action else { return false };
-    if *answer != OrderAnswer::OutOfTurn || engine.pending_orders.accepted_unload().is_none() {
+    if *answer != OrderAnswer::OrderConflict || engine.pending_orders.accepted_unload().is_none() {
         return false;
     }
     engine.loads.remove(model);
--- a/crates/skylarkshore-core/src/loading/policy.rs
+++ b/crates/skylarkshore-core/src/loading/policy.rs
@@ -8,7 +8,7 @@
 use crate::loading::history::History;
 use crate::loading::inter_arrival::InterArrivalDistribution;
 use crate::loading::power_shortage::Margin;
-use crate::rules::{Facts, IdleAfter, Outcome, Percent};
+use crate::rules::{IdleAfter, Percent, RuleInput, RuleOutcome};
 
 /// Prediction horizons, in seconds.
 const HORIZONS: [f64; 16] = [
@@ -32,15 +32,15 @@
 }
 
 /// Returns the rules' outcome for a model.
-pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: ModelUse) -> &'a Outcome {
-    let facts = Facts {
+pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: ModelUse) -> &'a RuleOutcome {
+    let facts = RuleInput {
         model: Some(model),
         data_centre: Some(&cx.cfg.data_centre),
         at: Some(cx.at),
         memory_pressure: Some(usage.memory_pressure),
         idle_for: usage.idle_for,
         queue: Some(usage.queue),
-        ..Facts::default()
+        ..RuleInput::default()
     };
     cx.document.rules.decide(&facts).outcome
 }
@@ -60,7 +60,7 @@
     pub(crate) fn new(
         history: &History,
         model: &ModelName,
-        outcome: &Outcome,
+        outcome: &RuleOutcome,
         load_time: Duration,
         idle: Duration,
     ) -> Self {
@@ -87,7 +87,7 @@
 }
 
 /// Returns the cost of a cold start, in seconds of idle accelerator time.
-fn cold_start_cost(history: &History, model: &ModelName, outcome: &Outcome, load_time: Duration) -> f64 {
+fn cold_start_cost(history: &History, model: &ModelName, outcome: &RuleOutcome, load_time: Duration) -> f64 {
     if outcome.idle_weight == 0 {
         return f64::INFINITY;
     }
@@ -129,7 +129,7 @@
 pub(crate) fn is_worth_prewarming(
     history: &History,
     model: &ModelName,
-    outcome: &Outcome,
+    outcome: &RuleOutcome,
     load_time: Duration,
     idle: Duration,
 ) -> bool {
--- a/crates/skylarkshore-core/src/loading/publishing.rs
+++ b/crates/skylarkshore-core/src/loading/publishing.rs
@@ -56,7 +56,7 @@
     let view = record_published(cx.now, engine, view);
     for host in hosts {
         engine.published.sent_to.insert(host.clone(), cx.now);
-        cx.tell(&host, PeerMessage::View(view.clone()));
+        cx.send(&host, PeerMessage::View(view.clone()));
     }
 }
 
@@ -121,7 +121,7 @@
         return;
     }
     engine.published.sent_to.insert(host.clone(), cx.now);
-    cx.tell(host, PeerMessage::View(view));
+    cx.send(host, PeerMessage::View(view));
 }
 
 fn record_published(now: Time, engine: &mut Engine, mut view: EngineView) -> EngineView {
--- a/crates/skylarkshore-core/src/loading/rehoming.rs
+++ b/crates/skylarkshore-core/src/loading/rehoming.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::authority::HomeWish;
+use crate::authority::HomeRequest;
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
 use crate::id::ModelName;
@@ -43,10 +43,10 @@
     update_since(cx.now, &mut engine.rehoming.memory_blocked, &memory_blocked);
     let is_home = |model: &ModelName| context.authority.is_home(&engine.id, model);
     let spread = lasting(cx.now, &engine.rehoming.saturated, SATURATED_FOR)
-        .map(|model| HomeWish { model: model.clone(), leave: None });
+        .map(|model| HomeRequest { model: model.clone(), move_from: None });
     let moves = lasting(cx.now, &engine.rehoming.memory_blocked, MEMORY_BLOCKED_FOR)
         .filter(|model| is_home(model))
-        .map(|model| HomeWish { model: model.clone(), leave: Some(engine.id.clone()) });
+        .map(|model| HomeRequest { model: model.clone(), move_from: Some(engine.id.clone()) });
     engine.rehoming.due = spread.chain(moves).collect();
 }
 
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -6,7 +6,7 @@
 use crate::loading::engine::Engine;
 use crate::store::HomesRecord;
 use crate::units::Mebibytes;
-use crate::upstream::Standing;
+use crate::upstream::UpstreamStatus;
 
 /// Request rate per second from which a model gets a second replica.
 ///
@@ -78,7 +78,7 @@
     model: &ModelName,
     homes: &HomesRecord,
 ) -> bool {
-    cx.upstreams.keepers(model).take(MIN_COPIES).count() < MIN_COPIES
+    cx.upstreams.engines_with_weights(model).take(MIN_COPIES).count() < MIN_COPIES
         || context.usage.late_share(cx.now, model) > CRITICAL_LATE_SHARE
         || holders(cx, model, homes) * UNDER_REPLICATED_DIVISOR
             < replicas_by_use(cx, engine, context, model, homes)
@@ -111,7 +111,7 @@
 
 /// Reports whether a live engine holds a model, according to the host list.
 fn is_holding(cx: &Cx<'_>, engine: &UpstreamId, model: &ModelName) -> bool {
-    let known = cx.upstreams.get(engine).filter(|known| known.standing == Standing::Live);
+    let known = cx.upstreams.get(engine).filter(|known| known.status == UpstreamStatus::Live);
     known.is_some_and(|known| known.holds.contains(model))
 }
 
@@ -174,7 +174,7 @@
     homes: &'a HomesRecord,
 ) -> impl Iterator<Item = &'a UpstreamId> {
     homes.engines.iter().filter(|home| {
-        let live = cx.upstreams.get(home).is_some_and(|upstream| upstream.standing == Standing::Live);
+        let live = cx.upstreams.get(home).is_some_and(|upstream| upstream.status == UpstreamStatus::Live);
         let owned = cx.cache.owner(home).is_some_and(|(_, owner)| cx.cache.member(&owner.host).is_some());
         **home == engine.id || live && owned
     })
--- a/crates/skylarkshore-core/src/loading/reservation.rs
+++ b/crates/skylarkshore-core/src/loading/reservation.rs
@@ -24,11 +24,11 @@
 impl Reservation {
     /// Reserves the engine for a router. Ignored if another router holds it; that
     /// router asks again.
-    pub(crate) fn reserve(&mut self, now: Time, from: &HostId, patience: Duration) {
+    pub(crate) fn reserve(&mut self, now: Time, from: &HostId, max_wait: Duration) {
         if self.held.as_ref().is_some_and(|held| held.by != *from) {
             return;
         }
-        self.held = Some(Holder { by: from.clone(), until: now.after(patience.min(MAX_RESERVATION)) });
+        self.held = Some(Holder { by: from.clone(), until: now.after(max_wait.min(MAX_RESERVATION)) });
     }
 
     /// Ends the router's reservation.
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -16,7 +16,7 @@
 use crate::loading::policy::{self, IdleModel};
 use crate::loading::power_shortage::Margin;
 use crate::loading::replicas;
-use crate::rules::{IdleAfter, Outcome, ServiceOrder};
+use crate::rules::{IdleAfter, RuleOutcome, ServiceOrder};
 use crate::time::Time;
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order, ReportedModel};
@@ -61,7 +61,7 @@
     reason: CloseReason,
     for_order: Option<ServiceOrder>,
 ) {
-    cx.note("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
+    cx.log_event("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
     engine.closing.insert(model.clone(), Closing { since: cx.now, reason, for_order, last_needed: cx.now });
 }
 
@@ -85,7 +85,7 @@
     // An unconfirmed home is not a lost one. After a takeover the homes are
     // rewritten one by one; if their models counted as surplus meanwhile, each
     // takeover would empty the engine.
-    if context.authority.must_close(&engine.id, &reported.model)
+    if context.authority.must_unload(&engine.id, &reported.model)
         && !may_become_home(cx, engine, context, reported)
     {
         return Some(CloseReason::Surplus);
@@ -104,11 +104,14 @@
     context: &DecisionContext<'_>,
     reported: &ReportedModel,
 ) -> bool {
-    let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.holds_live(&reported.model));
+    let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.is_live_holder(&reported.model));
     let Some((_, homes)) = cx.cache.homes(&reported.model) else { return false };
     let max_replicas =
         desired_loads::rule_outcome(cx, engine, context, &reported.model).replicas_max as usize;
-    engine.is_sequential() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < max_replicas
+    engine.is_sequential()
+        && holds
+        && !homes.evicted_from.contains(&engine.id)
+        && homes.engines.len() < max_replicas
 }
 
 /// Updates the idle models that the policy wants to unload.
@@ -169,7 +172,7 @@
     engine: &Engine,
     context: &DecisionContext<'_>,
     model: &ModelName,
-    outcome: &Outcome,
+    outcome: &RuleOutcome,
 ) -> IdleModel {
     let used = context.history.last(model);
     let since = used.unwrap_or_else(|| last_use(engine, context, model));
@@ -378,7 +381,7 @@
     let ready_for = ready.map_or(Duration::ZERO, |ready| cx.now.since(ready)).as_millis();
     let waiting = context.demand.of_model(model).map_or(0, |need| need.waiting);
     let detail = format!("reason={reason} ready_for_ms={ready_for} used={is_used} waiting={waiting}");
-    cx.note("model_unloaded", format!("{model}@{}", engine.id), detail);
+    cx.log_event("model_unloaded", format!("{model}@{}", engine.id), detail);
     context.load_metrics.unloads += 1;
     context.load_metrics.unused += u64::from(!is_used);
 }
--- a/crates/skylarkshore-core/src/loading/unserved.rs
+++ b/crates/skylarkshore-core/src/loading/unserved.rs
@@ -38,9 +38,9 @@
 
 impl UnservedTargets {
     /// Records requests that arrived at a router and whether any have run.
-    pub(crate) fn record(&mut self, now: Time, target: &ModelTarget, arrived: u32, worked: Duration) {
+    pub(crate) fn record(&mut self, now: Time, target: &ModelTarget, arrived: u32, run_time: Duration) {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
-        if worked > Duration::ZERO {
+        if run_time > Duration::ZERO {
             self.periods.remove(&base);
             self.periods.remove(target);
         } else if arrived > 0 {
@@ -80,9 +80,9 @@
                 continue;
             }
             period.next_report = cx.now.after(REPORT_INTERVAL);
-            let copies = upstreams.keepers(&target.model).count();
+            let copies = upstreams.engines_with_weights(&target.model).count();
             let lasts = cx.now.since(period.since).as_millis();
-            cx.note(
+            cx.log_event(
                 "model_unserved",
                 target,
                 format!("asked={} for_ms={lasts} copies={copies}", period.requests),
--- a/crates/skylarkshore-core/src/loading/usage.rs
+++ b/crates/skylarkshore-core/src/loading/usage.rs
@@ -48,7 +48,7 @@
     /// Answers that began late because of the engine.
     pub late: u32,
     /// Total running time of the requests.
-    pub worked: Duration,
+    pub run_time: Duration,
 }
 
 /// Usage of all models.
@@ -63,8 +63,8 @@
         let mut rate = self.rate(now, model);
         rate.requests += f64::from(sample.arrived) / TIME_CONSTANT.as_secs_f64();
         rate.late += f64::from(sample.late) / TIME_CONSTANT.as_secs_f64();
-        rate.running += sample.worked.as_secs_f64() / TIME_CONSTANT.as_secs_f64();
-        if sample.worked > Duration::ZERO {
+        rate.running += sample.run_time.as_secs_f64() / TIME_CONSTANT.as_secs_f64();
+        if sample.run_time > Duration::ZERO {
             rate.worked_at = Some(now);
         }
         self.rates.insert(model.clone(), rate);
--- a/crates/skylarkshore-core/tests/loading/faults.rs
+++ b/crates/skylarkshore-core/tests/loading/faults.rs
@@ -47,7 +47,7 @@
 #[test]
 fn without_settled_order_numbers_memory_is_freed_only_after_the_settle_time() {
     let mut rig = Rig::new(&[("maize", 600), ("rye", 600)]);
-    rig.engine.names_settled = false;
+    rig.engine.reports_finished_orders = false;
     rig.deliveries = vec![Delivery::Delayed];
     rig.demand("entry-2", "maize", 1);
     rig.run(Duration::from_secs(1) / 4);
@@ -96,8 +96,8 @@
     assert_eq!(rig.engine.loads_of("maize"), 0);
     rig.with(|loading, _, _| {
         use skylarkshore_core::authority::EngineUse;
-        let lacks = loading.lacks(&crate::support::name(crate::support::ENGINE));
-        assert_eq!(lacks.map(|(watts, _)| watts), Some(Watts(1)));
+        let power_shortfall = loading.power_shortfall(&crate::support::name(crate::support::ENGINE));
+        assert_eq!(power_shortfall.map(|(watts, _)| watts), Some(Watts(1)));
     });
     rig.authority.granted = ACTIVE;
     rig.run_with_demand(Duration::from_secs(5), "entry-2", "maize", 1);
--- a/crates/skylarkshore-core/tests/loading/load_slots.rs
+++ b/crates/skylarkshore-core/tests/loading/load_slots.rs
@@ -144,14 +144,14 @@
     rig.demand("entry-3", "maize", 1);
     rig.run(Duration::from_millis(100));
     let own = format!("maize@{ENGINE}");
-    assert_eq!(rig.beliefs("load_slot"), [format!("{own}: waits; gate=entry-1")]);
-    let slots = rig.beliefs("store_slot");
+    assert_eq!(rig.dump_entries("load_slot"), [format!("{own}: waits; gate=entry-1")]);
+    let slots = rig.dump_entries("store_slot");
     assert_eq!(slots[0], "maize@far-0: let through for entry-2");
     assert_eq!(slots.last(), Some(&format!("{own}: waits for entry-1")));
     release_slots(&mut rig, &[remote_engine(0)]);
     rig.run(Duration::from_millis(200));
-    assert_eq!(rig.beliefs("order").len(), 1);
-    assert!(rig.beliefs("order")[0].contains("in doubt: Load"), "{:?}", rig.beliefs("order"));
+    assert_eq!(rig.dump_entries("order").len(), 1);
+    assert!(rig.dump_entries("order")[0].contains("in doubt: Load"), "{:?}", rig.dump_entries("order"));
 }
 
 /// The gate's host is paused, so the next host grants the slot. Then the first one
--- a/crates/skylarkshore-core/tests/loading/sequential_engines.rs
+++ b/crates/skylarkshore-core/tests/loading/sequential_engines.rs
@@ -67,12 +67,12 @@
     rig.set_homes("rye", &["engine-b", "engine-a"]);
     rig.demand("entry-2", "maize", 1);
     rig.run(Duration::from_secs(1));
-    let wanted = |aim| PeerMessage::Wanted {
+    let wanted = |soft_deadline| PeerMessage::Wanted {
         target: target("rye"),
         waiting: 1,
         order: ServiceOrder::default(),
-        patience: LONG_WAIT,
-        aim,
+        max_wait: LONG_WAIT,
+        soft_deadline,
     };
     rig.receive(&name("entry-3"), &wanted(Some(Duration::from_secs(3))));
     assert_eq!(rig.refusals(), ["rye Busy"]);
--- a/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
+++ b/crates/skylarkshore-core/tests/loading/weight_store_gate.rs
@@ -32,7 +32,7 @@
                 upstream: remote_engine(number),
                 model: name("maize"),
                 order: ServiceOrder::default(),
-                patience: Duration::from_mins(1),
+                max_wait: Duration::from_mins(1),
             };
             rig.receive(&name(peer), &wanted);
         }
