--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -25,7 +25,7 @@
     order: ServiceOrder,
     /// The latest deadline among them.
     deadline: Time,
-    /// When the first of their answers loses value.
+    /// The earliest soft deadline among them: after it, an answer loses value.
     soft_deadline: Time,
     /// When the report expires unless the router repeats it.
     expires: Time,
@@ -40,7 +40,7 @@
     pub order: ServiceOrder,
     /// The latest deadline of the waiting requests.
     pub deadline: Time,
-    /// When the first answer loses value; never if no answer has a target time.
+    /// When the first answer loses value; never if no request has a soft deadline.
     pub soft_deadline: Time,
     /// Number of waiting requests.
     pub waiting: u32,
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -66,7 +66,7 @@
     pub order: ServiceOrder,
     /// The latest deadline of the waiting requests; never if none wait.
     pub deadline: Time,
-    /// The earliest time at which an answer loses value, if the load can end before.
+    /// The earliest soft deadline, if the load can end before it.
     pub soft_deadline: Option<Time>,
     /// Number of waiting requests.
     pub waiting: u32,
--- a/crates/skylarkshore-core/src/loading/history.rs
+++ b/crates/skylarkshore-core/src/loading/history.rs
@@ -9,11 +9,11 @@
 
 /// Uses closer together than this belong to the same burst.
 const MIN_GAP: Duration = Duration::from_secs(2);
-/// Weight of the gaps of all models from which they stand in for a model's missing history.
+/// Minimum weight of all models' gaps to stand in for a model's missing history.
 const MIN_COMMON_WEIGHT: f32 = 8.0;
 /// Weight of the common gaps, in gaps of the model's own.
 const PRIOR_WEIGHT: f32 = 1.5;
-/// Weight of a model's own gaps from which they suffice without common ones.
+/// Minimum weight of a model's own gaps to be used without common ones.
 const MIN_OWN_WEIGHT: f32 = 3.0;
 /// Weight of a new burst size in the moving average.
 const BURST_WEIGHT: f64 = 0.2;
--- a/crates/skylarkshore-core/tests/loading/sequential_engines.rs
+++ b/crates/skylarkshore-core/tests/loading/sequential_engines.rs
@@ -58,11 +58,11 @@
     assert!(remaining > LOAD_TIME + LOAD_TIME / 2, "{remaining:?}");
 }
 
-/// An engine is busy for longer than a request's target time, and another home of
+/// An engine is busy for longer than a request's soft deadline, and another home of
 /// the model may be idle. Without an immediate refusal, callers would wait behind
 /// another model's load while that engine is idle.
 #[test]
-fn an_owner_refuses_as_busy_if_the_target_time_cannot_be_met() {
+fn an_owner_refuses_as_busy_if_the_soft_deadline_cannot_be_met() {
     let mut rig = Rig::sequential(&[("maize", 300), ("rye", 300)]);
     rig.set_homes("rye", &["engine-b", "engine-a"]);
     rig.demand("entry-2", "maize", 1);
@@ -78,7 +78,7 @@
     assert_eq!(rig.refusals(), ["rye Busy"]);
     rig.run(Duration::from_secs(10));
     assert_eq!(loads(&rig), ["maize"], "the refused load must not start");
-    // Without a target time, the owner accepts the request however long it takes.
+    // Without a soft deadline, the owner accepts the request however long it takes.
     rig.receive(&name("entry-3"), &wanted(None));
     rig.run(Duration::from_secs(10));
     assert_eq!(loads(&rig), ["maize", "rye"]);
