--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -245,14 +245,14 @@
 }
 
 fn log_started(cx: &mut Cx<'_>, engine: &Engine, desired: &DesiredLoad, load: &Order) {
-    let target = match load {
+    let what = match load {
         Order::LoadAdapter { model, adapter, .. } => format!("{model}/{adapter}"),
         _ => desired.model.to_string(),
     };
     let copy = if engine.has_copy(&desired.model) { "here" } else { "none" };
     cx.log_event(
         "load_started",
-        format!("{target}@{}", engine.id),
+        format!("{what}@{}", engine.id),
         format!("cause={} order={} waiting={} copy={copy}", desired.cause, desired.order, desired.waiting),
     );
 }
