--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -1,4 +1,6 @@
-//! The requests in progress at this process, from arrival to their one final answer.
+//! Requests in progress at this process, from arrival to their single final answer.
+//!
+//! Open [`Serving`] first: it owns the request table and dispatches events to the submodules.
 
 mod alone;
 mod arrival;
@@ -46,7 +48,7 @@
 use tally::Tally;
 use wanted::Wants;
 
-/// How often what is remembered is looked through.
+/// Interval between scans of everything that is remembered.
 const HOUSEKEEPING_EVERY: Duration = Duration::from_secs(1);
 
 /// The requests, queues and routes of one process.
@@ -65,12 +67,13 @@
     quota: Quota,
     tally: Tally,
     house_due: Time,
-    /// Callers have been sent elsewhere, and nothing more may wait.
+    /// Whether callers have been redirected to other hosts, so that no request may wait any
+    /// longer.
     is_closed: bool,
 }
 
 impl Serving {
-    /// Makes the state of a process without requests.
+    /// Creates the state of a process without requests.
     pub fn new(cfg: &NodeConfig) -> Self {
         Self {
             requests: OrderedMap::new(),
@@ -90,15 +93,15 @@
         }
     }
 
-    /// Takes a caller's request.
+    /// Admits, queues or refuses a caller's request.
     pub fn on_arrived(&mut self, cx: &mut Cx<'_>, request: RequestId, arrival: Arrival) {
         self.arrive(cx, request, arrival);
     }
 
-    /// Takes note that the caller went away.
+    /// Records that the caller disconnected.
     ///
-    /// A request that may not be repeated runs on once it was sent, since its
-    /// caller will ask for the answer with the same key.
+    /// A request that may run only once continues after it was sent, because its caller
+    /// will ask for the answer with the same key.
     pub fn on_caller_gone(&mut self, cx: &mut Cx<'_>, request: RequestId) {
         let Some(gone) = self.requests.get_mut(&request) else { return };
         gone.caller = Caller::Gone;
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Takes note that an answer has begun.
+    /// Records that an answer has begun.
     pub fn on_answer_started(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let Some(id) = self.attempts.get(&attempt) else {
             self.tally.late += 1;
@@ -131,12 +134,12 @@
         }
     }
 
-    /// Takes note of how much an upstream told that it had to do.
+    /// Records the load that an upstream reported with an answer.
     pub fn on_load_told(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, load: LoadTold) {
         self.routes.note_load(cx.now, upstream, load);
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub fn on_attempt_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
         let upstream = self.upstream_of(attempt);
         self.end_attempt(cx, attempt, end);
@@ -150,7 +153,7 @@
         request.run().map(|run| run.upstream.clone())
     }
 
-    /// Does what is due.
+    /// Runs all timers and periodic work that are due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) {
         self.keep_house(cx);
         for verdict in self.quota.on_tick(cx) {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Does what needn't be done at every tick, since it looks at all that is remembered.
+    /// Runs the work that scans all remembered state and is too expensive for every tick.
     fn keep_house(&mut self, cx: &mut Cx<'_>) {
         if !self.house_due.is_due(cx.now) {
             return;
@@ -188,7 +191,7 @@
         self.budget.note_hosts(cx.now, cx.cache.members().count());
     }
 
-    /// Takes note that upstreams of the host list have changed.
+    /// Handles changes to upstreams on the host list.
     pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
         self.routes.on_host_list(cx, touched);
         self.suspects.on_host_list(cx);
@@ -197,7 +200,7 @@
         self.pump(cx);
     }
 
-    /// Takes note that a shared key has changed in the cache.
+    /// Handles a change of a shared key in the cache.
     pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         match key {
             Key::Document | Key::Catalogue => {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Takes the result of a call that isn't a write.
+    /// Handles the result of a store call that isn't a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         if let Some(learnt) = self.once.on_store(cx, call, result) {
             self.on_learnt(cx, learnt);
@@ -218,7 +221,7 @@
         }
     }
 
-    /// Takes the outcome of a write of a [`Key::Once`].
+    /// Handles the outcome of a write to a [`Key::Once`].
     pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         let Key::Once(key) = key else { return };
         if let Some(learnt) = self.once.on_write(cx, *key, outcome) {
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer's message if it concerns requests.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         self.suspects.heard_from(cx.now, from);
         match message {
@@ -259,36 +262,37 @@
         }
     }
 
-    /// Takes note that the process is about to end; requests in progress go on.
+    /// Begins shutdown; requests in progress continue.
     ///
-    /// New ones are still taken, since callers keep the answer to the question
-    /// which hosts to use for a while.
+    /// New requests are still accepted, because callers cache the list of hosts for a
+    /// while.
     pub fn on_shutdown(&mut self, cx: &mut Cx<'_>) {
         self.quota.on_shutdown(cx);
         cx.note("serving_drains", self.requests.len(), "requests in progress go on to their end");
     }
 
-    /// Takes note that callers have been sent elsewhere and the process ends soon.
+    /// Refuses all waiting requests once callers have been redirected and the process ends
+    /// soon.
     ///
-    /// A request that still waits, for a load perhaps, may wait for longer than
-    /// the process is given; its caller would see the connection break and could
-    /// not tell whether it had run. Refused now, it is served by another host.
+    /// A waiting request, for example one that waits for a load, may outlast the process.
+    /// Its caller would see a broken connection and could not tell whether the request had
+    /// run. If it is refused now, another host serves it.
     pub fn on_intake_closed(&mut self, cx: &mut Cx<'_>) {
         self.is_closed = true;
         self.refuse_waiting(cx);
     }
 
-    /// Tells whether no request is in progress.
+    /// Reports whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.once.is_idle()
     }
 
-    /// Tells what is believed.
+    /// Returns the entries for the state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
         self.beliefs(cx)
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self, _cx: &Cx<'_>) -> Vec<Gauge> {
         self.numbers()
     }
@@ -303,7 +307,8 @@
             State::Releasing { until, refusal } if passed || until.is_due(cx.now) => {
                 self.conclude(cx, id, refusal);
             }
-            // The peers hear of a suspect before its caller does; that takes but a moment.
+            // The caller is answered only after the peers are notified, which has
+            // its own short time-out.
             State::Recording { .. } | State::Releasing { .. } | State::TellingPeers => {}
             _ if passed => self.refuse_late(cx, id),
             State::AwaitingCredit { not_before: Some(not_before) } => {
@@ -329,7 +334,7 @@
         self.advance(cx, id, Step::Refuse { reason, retry_after: None });
     }
 
-    /// Removes a request and whatever it holds.
+    /// Removes a request and releases everything it holds.
     fn forget(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.timers.remove(&Due { at: request.arrival.deadline, request: id });
--- a/crates/skylarkshore-core/src/serving/alone.rs
+++ b/crates/skylarkshore-core/src/serving/alone.rs
@@ -1,4 +1,4 @@
-//! How suspects get an upstream of their own.
+//! Isolated runs of suspect requests on an upstream that is reserved for them.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 use crate::serving::suspect::{Alone, Standing};
 use crate::view::EngineView;
 
-/// How long an owner's reservation is awaited before an engine that seems idle will do.
+/// How long an owner's reservation is awaited before an engine that seems idle is used without
+/// one.
 const RESERVATION_PATIENCE: Duration = Duration::from_secs(3);
-/// How often an owner is asked for a reservation.
+/// Interval between reservation requests to an owner.
 const ASK_EVERY: Duration = Duration::from_millis(500);
 
 impl Serving {
-    /// Gives the next suspect its turn, one at a time.
+    /// Dispatches the next suspect, one at a time.
     ///
-    /// Two suspects at once would not tell which of them crashes engines, and
-    /// the innocent one would be convicted with the other.
+    /// Two suspects at the same time would not show which of them crashes engines, and the
+    /// innocent one would be convicted with the other.
     pub(super) fn pump_alone(&mut self, cx: &mut Cx<'_>) {
         if self.suspects.alone.is_none() {
             self.choose_alone(cx);
@@ -54,10 +55,10 @@
         }
     }
 
-    /// Tells in whose company a suspect would run now, if it may run.
+    /// Returns how isolated a suspect would run now, if it may run.
     ///
-    /// An owner that is away can't reserve its engine. A suspect runs there all
-    /// the same when the engine seems idle, but a crash then proves nothing.
+    /// An owner that is down can't reserve its engine. A suspect runs there anyway if the
+    /// engine seems idle, but a crash then proves nothing.
     fn company(&self, cx: &Cx<'_>, alone: &Alone) -> Option<Company> {
         if self.routes.is_ours_alone(cx, &alone.upstream) {
             return Some(Company::Alone);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Opens the upstream of a suspect to all requests again, if the request was the one alone.
+    /// Releases the upstream held for a suspect, if the request is the isolated one.
     pub(super) fn end_alone(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(alone) = self.suspects.alone.take_if(|alone| alone.request == id) else { return };
         self.routes.open(&alone.upstream);
@@ -103,10 +104,10 @@
         }
     }
 
-    /// Gives a reservation back that no suspect of this process needs.
+    /// Returns a reservation that no suspect of this process needs.
     ///
-    /// The message that gave it back may have been lost; the engine would stand
-    /// idle until the reservation runs out.
+    /// The message that returned it may have been lost; the engine would be idle until the
+    /// reservation expires.
     pub(super) fn return_stray_reservation(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
         let here = view.reserved_for.as_ref() == Some(&cx.cfg.host);
         let needed = self.suspects.alone.as_ref().is_some_and(|alone| alone.upstream == view.upstream);
@@ -118,11 +119,11 @@
         }
     }
 
-    /// Counts a request that was lost with its upstream, here and at the peers.
+    /// Records the loss of a request with its upstream, here and at the peers.
     ///
-    /// The life is the one that it was sent to. When the loss is noticed, the host
-    /// list may name that life no more, or the next one already; either would
-    /// then never be seen to end, and the request would end more upstreams.
+    /// The incarnation is the one that the request was sent to. When the loss is noticed,
+    /// the host list may no longer name it, or may name the next one. With either of these,
+    /// no termination would ever be counted, and the request would crash more upstreams.
     pub(super) fn count_loss(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run) {
         let Some(request) = self.requests.get(&id) else { return };
         let digests = vec![request.arrival.digest];
@@ -131,7 +132,7 @@
         tell_everyone(cx, &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false });
     }
 
-    /// Takes a peer's word of suspects.
+    /// Handles a peer's report of suspects.
     pub(super) fn on_suspects(
         &mut self,
         cx: &mut Cx<'_>,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Moves queued requests that have become suspect to those that run alone.
+    /// Moves queued requests that have become suspect to the queue for isolated runs.
     pub(super) fn set_apart(&mut self, cx: &mut Cx<'_>) {
         for id in self.waiting_with(Standing::Suspect) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Queues requests as usual whose digest is suspect no longer.
+    /// Requeues requests whose digest is no longer suspect.
     pub(super) fn requeue_cleared(&mut self, cx: &mut Cx<'_>, digest: Digest) {
         let cleared: Vec<RequestId> = self
             .requests
@@ -183,8 +184,8 @@
             .filter(|(_, r)| r.arrival.digest == digest && r.state == State::QueuedAlone)
             .map(|(id, _)| *id)
             .collect();
-        // All leave the line of suspects before the first one moves on: that
-        // gives the next suspect its turn, which would then be sent twice.
+        // All requests leave the suspect queue before the first is requeued. Requeueing
+        // dispatches the next suspect, which would otherwise be sent twice.
         for id in &cleared {
             let Some(request) = self.requests.get(id) else { continue };
             self.suspects.waiting.remove(&Urgency::of(*id, request));
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -1,4 +1,4 @@
-//! How requests come in, wait and get their turn.
+//! Admission and queueing of requests, and their dispatch to upstreams.
 
 use std::time::Duration;
 
@@ -17,20 +17,20 @@
 use crate::serving::suspect::Standing;
 use crate::store::{OnceRecord, OnceState};
 
-/// How much longer than estimated a wait may be.
+/// Factor by which an estimated wait may be exceeded.
 ///
-/// Requests that are let in up to the last moment are answered around their
-/// deadline, many of them just after it, and the work on those is lost.
+/// Without a margin, requests are admitted whose answers come around their deadline, many of
+/// them just after it, and the work on those is wasted.
 const ESTIMATE_MARGIN: f64 = 1.5;
-/// When to come back after the queue was full.
+/// Retry delay when the queue is full.
 const QUEUE_RETRY: Duration = Duration::from_secs(1);
-/// When to ask again for the answer of a request in progress.
+/// Retry delay for the answer of a request in progress.
 const PROGRESS_RETRY: Duration = Duration::from_secs(1);
-/// When to come back after the key-value service couldn't be reached.
+/// Retry delay when the key-value service can't be reached.
 const STORE_RETRY: Duration = Duration::from_secs(2);
 
 impl Serving {
-    /// Takes a request in.
+    /// Registers a request and admits or refuses it.
     pub(super) fn arrive(&mut self, cx: &mut Cx<'_>, id: RequestId, arrival: Arrival) {
         if self.requests.contains_key(&id) {
             self.tally.late += 1;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Finds the order of service for a request, or why it is refused.
+    /// Returns the order of service for a request, or why the rules refuse it.
     fn judge(
         &self,
         cx: &Cx<'_>,
@@ -85,7 +85,8 @@
         outcome.refuse.clone().map_or(Ok(outcome.order), |words| Err(RefusalReason::Rule(words)))
     }
 
-    /// Takes in a request that no rule and no limit refuses.
+    /// Queues a request that no rule and no limit refuses, after checking its idempotency
+    /// key.
     pub(super) fn admit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(key) = request.once_key() else { return self.enqueue(cx, id) };
@@ -107,21 +108,21 @@
         if self.is_next(cx, id) {
             return self.enqueue(cx, id);
         }
-        // It has to wait. If its key was used before, it needn't, and must not
-        // be refused as not run later on.
+        // The request has to wait. If its key was used before, it needn't, and it must
+        // not be refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
             request.enter(State::LookingUp, cx.now);
             self.once.look_up(cx, key);
         }
     }
 
-    /// Tells whether a request would be started at once.
+    /// Reports whether a request would be dispatched immediately.
     fn is_next(&self, cx: &mut Cx<'_>, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         self.queue.len_of(&request.arrival.target) == 0 && self.routes.choose(cx, wish(request)).is_some()
     }
 
-    /// Queues a request, unless there is no room or no prospect for it.
+    /// Queues a request, unless the queue is full or the wait would be too long.
     pub(super) fn enqueue(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let urgency = Urgency::of(id, request);
@@ -137,7 +138,7 @@
         self.wait(cx, id);
     }
 
-    /// Returns how long a request would have to wait, if that is past its deadline.
+    /// Returns the estimated wait if it exceeds the request's deadline.
     fn too_long(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
         let request = self.requests.get(&id)?;
         let target = &request.arrival.target;
@@ -150,7 +151,7 @@
         (cx.now.after(at_worst) > request.waits_until()).then_some(wait)
     }
 
-    /// Queues a request that was let in before.
+    /// Queues a request that has passed admission.
     pub(super) fn wait(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let target = request.arrival.target.clone();
@@ -175,15 +176,15 @@
         self.advance(cx, id, step);
     }
 
-    /// Gives every waiting request its turn for which there is room.
+    /// Dispatches waiting requests to all upstreams with room.
     pub(super) fn pump(&mut self, cx: &mut Cx<'_>) {
         for target in self.queue.targets() {
             self.pump_target(cx, &target);
         }
         self.pump_alone(cx);
-        // A suspect's model goes with the engine that died. Were only the queue's
-        // targets asked for, nobody would load it again, and the suspect would wait
-        // until its time-out although it may be innocent.
+        // A suspect's model is lost with the engine that died. If only the queue's
+        // targets were requested, nobody would load it again, and the suspect would
+        // wait until its time-out although it may be innocent.
         for target in self.alone_targets() {
             self.ask_for(cx, &target);
         }
@@ -192,10 +193,10 @@
         }
     }
 
-    /// Sends the waiting requests that a change at one upstream concerns.
+    /// Dispatches the waiting requests that a change at one upstream affects.
     ///
-    /// Looking at every target at each message or end of a request took a tenth of
-    /// a core when a hundred models were asked for at once; the tick looks at all.
+    /// Checking every target at each message and each end of a request took a tenth of a
+    /// core with a hundred models in demand; the tick checks all of them.
     pub(super) fn pump_at(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         for target in self.queue.targets() {
             if self.routes.concerns(cx, upstream, &target) {
@@ -217,7 +218,8 @@
         self.ask_for(cx, target);
     }
 
-    /// Finds among the next requests one whose prompt's beginning the free upstream probably knows.
+    /// Returns one of the next requests whose prompt prefix the upstream probably has
+    /// cached, or the first.
     fn best_fit(&self, cx: &Cx<'_>, first: RequestId, upstream: &UpstreamId) -> RequestId {
         let Some(request) = self.requests.get(&first) else { return first };
         if request.arrival.prefix.is_none() || self.prefers(cx, first, upstream) {
@@ -233,7 +235,7 @@
         untried && self.routes.preferred(cx, wish(request)).as_ref() == Some(upstream)
     }
 
-    /// Sends a request, after its key is claimed if it may not be repeated.
+    /// Sends a request, after claiming its key if it may run only once.
     pub(super) fn start(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, company: Company) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.once_key() {
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Takes what a request has learnt of its idempotency key.
+    /// Handles news about a request's idempotency key.
     pub(super) fn on_learnt(&mut self, cx: &mut Cx<'_>, learnt: Learnt) {
         match learnt {
             Learnt::Unused(id) => self.enqueue(cx, id),
@@ -321,7 +323,7 @@
     }
 }
 
-/// Returns whose budget retries of a target draw on.
+/// Returns whose retry budget a target draws on.
 pub(super) fn destination(cx: &Cx<'_>, target: &Target) -> Destination {
     match target {
         Target::Service(service) => Some(service.clone()),
@@ -329,7 +331,7 @@
     }
 }
 
-/// Returns what a request asks of routing.
+/// Builds the routing query for a request.
 const fn wish(request: &Request) -> Wish<'_> {
     Wish { target: &request.arrival.target, prefix: request.arrival.prefix, tried: &request.tried }
 }
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what becomes of their requests.
+//! The end of an attempt: retry, refusal or answer.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 use crate::serving::suspect::Standing;
 use crate::store::RecordedAnswer;
 
-/// How long a caller waits for its answer to be recorded.
+/// Longest time that an answer waits to be recorded.
 const RECORD_PATIENCE: Duration = Duration::from_millis(300);
-/// When to come back after every try failed.
+/// Retry delay after all attempts have failed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What another try costs.
+/// What another attempt costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cost {
-    /// Nothing: the upstream has said that it did nothing, and why.
+    /// Nothing: the upstream stated that it did nothing, and why.
     Free,
-    /// A retry out of the budget.
+    /// One retry from the budget.
     Retry,
 }
 
 impl Serving {
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     ///
-    /// An attempt that was given up, or whose end comes twice, is unknown here,
-    /// so that a late answer can't reach another request's caller.
+    /// An attempt that was cancelled, or whose end is reported twice, is no longer in the
+    /// table, so a late answer can't reach another request's caller.
     pub(super) fn end_attempt(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
         let Some(id) = self.attempts.remove(&attempt) else {
             self.tally.late += 1;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Asks another upstream where one failed, or passes its failure on.
+    /// Retries a request whose upstream returned a failure, or forwards the failure.
     fn on_failed_whole(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.runs += 1;
@@ -108,9 +108,10 @@
         }
         let is_model = self.requests.get(&id).is_some_and(|r| matches!(r.arrival.target, Target::Model(_)));
         if is_model {
-            // The engine is paused here, and its owner will say what has become of the
-            // model. Were this counted as a failure, an engine that restarts would have
-            // a patient request refused after a few tries in a moment.
+            // The engine backs off here, and its owner will publish the state of
+            // the model. If this counted as a failure, a restarting engine would
+            // exhaust the attempts of a request within moments although its
+            // deadline is far away.
             self.end_run(cx, id, upstream);
             return self.retry(cx, id, Cost::Free);
         }
@@ -122,8 +123,8 @@
         let Some(request) = self.requests.get(&id) else { return };
         match (rejection, request.arrival.target.clone()) {
             (Rejection::NotLoaded, Target::Model(target)) => {
-                // The model was unloaded since its engine was last heard of, which
-                // is what rarely used models do; it costs no retry.
+                // The model was unloaded after its owner last published a view.
+                // This is normal for rarely used models and costs no retry.
                 self.routes.note_missing(cx, upstream, &target);
                 self.fail_once(cx, id, upstream);
                 return self.retry(cx, id, Cost::Free);
@@ -132,14 +133,14 @@
                 self.routes.note_trouble(cx, upstream);
                 self.fail_once(cx, id, upstream);
             }
-            // A busy upstream is back-pressure and no failure: the request
-            // waits on as it would have, had the load been known.
+            // A busy upstream is back-pressure, not a failure: the request waits as
+            // it would have if the load had been known.
             (Rejection::Busy, _) => {
                 self.routes.note_trouble(cx, upstream);
                 self.end_run(cx, id, upstream);
                 return self.retry(cx, id, Cost::Free);
             }
-            // The host list will tell what stands at the address now.
+            // The host list will show what runs at the address now.
             (Rejection::Replaced, _) => {
                 self.routes.note_trouble(cx, upstream);
                 self.fail_once(cx, id, upstream);
@@ -158,11 +159,12 @@
 
     fn on_lost(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run, passed_on: bool, died: bool) {
         if died && cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
-            // An upstream that the request has ended may have left the host list already.
+            // The host list may already have dropped an upstream that the request
+            // crashed.
             self.count_loss(cx, id, run);
         }
-        // A host that is reclaimed takes its upstream with it. That is nobody's
-        // fault; were all its requests suspect, each would wait for an engine of its own.
+        // A reclaimed host takes its upstream with it, which is no request's fault. If
+        // all its requests became suspects, each would wait for an engine of its own.
         let died = died && !self.routes.is_going(cx, &run.upstream);
         let others = if died { self.digests_at(&run.upstream) } else { Vec::new() };
         let out_of_time = self.requests.get(&id).is_some_and(|r| r.arrival.deadline.is_due(cx.now));
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Decides what becomes of a request whose attempt was lost, once peers know what they have to.
+    /// Retries or refuses a request whose attempt was lost, after the peers were notified.
     pub(super) fn after_loss(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let digest = request.arrival.digest;
@@ -208,7 +210,7 @@
         self.retry(cx, id, Cost::Retry);
     }
 
-    /// Queues a request again whose attempt ended without an answer, or refuses it.
+    /// Requeues a request whose attempt ended without an answer, or refuses it.
     fn retry(&mut self, cx: &mut Cx<'_>, id: RequestId, cost: Cost) {
         let Some(request) = self.requests.get(&id) else { return };
         let lost = request.past != Past::Clean;
@@ -238,7 +240,7 @@
         self.advance(cx, id, Step::Refuse { reason, retry_after });
     }
 
-    /// Takes note that an upstream did nothing with a request.
+    /// Requeues a request on which an upstream did no work.
     fn end_run(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         self.end_alone(cx, id);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -1,4 +1,4 @@
-//! How many retries a process allows itself.
+//! Limits on the retries of a process.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,37 +9,36 @@
 use crate::id::ServiceName;
 use crate::time::Time;
 
-/// A thousandth of a retry, so that a tenth of a request can be counted.
+/// Budgets count in thousandths of a retry, so that a request can earn a fraction of one.
 const WHOLE_RETRY: u64 = 1000;
-/// What each request adds: a tenth of a retry.
+/// Earned with each request: a tenth of a retry.
 const PER_REQUEST: u64 = 100;
-/// What each second adds, so that a quiet process may retry at all.
+/// Earned each second, so that a process with little load can retry at all.
 const PER_SECOND: u64 = WHOLE_RETRY;
-/// The most that is saved up.
+/// Capacity of the bucket.
 const MOST: u64 = 20 * WHOLE_RETRY;
-/// The share of a shared budget that is used, in percent.
+/// Percentage of the shared budget that the processes use.
 ///
-/// Processes count their windows from different moments and learn late that one
-/// of them has left; the rest is for that.
+/// Their windows start at different times, and they learn late that one of them has left; the
+/// rest covers both.
 const USED_OF_SHARED: u64 = 80;
-/// What a retry is for.
+/// The service or pool that a retry is sent to.
 pub(super) type Destination = Option<ServiceName>;
 
-/// Holds retries down.
+/// Limits retries.
 ///
-/// When many upstreams fail at once, retrying every request would send the
-/// survivors several times their usual load and take them down too. One would
-/// see the request rate at the upstreams rise during an outage.
+/// If many upstreams fail together, retrying every request would send several times the usual
+/// load to the survivors and overload them too.
 #[derive(Debug)]
 pub(super) enum RetryBudget {
-    /// A budget of the process's own.
+    /// A budget of this process alone.
     Own(Bucket),
-    /// A part of a budget of all processes.
+    /// This process's share of a budget of all processes.
     Shared(Share),
 }
 
 impl RetryBudget {
-    /// Makes a budget that nothing was taken from.
+    /// Creates a full budget.
     pub(super) const fn new(limits: RetryLimits) -> Self {
         match limits {
             RetryLimits::PerProcess => Self::Own(Bucket { saved: MOST, filled: Time::START }),
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry if the budget allows it; reports whether it did.
     pub(super) fn spend(&mut self, now: Time, destination: &Destination) -> bool {
         match self {
             Self::Own(bucket) => bucket.spend(now),
@@ -69,12 +68,12 @@
         }
     }
 
-    /// Tells whether a second sending draws on the budget even if the first one had no effect.
+    /// Reports whether even retries of attempts without effect are charged.
     pub(super) const fn counts_every_sending(&self) -> bool {
         matches!(self, Self::Shared(_))
     }
 
-    /// Takes note of how many processes share the budget.
+    /// Records how many processes share the budget.
     pub(super) fn note_hosts(&mut self, now: Time, hosts: usize) {
         if let Self::Shared(share) = self {
             share.hosts.note(now, hosts);
@@ -82,7 +81,7 @@
     }
 }
 
-/// A token bucket: a tenth of the requests and a few more.
+/// A token bucket that earns a tenth of the requests plus a constant rate.
 #[derive(Debug)]
 pub(super) struct Bucket {
     saved: u64,
@@ -109,7 +108,7 @@
     }
 }
 
-/// This process's part of a budget that all processes share.
+/// This process's share of a budget that all processes have in common.
 #[derive(Debug)]
 pub(super) struct Share {
     percent: u32,
@@ -119,7 +118,7 @@
     used: OrderedMap<Destination, Usage>,
 }
 
-/// What went to one destination in the last window.
+/// Requests and retries for one destination within the last window.
 #[derive(Debug, Default)]
 struct Usage {
     requests: VecDeque<Time>,
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -1,4 +1,5 @@
-//! Client accounts at this process: credit for requests, and keys that are withdrawn while they wait.
+//! Credit of client accounts for requests, and the refusal of requests whose keys are
+//! withdrawn.
 
 use crate::accounts::Accounts;
 use crate::cx::Cx;
@@ -11,7 +12,7 @@
 use crate::time::Time;
 
 impl Serving {
-    /// Asks for a request's credit before it is let in.
+    /// Requests the credit that a request needs before it is admitted.
     pub(super) fn ask_credit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(charge) = request.arrival.charge.clone() else { return self.admit(cx, id) };
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Lets a request in whose credit is there, or refuses it.
+    /// Admits a request whose credit was granted, or refuses it.
     pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: Verdict) {
         let Verdict { request: id, ruling } = verdict;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Lets a request in once its credit is there.
+    /// Admits a request once its credit is available.
     pub(super) fn on_credit_due(&mut self, cx: &mut Cx<'_>, id: RequestId, not_before: Time) {
         if not_before.is_due(cx.now) {
             self.admit(cx, id);
         }
     }
 
-    /// Gives back the credit of a request that ends and wasn't run.
+    /// Returns the credit of a request that ends without having run.
     pub(super) fn settle_credit(&mut self, cx: &mut Cx<'_>, id: RequestId, request: &Request) {
         let Some(charge) = &request.arrival.charge else { return };
         if !request.has_credit {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Refuses the requests that wait here and whose keys have been withdrawn.
+    /// Refuses the waiting requests whose keys have been withdrawn.
     pub(super) fn refuse_withdrawn(&mut self, cx: &mut Cx<'_>) {
         let accounts = &cx.document.catalogue.accounts;
         let found = self.requests.iter().filter(|(_, request)| request.is_waiting());
@@ -73,7 +74,7 @@
     }
 }
 
-/// Tells why a request may not run under its key any more.
+/// Returns why a request may no longer run under its key.
 fn withdrawal(accounts: &Accounts, request: &Request) -> Option<RefusalReason> {
     let charge = request.arrival.charge.as_ref()?;
     if accounts.is_empty() {
--- a/crates/skylarkshore-core/src/serving/decide.rs
+++ b/crates/skylarkshore-core/src/serving/decide.rs
@@ -1,4 +1,6 @@
-//! The one place that decides between sent and refused, and that ends requests.
+//! Sends, refuses and finishes requests.
+//!
+//! [`Serving::send_or_refuse`] is the only place that decides between sending and refusing.
 
 use std::time::Duration;
 
@@ -10,24 +12,24 @@
 use crate::serving::request::{Caller, Company, Due, Past, Run, State};
 use crate::store::RecordedAnswer;
 
-/// How long a caller waits for a claim to be given up before it is told that nothing ran.
+/// Longest time that a refusal waits for its claim to be released.
 const RELEASE_PATIENCE: Duration = Duration::from_millis(300);
 
-/// What becomes of a request.
+/// What to do with a request next.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
-    /// It is sent to an upstream.
+    /// Send it to an upstream.
     Send {
-        /// The upstream, at which it takes up a place.
+        /// The upstream, whose slot the request occupies.
         upstream: UpstreamId,
-        /// Who else may run there.
+        /// Whether other requests may run there at the same time.
         company: Company,
     },
-    /// It is refused for good.
+    /// Refuse it for good.
     Refuse {
-        /// Why.
+        /// The reason given to the caller.
         reason: RefusalReason,
-        /// When to ask again, where that helps.
+        /// When the caller should retry, if a retry can help.
         retry_after: Option<Duration>,
     },
 }
@@ -35,9 +37,9 @@
 impl Serving {
     /// Sends a request or refuses it.
     ///
-    /// Were this decided in two places, a deadline that passes while a claim's
-    /// answer is on its way could refuse a request as not run, and the answer
-    /// then send it. The caller would see a booking that it was told was not made.
+    /// If this were decided in two places, a deadline that passes while a claim's answer is
+    /// in flight could refuse a request as not run, and the answer could then send it: a
+    /// booking would be made after its caller was told that it was not.
     pub(super) fn advance(&mut self, cx: &mut Cx<'_>, id: RequestId, step: Step) {
         let Some(request) = self.requests.get(&id) else { return };
         match step {
@@ -126,7 +128,7 @@
         self.timers.insert(Due { at: until, request: id });
     }
 
-    /// Tells the caller that its request is refused, and forgets the request.
+    /// Sends the refusal to the caller and removes the request.
     pub(super) fn conclude(&mut self, cx: &mut Cx<'_>, id: RequestId, refusal: Refusal) {
         let Some(request) = self.forget(cx, id) else { return };
         if request.caller == Caller::Gone {
@@ -141,7 +143,7 @@
         cx.push(effect);
     }
 
-    /// Gives the caller a kept answer, and forgets the request.
+    /// Sends a recorded answer to the caller and removes the request.
     pub(super) fn answer(&mut self, cx: &mut Cx<'_>, id: RequestId, answer: RecordedAnswer) {
         let Some(request) = self.forget(cx, id) else { return };
         self.tally.answered += 1;
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Forgets a request whose answer was passed on whole.
+    /// Removes a request whose answer was forwarded in full.
     pub(super) fn finish(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         if self.forget(cx, id).is_some() {
             self.tally.answered += 1;
--- a/crates/skylarkshore-core/src/serving/lease.rs
+++ b/crates/skylarkshore-core/src/serving/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which the records of idempotency keys live.
+//! The lease of the stored records of idempotency keys.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::store::{StoreAnswer, StoreCall, StoreResult};
 use crate::time::Time;
 
-/// How long a record is kept.
+/// How long a record is stored.
 pub(super) const KEPT: Duration = Duration::from_hours(48);
-/// How long a lease is used for new records, so that each is kept nearly as long as promised.
+/// How long a lease is used for new records, so that each is stored for nearly [`RECORD_TTL`].
 const USED: Duration = Duration::from_hours(1);
-/// The pause after a failed grant.
+/// Mean pause after a failed grant.
 const PAUSE: Duration = Duration::from_millis(500);
-/// How long a grant's answer is awaited.
+/// How long the answer to a grant is awaited.
 const PATIENCE: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
@@ -31,8 +31,8 @@
 
 /// The lease of one process's records.
 ///
-/// The records have to outlive the process, so it is never renewed or revoked;
-/// a new one takes its place every hour.
+/// The records must outlive the process, so the lease is never renewed or revoked; a new one
+/// replaces it every hour.
 #[derive(Debug, Default)]
 pub(super) struct OnceLease {
     granted: Option<Granted>,
@@ -46,7 +46,7 @@
         self.granted.map(|granted| granted.lease)
     }
 
-    /// Asks for a lease if there is none or the present one is old.
+    /// Requests a lease if there is none or the current one is old.
     pub(super) fn want(&mut self, cx: &mut Cx<'_>) {
         let fresh = self.granted.is_some_and(|granted| !granted.renew_at.is_due(cx.now));
         let asked = self.asked.is_some_and(|asked| !asked.until.is_due(cx.now));
@@ -58,7 +58,7 @@
         cx.push(Effect::Store { call, request: StoreCall::GrantLease { ttl: KEPT } });
     }
 
-    /// Keeps a lease at hand where a service has calls that may not be repeated.
+    /// Keeps a lease ready if a service has calls that may run only once.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         let needed = cx.document.catalogue.services.values().any(|service| !service.once_paths.is_empty());
         if needed {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes the result of a call; tells whether it was about the lease.
+    /// Handles the result of a call; reports whether it concerned the lease.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) -> bool {
         if self.asked.is_none_or(|asked| asked.call != call) {
             return false;
@@ -80,7 +80,7 @@
         true
     }
 
-    /// Stops using a lease that the service may not know any more.
+    /// Discards a lease that the store may no longer have.
     pub(super) fn drop_current(&mut self, lease: LeaseId) {
         if self.current() == Some(lease) {
             self.granted = None;
--- a/crates/skylarkshore-core/src/serving/load.rs
+++ b/crates/skylarkshore-core/src/serving/load.rs
@@ -1,42 +1,39 @@
-//! How much other processes probably have in progress at an engine.
+//! Estimated load of other processes on an upstream.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// How far back the mean goes.
+/// Time constant of the moving mean.
 const MEMORY: Duration = Duration::from_secs(8);
-/// How long a mean counts after the last report.
+/// How long the mean is valid after the last report.
 ///
-/// An owner that died leaves its last account behind. Were its figures believed
-/// for ever, a full engine would look full until another owner speaks, and
-/// requests would wait before an idle engine. The engine itself rejects what is
-/// too much.
+/// An owner that died leaves its last view behind. If its figures never expired, a full engine
+/// would look full until another owner publishes a view, and requests would wait although the
+/// engine is idle. The engine itself rejects what is too much.
 const BELIEVED: Duration = Duration::from_secs(10);
 
-/// How long a mean keeps requests away from an upstream that seems full.
+/// How long the mean keeps requests away from an upstream that seems full.
 ///
-/// A router that sends nothing there hears nothing of it either.
+/// A router that sends nothing to an upstream receives no reports from it either.
 const FULL_BELIEVED: Duration = Duration::from_secs(1);
 
-/// Thousandths of a request in progress.
+/// Load in thousandths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Millis(pub(super) u64);
 
 impl Millis {
-    /// Makes the load of whole requests.
     pub(super) fn of(requests: u32) -> Self {
         Self(u64::from(requests) * 1000)
     }
 }
 
-/// The mean of what other processes had at an engine.
+/// Moving mean of the load of other processes on an upstream.
 ///
-/// Reports come late and to all routers at once. A router that believed each of
-/// them would send where the engine was empty a second ago, as all the others
-/// do; engines would be flooded and deserted in turn, while requests wait. The
-/// mean over several reports still tells a busy engine from an idle one, and a
-/// router knows exactly what it has there itself.
+/// Reports arrive late and at all routers together. If every router trusted each report, all
+/// would send to the engine that was empty a second ago: engines would be flooded and idle in
+/// turn while requests wait. The mean over several reports still separates a busy engine from
+/// an idle one, and a router knows its own load exactly.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OthersLoad {
     mean: Millis,
@@ -45,12 +42,12 @@
 }
 
 impl OthersLoad {
-    /// Begins with a first report.
+    /// Starts with a first report.
     pub(super) fn new(now: Time, others: u32) -> Self {
         Self { mean: Millis::of(others), reports: 1, at: now }
     }
 
-    /// Takes a report in; the first few weigh alike, so that a fresh mean settles fast.
+    /// Adds a report. The first few have equal weight, so that a new mean converges fast.
     #[must_use]
     pub(super) fn with(self, now: Time, others: u32) -> Self {
         let reports = self.reports + 1;
@@ -62,7 +59,8 @@
         Self { mean: Millis(mean), reports, at: now }
     }
 
-    /// Returns what may still be there of the mean, since upstreams work off what they have.
+    /// Returns the part of the mean that may remain, since upstreams complete their
+    /// requests.
     pub(super) fn left(self, now: Time) -> Millis {
         let age = now.since(self.at).min(FULL_BELIEVED);
         let left = FULL_BELIEVED.saturating_sub(age).as_millis();
@@ -70,7 +68,7 @@
         Millis(u64::try_from(mean).unwrap_or(self.mean.0))
     }
 
-    /// Returns the mean, or nothing when it is too old.
+    /// Returns the mean, or zero when it has expired.
     pub(super) fn mean(self, now: Time) -> Millis {
         if self.at.after(BELIEVED).is_due(now) { Millis::default() } else { self.mean }
     }
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -1,4 +1,6 @@
-//! Requests that may run at most once, under the claims of their idempotency keys.
+//! Requests that may run at most once, protected by claims on their idempotency keys.
+//!
+//! Open [`Once`] first.
 
 mod calls;
 mod claim;
@@ -19,40 +21,39 @@
 };
 use crate::time::Time;
 
-/// How long a claim may take before the request is refused.
+/// Longest time that a claim may take before the request is refused.
 const CLAIM_PATIENCE: Duration = Duration::from_secs(1);
-/// The same, while calls to the key-value service fail.
+/// The same while calls to the key-value service fail.
 const CLAIM_PATIENCE_FAILING: Duration = Duration::from_millis(200);
-/// What a request learns of its claim.
+/// Progress of a request's claim.
 #[derive(Debug)]
 pub(super) enum Learnt {
-    /// The key isn't used yet.
+    /// The key is unused.
     Unused(RequestId),
-    /// The claim stands: the request may be sent.
+    /// The claim is held: the request may be sent.
     Claimed(RequestId),
     /// The key was used before.
     Used {
-        /// The request.
         request: RequestId,
-        /// What is known of the earlier one.
+        /// The record of the earlier request.
         found: OnceRecord,
     },
-    /// The service can't be reached, and the claim doesn't stand for all that is known.
+    /// The key-value service can't be reached, and the claim isn't known to be held.
     Unreachable(RequestId),
-    /// The outcome is recorded, or won't be.
+    /// The answer is recorded, or won't be.
     Recorded(RequestId),
-    /// The claim is given up, or won't be for now.
+    /// The claim is released, or won't be for now.
     Released(RequestId),
 }
 
-/// How a key stands at this process.
+/// The use of a key at this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Here {
-    /// Nothing is known of it.
+    /// Not known to be in use.
     Unknown,
     /// The same request is in progress.
     SameRequest,
-    /// Another request is in progress under it.
+    /// Another request is in progress with the key.
     OtherRequest,
 }
 
@@ -63,12 +64,12 @@
     unsettled: Unsettled,
     lease: OnceLease,
     failing: bool,
-    /// How many claims were left without a known outcome.
+    /// Number of claims whose request ended with an unknown outcome.
     pub(super) in_doubt: u64,
 }
 
 impl Once {
-    /// Tells how a key stands at this process.
+    /// Returns how a key is used at this process.
     pub(super) fn here(&self, key: Digest, digest: Digest) -> Here {
         match self.claims.get(&key) {
             None => Here::Unknown,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes a request's key in, so that no other request of this process uses it.
+    /// Registers a request's key, so that no other request of this process uses it.
     pub(super) fn begin(&mut self, key: Digest, digest: Digest, user: RequestId) {
         let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
         self.claims.insert(key, Claim { digest, user: Some(user), step: Step::Queued, leftover });
@@ -100,17 +101,17 @@
         self.write_waiting(cx);
     }
 
-    /// Tells whether a key's claim stands, so that its request may be sent.
+    /// Reports whether a key's claim is held, so that its request may be sent.
     pub(super) fn holds(&self, key: Digest) -> bool {
         matches!(self.claims.get(&key), Some(Claim { step: Step::Held(_), .. }))
     }
 
-    /// Tells whether nothing is being written any more.
+    /// Reports whether no write is pending.
     pub(super) fn is_idle(&self) -> bool {
         self.claims.values().all(|claim| matches!(claim.step, Step::Queued | Step::Doubtful(_)))
     }
 
-    /// Records how a request ended; it has run.
+    /// Records the answer of a request that has run.
     pub(super) fn record(&mut self, cx: &mut Cx<'_>, key: Digest, answer: Option<RecordedAnswer>) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
         let Step::Held(held) = claim.step else { return };
@@ -127,7 +128,7 @@
         });
     }
 
-    /// Gives a claim up under which nothing ran; tells whether there is one to be waited for.
+    /// Releases a claim under which nothing ran; reports whether a deletion is pending.
     pub(super) fn release(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) -> bool {
         let Some(claim) = self.claims.get_mut(&key).filter(|claim| claim.user == Some(user)) else {
             return false;
@@ -138,7 +139,8 @@
                 delete(cx, key, held.revision);
                 return true;
             }
-            // Its outcome is still to come; it is deleted when it does.
+            // Its outcome is still unknown; the claim is deleted when the outcome
+            // arrives.
             Step::Writing { .. } => claim.user = None,
             Step::Queued | Step::LookingUp { .. } | Step::AwaitingLease { .. } if claim.leftover => {
                 claim.user = None;
@@ -152,7 +154,7 @@
         false
     }
 
-    /// Leaves a claim as it is: its request may have run, and nobody may run it again.
+    /// Leaves a claim in place: its request may have run and must not run again.
     pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) {
         if self.claims.get(&key).is_none_or(|claim| claim.user != Some(user)) {
             return;
@@ -163,12 +165,12 @@
         cx.note("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
-    /// Forgets the keys whose records have ended.
+    /// Removes the keys whose records have expired.
     pub(super) fn forget_old(&mut self, now: Time) {
         self.unsettled.forget_old(now);
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Learnt> {
         self.lease.on_tick(cx);
         self.write_waiting(cx);
@@ -194,7 +196,7 @@
         learnt
     }
 
-    /// Takes the result of a call that isn't a write.
+    /// Handles the result of a store call that isn't a write.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) -> Option<Learnt> {
         self.failing = result.is_err();
         if self.lease.on_store(cx, call, result) {
@@ -214,7 +216,7 @@
         None
     }
 
-    /// Takes the outcome of a write.
+    /// Handles the outcome of a write.
     pub(super) fn on_write(
         &mut self,
         cx: &mut Cx<'_>,
@@ -256,7 +258,7 @@
             }
             WriteOutcome::Conflict(found) => self.on_taken(cx, key, found),
             WriteOutcome::NotDone => {
-                // The lease may be what the service doesn't know any more.
+                // The store may no longer have the lease.
                 self.lease.drop_current(lease);
                 claim.step = Step::Queued;
                 let Some(user) = claim.user else {
@@ -286,21 +288,23 @@
         user.map(Learnt::Released)
     }
 
-    /// Tells whether a record is a claim of this process under which nothing ran.
+    /// Reports whether a record is an orphaned claim of this process, under which nothing
+    /// ran.
     fn is_leftover(&self, cx: &Cx<'_>, key: Digest, record: &OnceRecord) -> bool {
         let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
         leftover && is_own_claim(cx, record) && !self.unsettled.may_contain(key)
     }
 
-    /// Takes note that something stands under a key that was to be claimed.
+    /// Handles a conflict with an existing record under a key that was to be claimed.
     fn on_taken(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<Learnt> {
         let Some(Record::Once(record)) = &found.record else {
             return self.claims.remove(&key)?.user.map(Learnt::Unreachable);
         };
         if self.is_leftover(cx, key, record) {
             let claim = self.claims.get_mut(&key)?;
-            // The claim of an earlier try arrived after it was given up. Nothing
-            // ran under it; left there, it would block the key until its lease ends.
+            // The claim of an earlier try took effect after it was released.
+            // Nothing ran under it; if it stayed, it would block the key until its
+            // lease expires.
             claim.step = Step::Releasing;
             delete(cx, key, found.revision);
             return claim.user.take().map(Learnt::Unreachable);
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Deletes a claim in doubt that has turned up, or looks again later.
+    /// Deletes an orphaned claim that was found, or schedules the next check.
     fn on_leftover_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
         let Step::Doubtful(doubt) = &mut claim.step else { return };
--- a/crates/skylarkshore-core/src/serving/once/calls.rs
+++ b/crates/skylarkshore-core/src/serving/once/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the key-value service about idempotency keys.
+//! Store calls for idempotency keys.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::id::{CallId, Digest, StoreRevision};
 use crate::store::{Expect, Key, OnceRecord, OnceState, StoreCall, WriteRequest};
 
-/// How long recording an answer or giving a claim up is tried.
+/// How long recording an answer or releasing a claim is retried.
 pub(super) const SETTLE: Duration = Duration::from_mins(1);
 
 /// Reads a key.
@@ -17,7 +17,7 @@
     call
 }
 
-/// Deletes a claim if it still stands as it was written.
+/// Deletes a claim if it is unchanged since it was written.
 pub(super) fn delete(cx: &mut Cx<'_>, key: Digest, revision: StoreRevision) {
     cx.write(WriteRequest {
         key: Key::Once(key),
@@ -28,12 +28,12 @@
     });
 }
 
-/// Makes a record of this process.
+/// Builds a record of this process.
 pub(super) fn once_record(cx: &Cx<'_>, request: Digest, state: OnceState) -> OnceRecord {
     OnceRecord { request, host: cx.cfg.host.clone(), incarnation: cx.cfg.incarnation, state }
 }
 
-/// Tells whether a record is a claim of this life of this process.
+/// Reports whether a record is a claim of this incarnation of this process.
 pub(super) fn is_own_claim(cx: &Cx<'_>, record: &OnceRecord) -> bool {
     record.state == OnceState::Claimed
         && record.host == cx.cfg.host
--- a/crates/skylarkshore-core/src/serving/once/claim.rs
+++ b/crates/skylarkshore-core/src/serving/once/claim.rs
@@ -6,49 +6,50 @@
 use crate::serving::once::calls::SETTLE;
 use crate::time::Time;
 
-/// The first pause before a claim in doubt is looked up.
+/// First pause before an unconfirmed claim is looked up.
 const FIRST_LOOK: Duration = Duration::from_millis(500);
 
-/// How far a claim has come.
+/// The state of a claim.
 #[derive(Debug)]
 pub(super) enum Step {
     /// The request waits for an upstream, and nothing has been written.
     Queued,
     /// The key is being read before the request is queued.
     LookingUp { call: CallId, until: Time },
-    /// There is no lease yet under which to write.
+    /// There is no lease for the record yet.
     AwaitingLease { until: Time },
     /// The claim is being written.
     Writing { lease: LeaseId },
-    /// The claim stands, and its request may be sent.
+    /// The claim is held, and its request may be sent.
     Held(Claimed),
-    /// The outcome is being recorded; the claim is settled.
+    /// The answer is being recorded.
     Recording,
     /// The claim is being deleted: nothing ran under it.
     Releasing,
-    /// The claim's outcome is unknown; nothing ran under it, and it is deleted if it turns up.
+    /// The outcome of the write is unknown; nothing ran under the claim, and it is deleted
+    /// if it is found.
     Doubtful(Doubt),
 }
 
-/// A claim that may turn up after it was given up.
+/// A claim that may take effect after it was released.
 #[derive(Debug)]
 pub(super) struct Doubt {
-    /// When to look for it next.
+    /// When to look it up next.
     pub(super) look_at: Time,
-    /// How long the next pause is.
+    /// Pause before the next lookup.
     pub(super) pause: Duration,
-    /// When to stop looking.
+    /// When to stop looking it up.
     pub(super) until: Time,
     /// The read in progress.
     pub(super) call: Option<CallId>,
 }
 
-/// A claim that stands.
+/// A claim that is held.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Claimed {
     /// The revision at which it was written.
     pub(super) revision: StoreRevision,
-    /// The lease under which it was written.
+    /// The lease that it was written with.
     pub(super) lease: LeaseId,
 }
 
@@ -57,16 +58,15 @@
 pub(super) struct Claim {
     /// The digest of the request.
     pub(super) digest: Digest,
-    /// The request that waits for the claim, unless it was given up.
+    /// The request that waits for the claim, unless the claim was released.
     pub(super) user: Option<RequestId>,
-    /// How far it has come.
     pub(super) step: Step,
-    /// Whether an earlier claim of this process, under which nothing ran, may turn up.
+    /// Whether an orphaned claim of this process, under which nothing ran, may be found.
     pub(super) leftover: bool,
 }
 
 impl Step {
-    /// Begins to look for a claim that may turn up.
+    /// Starts looking up a claim whose write has an unknown outcome.
     pub(super) fn doubtful(now: Time) -> Self {
         let look_at = now.after(FIRST_LOOK);
         Self::Doubtful(Doubt { look_at, pause: FIRST_LOOK, until: now.after(SETTLE), call: None })
--- a/crates/skylarkshore-core/src/serving/pace.rs
+++ b/crates/skylarkshore-core/src/serving/pace.rs
@@ -1,4 +1,4 @@
-//! How fast requests are being answered, to tell how long one would have to wait.
+//! Answer times and concurrency of each target, to estimate waits.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use crate::event::Target;
 use crate::time::Time;
 
-/// How many answers the mean goes back, roughly.
+/// Approximate number of answers that the moving mean covers.
 const MEMORY: u32 = 8;
 
 #[derive(Debug, Default)]
 struct Pace {
     running: u32,
-    /// For how long requests have run since that was last told, added up, until `counted`.
+    /// Accumulated run time of all requests up to `counted`, since it was last taken.
     worked: Duration,
     counted: Time,
     mean: Option<Duration>,
@@ -25,21 +25,21 @@
     }
 }
 
-/// The pace of each target at this process.
+/// The statistics of each target at this process.
 #[derive(Debug, Default)]
 pub(super) struct Paces {
     paces: OrderedMap<Target, Pace>,
 }
 
 impl Paces {
-    /// Takes note that a request was sent.
+    /// Records that an attempt was sent.
     pub(super) fn begin(&mut self, now: Time, target: &Target) {
         let pace = self.paces.entry(target.clone()).or_default();
         pace.count_work(now);
         pace.running += 1;
     }
 
-    /// Takes note that an attempt ended, with the time it took if it was answered.
+    /// Records that an attempt ended, with its duration if it was answered.
     pub(super) fn end(&mut self, now: Time, target: &Target, took: Option<Duration>) {
         let Some(pace) = self.paces.get_mut(target) else { return };
         pace.count_work(now);
@@ -49,7 +49,7 @@
         pace.mean = Some((mean * (MEMORY - 1) + took) / MEMORY);
     }
 
-    /// Returns for how long a target's requests have run since this was last asked, added up.
+    /// Returns the accumulated run time of a target's requests since the previous call.
     pub(super) fn take_worked(&mut self, now: Time, target: &Target) -> Duration {
         let Some(pace) = self.paces.get_mut(target) else { return Duration::ZERO };
         pace.count_work(now);
@@ -58,8 +58,8 @@
 
     /// Estimates how long a request waits for its answer behind `ahead` others.
     ///
-    /// There is no estimate unless requests are running: the pace of an idle
-    /// target says nothing of a cold start.
+    /// Returns nothing unless requests are running: the statistics of an idle target don't
+    /// predict a cold start.
     pub(super) fn estimate(&self, target: &Target, ahead: u32) -> Option<Duration> {
         let pace = self.paces.get(target).filter(|pace| pace.running > 0)?;
         let rounds = ahead / pace.running + 1;
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -1,4 +1,6 @@
-//! The requests that wait for an upstream: bounded, by order of service, fair between callers.
+//! Requests that wait for an upstream: bounded, by order of service, fair between callers.
+//!
+//! Open [`Queue`] first.
 
 use std::collections::VecDeque;
 
@@ -10,32 +12,30 @@
 use crate::serving::request::{Due, Request};
 use crate::time::Time;
 
-/// How urgent a waiting request is; the greatest is the first to be shed.
+/// The urgency of a waiting request; the greatest value is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
-    /// The order of service.
     pub(super) order: ServiceOrder,
-    /// Until when it may wait, and its name.
+    /// Until when it may wait, and its identifier.
     pub(super) due: Due,
 }
 
 impl Urgency {
-    /// Returns how urgent a request is.
     pub(super) fn of(id: RequestId, request: &Request) -> Self {
         Self { order: request.order, due: Due { at: request.waits_until(), request: id } }
     }
 }
 
-/// Why a request waits no longer.
+/// Why a request leaves the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Exit {
-    /// It got its turn, so that its caller's next turn comes after the other callers'.
+    /// It is dispatched, so its caller's next turn comes after the other callers'.
     Served,
-    /// It was refused or its caller went away.
+    /// It was refused or its caller disconnected.
     DroppedOut,
 }
 
-/// The waiting requests of one order of service, callers taking turns.
+/// The waiting requests of one order of service, with callers in round-robin order.
 #[derive(Debug, Default)]
 struct Class {
     callers: OrderedMap<CallerId, OrderedSet<Due>>,
@@ -71,9 +71,9 @@
     }
 }
 
-/// How many requests are looked at for one that fits the free upstream best.
+/// Number of requests that are searched for one that fits the free upstream better.
 const LOOK_AHEAD: usize = 16;
-/// How often the request whose turn it is may be passed over for one that fits better.
+/// Maximum number of times that the next request may be skipped for one that fits better.
 const MOST_PASSED_OVER: u32 = 8;
 
 /// The waiting requests for one model, adapter or service.
@@ -83,25 +83,23 @@
     members: OrderedSet<Urgency>,
     deadlines: OrderedSet<Due>,
     aims: OrderedSet<Due>,
-    /// How often the request whose turn it is has been passed over.
+    /// Times that the next request has been skipped.
     passed_over: u32,
 }
 
-/// What waits for one target.
+/// A summary of the requests that wait for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Waiting {
-    /// How many requests.
+    /// Number of requests.
     pub(super) count: u32,
-    /// The most urgent order of service among them.
     pub(super) order: ServiceOrder,
-    /// The latest deadline among them.
     pub(super) patient_until: Time,
-    /// The first time, yet to come, from which on an answer to one of them loses value.
+    /// The earliest future time after which an answer to one of them has reduced value.
     pub(super) aim: Option<Time>,
 }
 
 impl Waiting {
-    /// Adds requests that wait elsewhere than in a lane.
+    /// Adds requests that aren't in the queue.
     pub(super) fn add(this: &mut Option<Self>, count: u32, order: ServiceOrder, until: Time) {
         let sum = this.get_or_insert(Self { count: 0, order, patient_until: until, aim: None });
         sum.count = sum.count.saturating_add(count);
@@ -110,12 +108,12 @@
     }
 }
 
-/// Why a request found no room.
+/// Which request has no room in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Overflow {
-    /// Another request, which is less urgent, has to go for it.
+    /// Another request, which is less urgent and is shed.
     Shed(RequestId),
-    /// It is the least urgent itself.
+    /// The new request, which is the least urgent.
     Itself,
 }
 
@@ -138,13 +136,13 @@
         self.lanes.get(target).map_or(0, |lane| u32::try_from(lane.members.len()).unwrap_or(u32::MAX))
     }
 
-    /// Returns how many requests for the same target go before one.
+    /// Returns how many requests for the same target precede one.
     pub(super) fn ahead_of(&self, target: &Target, urgency: Urgency) -> u32 {
         let Some(lane) = self.lanes.get(target) else { return 0 };
         u32::try_from(lane.members.range(..urgency).count()).unwrap_or(u32::MAX)
     }
 
-    /// Finds who has to go, if there is no room for one more request.
+    /// Returns the request to shed or reject if the queue has no room for one more.
     pub(super) fn overflow(&self, limits: &Limits, caller: &CallerId, urgency: Urgency) -> Option<Overflow> {
         let own = self.callers.get(caller);
         let crowded = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
@@ -173,9 +171,10 @@
         self.all.insert(urgency);
     }
 
-    /// Returns the requests that may go before the one whose turn it is, if they fit better.
+    /// Returns the requests that may be dispatched before the next one if they fit better.
     ///
-    /// They have the same order of service, and it isn't passed over for ever.
+    /// They have the same order of service, and the next one is skipped only a limited
+    /// number of times.
     pub(super) fn may_go_first(&self, target: &Target) -> Vec<RequestId> {
         let Some(lane) = self.lanes.get(target) else { return Vec::new() };
         let Some(first) = lane.members.first().filter(|_| lane.passed_over < MOST_PASSED_OVER) else {
@@ -185,7 +184,7 @@
         alike.take(LOOK_AHEAD).map(|member| member.due.request).collect()
     }
 
-    /// Removes a request that gets its turn.
+    /// Removes a request that is dispatched.
     pub(super) fn take(&mut self, id: RequestId, request: &Request) {
         let target = &request.arrival.target;
         let is_first = self.first(target) == Some(id);
@@ -195,18 +194,18 @@
         self.remove(id, request, Exit::Served);
     }
 
-    /// Removes a request that waits no longer; does nothing if it doesn't wait.
+    /// Removes a request that is no longer to be dispatched, if it is queued.
     pub(super) fn drop_out(&mut self, id: RequestId, request: &Request) {
         self.remove(id, request, Exit::DroppedOut);
     }
 
-    /// Returns the request whose turn it is.
+    /// Returns the next request for a target.
     pub(super) fn first(&self, target: &Target) -> Option<RequestId> {
         let lane = self.lanes.get(target)?;
         lane.classes.values().find_map(Class::first).map(|due| due.request)
     }
 
-    /// Returns the targets that requests wait for, the one with the most urgent request first.
+    /// Returns the targets of waiting requests, the one with the most urgent request first.
     pub(super) fn targets(&self) -> Vec<Target> {
         let mut targets: Vec<_> = self
             .lanes
@@ -217,7 +216,7 @@
         targets.into_iter().map(|(_, target)| target.clone()).collect()
     }
 
-    /// Returns what waits for a target.
+    /// Summarizes the requests that wait for a target.
     pub(super) fn waiting(&self, now: Time, target: &Target) -> Option<Waiting> {
         let lane = self.lanes.get(target)?;
         Some(Waiting {
--- a/crates/skylarkshore-core/src/serving/report.rs
+++ b/crates/skylarkshore-core/src/serving/report.rs
@@ -1,4 +1,4 @@
-//! What a process tells of its requests, for the state dump and the metrics.
+//! The state dump and the metrics of this process's requests.
 
 use crate::cx::Cx;
 use crate::dump::{Belief, Gauge};
@@ -7,7 +7,7 @@
 use crate::serving::tally::gauge;
 
 impl Serving {
-    /// Tells of each request, each upstream in use and each suspect.
+    /// Returns an entry for each request, each upstream in use and each suspect.
     pub(super) fn beliefs(&self, cx: &Cx<'_>) -> Vec<Belief> {
         let requests = self.requests.iter().map(|(id, request)| Belief {
             kind: "request",
@@ -31,7 +31,7 @@
         requests.chain(routes).chain(suspects).chain(self.quota.beliefs()).collect()
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the gauges for the metrics.
     pub(super) fn numbers(&self) -> Vec<Gauge> {
         let mut gauges = vec![
             gauge("requests_queued", self.queue.len() as u64),
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -1,4 +1,6 @@
-//! One request: where it stands, and what may be said of it when it ends.
+//! The state of one request, and the outcome to report when it ends.
+//!
+//! Open [`Request`] first.
 
 use crate::collections::OrderedSet;
 use crate::effect::{Refusal, RefusalOutcome};
@@ -8,147 +10,136 @@
 use crate::store::RecordedAnswer;
 use crate::time::Time;
 
-/// A point in time at which a request has to be looked at.
+/// A time at which a request is due for a check. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Due {
-    /// When.
     pub(super) at: Time,
-    /// Which request.
     pub(super) request: RequestId,
 }
 
 /// An attempt in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Run {
-    /// The attempt.
     pub(super) attempt: AttemptId,
-    /// Where it runs.
     pub(super) upstream: UpstreamId,
-    /// The upstream's life when it was sent, as far as the host list told.
+    /// The upstream's incarnation on the host list when the attempt was sent.
     pub(super) life: Option<Incarnation>,
-    /// Who else may run there.
     pub(super) company: Company,
-    /// When it was sent.
     pub(super) sent: Time,
 }
 
-/// Who else may be running on the upstream of an attempt.
+/// Whether other requests may run on the upstream of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Company {
-    /// Other requests may run beside it.
+    /// Other requests may run at the same time.
     Others,
     /// The request is a suspect, and nothing else runs there.
     Alone,
 }
 
-/// Where a request stands.
+/// The stage that a request has reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It waits for its client account's credit, which may be there only from a time on.
+    /// Waits for credit of its client account.
     AwaitingCredit {
-        /// When the credit is there; none while it is asked for.
+        /// When the credit becomes available; `None` while it is being requested.
         not_before: Option<Time>,
     },
     /// Its idempotency key is being looked up before it is queued.
     LookingUp,
-    /// It waits for an upstream.
+    /// Waits for an upstream.
     Queued,
-    /// It is a suspect and waits for an upstream of its own.
+    /// Is a suspect and waits for an upstream of its own.
     QueuedAlone,
-    /// It holds a place at the upstream while its idempotency key is being claimed.
+    /// Occupies a slot at the upstream while its idempotency key is being claimed.
     Claiming {
-        /// Where it will run.
+        /// The upstream on which it will run.
         run: UpstreamId,
-        /// Who else may run there.
+        /// Whether other requests may run there.
         company: Company,
     },
-    /// It was sent, and no part of an answer has come.
+    /// Was sent; no part of the answer has arrived.
     Sent(Run),
-    /// A part of the answer has come.
+    /// A part of the answer has arrived.
     Answering(Run),
-    /// Its upstream died, and the peers are being told before anything else happens.
+    /// Its upstream died, and the peers are being notified before it is retried or refused.
     TellingPeers,
     /// Its answer is being recorded under its idempotency key.
     Recording {
-        /// When the caller gets the answer in any case.
+        /// When the caller gets the answer even if it is not recorded.
         until: Time,
-        /// The answer.
         answer: RecordedAnswer,
     },
-    /// Nothing ran, and its claim is being given up before the caller is told so.
+    /// Nothing ran, and its claim is being released before the caller is refused.
     Releasing {
-        /// When the caller is told in any case.
+        /// When the caller is refused even if the claim is not released.
         until: Time,
-        /// What the caller is told.
         refusal: Refusal,
     },
 }
 
-/// What earlier attempts may have left behind.
+/// Whether earlier attempts may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Past {
-    /// No attempt was made, or the upstreams did nothing.
+    /// No attempt was sent, or the upstreams did nothing.
     Clean,
-    /// An attempt was lost, and may have run.
+    /// An attempt was lost and may have run.
     Lost,
-    /// An attempt ran alone, and its upstream died of it.
+    /// An isolated attempt ran and crashed its upstream.
     Crashed,
-    /// An earlier request under the same idempotency key may have run.
+    /// An earlier request with the same idempotency key may have run.
     Elsewhere,
 }
 
-/// Whether anyone waits for the answer.
+/// Whether the caller still waits for the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Caller {
-    /// The caller waits.
+    /// The caller is connected.
     Waiting,
-    /// The caller went away, and the request runs on only for its record.
+    /// The caller disconnected; the request continues only so that its answer is recorded.
     Gone,
 }
 
 /// A request in progress.
 #[derive(Debug)]
 pub(super) struct Request {
-    /// What was asked.
     pub(super) arrival: Arrival,
-    /// The order of service that the rules gave it.
+    /// The order of service, from the rules and the request's terms.
     pub(super) order: ServiceOrder,
-    /// When it arrived.
     pub(super) arrived: Time,
-    /// Where it stands.
     pub(super) state: State,
-    /// Since when it stands there.
+    /// When it entered `state`.
     pub(super) since: Time,
-    /// How many attempts have ended without an answer, [busy](crate::event::Rejection::Busy) ones aside.
+    /// Attempts that ended without an answer, except [busy](crate::event::Rejection::Busy)
+    /// ones.
     pub(super) failures: u32,
-    /// On how many upstreams it may have run.
+    /// Attempts that may have run.
     pub(super) runs: u32,
-    /// Whether its last attempt's answer says that the upstream failed, and is kept.
+    /// Whether a failure answer of the last attempt is held for the caller.
     pub(super) kept_failure: bool,
-    /// Where it was tried in vain.
+    /// Upstreams on which an attempt has failed.
     pub(super) tried: OrderedSet<UpstreamId>,
-    /// What earlier attempts may have left behind.
+    /// Whether earlier attempts may have run it.
     pub(super) past: Past,
-    /// Whether the caller has a part of the answer.
+    /// Whether the caller has received a part of the answer.
     pub(super) passed_on: bool,
-    /// Whether anyone waits.
     pub(super) caller: Caller,
-    /// Whether its client account's credit was lent for it.
+    /// Whether its client account's credit has been granted.
     pub(super) has_credit: bool,
 }
 
 impl Request {
-    /// Returns until when it may wait for an upstream.
+    /// Returns the latest time at which the request may leave the queue.
     ///
-    /// Callers of streams go away when no event comes for a while, long before
-    /// their deadline. A request that waited on would be answered to nobody, and
-    /// its caller would have lost the time that it could have asked elsewhere in.
+    /// Callers of streams disconnect if no event arrives for a while, long before their
+    /// deadline. A request that waited longer would be answered to nobody, and its caller
+    /// would lose the time in which it could have asked another host.
     pub(super) fn waits_until(&self) -> Time {
         let deadline = self.arrival.deadline;
         if self.passed_on { deadline } else { deadline.min(self.arrival.terms.begins_by) }
     }
 
-    /// Makes a request that has just arrived.
+    /// Creates a request that has just arrived.
     pub(super) const fn new(arrival: Arrival, order: ServiceOrder, now: Time) -> Self {
         Self {
             arrival,
@@ -167,13 +158,13 @@
         }
     }
 
-    /// Moves it on.
+    /// Sets the state.
     pub(super) fn enter(&mut self, state: State, now: Time) {
         self.state = state;
         self.since = now;
     }
 
-    /// Returns the digest of its idempotency key, if it may not be repeated.
+    /// Returns the digest of the idempotency key if the request may run only once.
     pub(super) const fn once_key(&self) -> Option<Digest> {
         match self.arrival.repeat {
             Repeat::Allowed | Repeat::AtMostOnce => None,
@@ -189,7 +180,7 @@
         }
     }
 
-    /// Returns the upstream at which it takes up a place.
+    /// Returns the upstream at which the request occupies a slot.
     pub(super) const fn place(&self) -> Option<&UpstreamId> {
         match &self.state {
             State::Claiming { run: upstream, .. } => Some(upstream),
@@ -198,7 +189,7 @@
         }
     }
 
-    /// Tells whether it was let in and hasn't been sent.
+    /// Reports whether the request was accepted and has not been sent.
     pub(super) const fn is_waiting(&self) -> bool {
         matches!(
             self.state,
@@ -206,37 +197,37 @@
         )
     }
 
-    /// Tells whether no attempt at it is in progress or has brought its answer.
+    /// Reports whether no attempt is in progress and no answer is being recorded.
     pub(super) const fn has_not_begun(&self) -> bool {
         self.run().is_none() && !matches!(self.state, State::Recording { .. })
     }
 
-    /// Returns the name of its client account, for the log.
+    /// Returns the name of the client account, for the log.
     pub(super) fn account(&self) -> &str {
         self.arrival.charge.as_ref().map_or("none", |charge| charge.account.as_str())
     }
 
-    /// Tells whether it may be sent now without the risk of a forbidden second run.
+    /// Reports whether sending the request now can't cause a forbidden second run.
     pub(super) fn may_be_sent(&self) -> bool {
         self.run().is_none() && (self.past == Past::Clean || self.arrival.repeat == Repeat::Allowed)
     }
 
-    /// Tells whether the caller has a part of the answer, or may have one.
+    /// Reports whether the caller has, or may have, a part of the answer.
     pub(super) const fn is_partly_answered(&self) -> bool {
         let answering = matches!(self.state, State::Answering(_)) && self.once_key().is_none();
         self.passed_on || answering
     }
 
-    /// Tells whether a part that the caller has can be continued by another upstream.
+    /// Reports whether another upstream can resume a partial answer.
     pub(super) const fn can_resume(&self) -> bool {
         self.arrival.terms.resumable
     }
 
-    /// Returns what is true of the request if it ends now without an answer.
+    /// Returns the outcome to report if the request ends now without an answer.
     ///
-    /// A caller that reads `not_run` asks again, or tells its own client that
-    /// nothing was booked. Were it said of a request that an upstream may have
-    /// run, the booking would be made twice. So nothing else decides on it.
+    /// A caller that reads `not_run` retries, or reports to its own client that nothing was
+    /// booked. If a request that may have run were reported so, it would be booked twice.
+    /// Therefore this is the only place that derives the outcome.
     pub(super) const fn outcome(&self) -> RefusalOutcome {
         if self.run().is_some() {
             return RefusalOutcome::Unknown;
@@ -248,7 +239,7 @@
         }
     }
 
-    /// Names the state for the state dump.
+    /// Describes the state for the state dump and the log.
     pub(super) fn describe(&self) -> String {
         match &self.state {
             State::AwaitingCredit { .. } => "waiting for its client account's credit".to_owned(),
--- a/crates/skylarkshore-core/src/serving/returning.rs
+++ b/crates/skylarkshore-core/src/serving/returning.rs
@@ -1,29 +1,27 @@
-//! Callers that were told when to come back.
+//! Retries that refused callers are expected to make.
 
 use std::time::Duration;
 
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
-/// From how many on they count as waiting.
+/// Smallest number of refused requests that counts as waiting.
 ///
-/// Single ones often go to another host, and the load would be for nobody.
+/// Single callers often retry at another host, and the load would serve nobody.
 const LEAST_COUNT: u32 = 3;
-/// How much later than told they may come back.
+/// How much later than told a caller may retry.
 const GRACE: Duration = Duration::from_secs(1);
 
-/// Requests for one target that were refused because its model comes too late for them.
+/// Requests for one target that were refused because its model will be ready too late for them.
 ///
-/// They still count as waiting. Otherwise nothing would be left to load the
-/// model for as soon as all were refused; each would find it as far away as
-/// before, and be refused again.
+/// They still count as waiting. Otherwise, once all were refused, no demand would remain to
+/// load the model for, and each retry would find it as far from ready as before and be refused
+/// again.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Returning {
-    /// How many.
     pub(super) count: u32,
-    /// The most urgent order of service among them.
     pub(super) order: ServiceOrder,
-    /// Until when they are expected.
+    /// Until when the retries are expected.
     pub(super) until: Time,
 }
 
@@ -34,7 +32,7 @@
 }
 
 impl Returning {
-    /// Adds one that was told to come back after some time.
+    /// Adds a request whose caller was told to retry after some time.
     pub(super) fn add(&mut self, now: Time, order: ServiceOrder, after: Duration) {
         if self.until.is_due(now) {
             *self = Self::default();
@@ -44,7 +42,7 @@
         self.until = self.until.max(now.after(after.saturating_add(GRACE)));
     }
 
-    /// Returns those that are expected now, if they are enough to count.
+    /// Returns the expected retries, if there are enough of them.
     pub(super) fn at(self, now: Time) -> Option<Self> {
         (!self.until.is_due(now) && self.count >= LEAST_COUNT).then_some(self)
     }
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -1,4 +1,6 @@
-//! Which upstreams can take a request, and which of them gets it.
+//! Selection of the upstream for a request, by load, distance and cached prompt prefix.
+//!
+//! Open [`Routes`] first.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -17,38 +19,35 @@
 use crate::upstream::{Standing, Upstream};
 use crate::view::EngineView;
 
-/// How much fuller an upstream may be than the emptiest, in thousandths, to
-/// get a request whose prompt's beginning it probably has in its cache.
+/// Load above the emptiest upstream, in thousandths, at which a prompt's prefix still decides.
 const PREFIX_SLACK: u64 = 400;
-/// By how many requests it may be fuller at most.
+/// The same limit as a number of requests.
 ///
-/// An engine that runs many at a time reads their prompts one after the other
-/// between the steps of all; a few more of them than elsewhere are felt by every
-/// stream on it.
+/// An engine that batches requests reads their prompts one after the other between the steps of
+/// all; a few more requests than elsewhere slow every stream on it.
 const PREFIX_SLACK_REQUESTS: u64 = 6;
-/// How full an engine may be, in thousandths of what it runs at a time, to get
-/// a request with a prompt's beginning.
+/// Load, in thousandths of its concurrency, up to which an engine takes requests with a prompt
+/// prefix.
 ///
-/// When every engine is full, a request that takes whichever place becomes free
-/// seldom finds its prompt in the cache, just when the time it saves is needed most.
+/// When every engine is full, a request that takes the next free slot rarely finds its prompt
+/// cached, just when the saved time is needed most.
 const CROWDED: u64 = 1400;
-/// What being in another data centre weighs, in thousandths of an upstream's load.
+/// Cost of an upstream in another data centre, in thousandths of its load.
 const FAR: u64 = 60;
-/// How long an upstream stays out of use after it said that it was about to go.
+/// How long an upstream gets no requests after it announced that it is leaving.
 const LEAVING: Duration = Duration::from_mins(5);
-/// The first pause of an upstream that can't be reached or is busy.
+/// First backoff of an upstream that is busy or can't be reached.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause of an upstream.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
-/// An upstream that gets nothing for a while.
+/// Keeps requests away from an upstream until a time.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     until: Time,
     failures: u32,
 }
 
-/// A model or adapter on an engine that turned out not to be there.
+/// A model or adapter on one engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     upstream: UpstreamId,
@@ -59,15 +58,15 @@
 #[derive(Clone, Debug)]
 struct Candidate {
     upstream: UpstreamId,
-    /// Its expected load in thousandths of what it takes, distance included.
+    /// Its expected load in thousandths of its concurrency, plus the cost of distance.
     cost: u64,
     room: Room,
-    /// How many requests it runs at a time.
+    /// Requests that it runs at a time.
     concurrency: u32,
 }
 
 impl Candidate {
-    /// Returns what some requests weigh, in thousandths of what the upstream takes.
+    /// Returns the load of some requests in thousandths of the concurrency.
     fn of_requests(&self, requests: u64) -> u64 {
         requests * 1000 / u64::from(self.concurrency.max(1))
     }
@@ -78,28 +77,29 @@
 enum Room {
     /// Fewer requests than it runs at a time.
     Free,
-    /// A few more than it runs at a time, so that another one waits inside it for a little.
+    /// Slightly more than it runs at a time: another request waits inside it for a short
+    /// time.
     Crowded,
     /// No more may be sent.
     Full,
 }
 
-/// What can be expected for a target.
+/// Whether a target is available or will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Prospect {
-    /// An upstream has it, be it busy or not.
+    /// An upstream has it, whether busy or not.
     Ready,
     /// An engine is loading it.
     Loading {
-        /// When it will probably be ready.
+        /// When the load is expected to finish.
         ready_at: Time,
     },
-    /// Nothing is known of it.
+    /// No engine is known to have it or load it.
     None,
 }
 
 impl Prospect {
-    /// Tells it in a few words, for the log.
+    /// Returns the text for the log.
     pub(super) fn describe(self, now: Time) -> String {
         match self {
             Self::Ready => "ready".to_owned(),
@@ -109,34 +109,33 @@
     }
 }
 
-/// What one request asks of routing.
+/// What routing needs to know of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wish<'a> {
-    /// What it is for.
     pub(super) target: &'a Target,
-    /// The digest of the prompt's beginning.
+    /// The digest of the prompt prefix.
     pub(super) prefix: Option<Digest>,
-    /// Where it was tried in vain.
+    /// Upstreams on which an attempt has failed.
     pub(super) tried: &'a OrderedSet<UpstreamId>,
 }
 
-/// What a process knows of the upstreams and has in progress there.
+/// The known state of the upstreams, and the requests of this process on them.
 #[derive(Debug, Default)]
 pub(super) struct Routes {
-    /// The engines as their owners see them.
+    /// The engine views that owners have published.
     pub(super) views: Views,
     in_flight: OrderedMap<UpstreamId, u32>,
     leaving: OrderedMap<UpstreamId, Time>,
     paused: OrderedMap<UpstreamId, Pause>,
     missing: OrderedMap<Place, Time>,
-    /// What others have in progress, as the upstreams' answers told.
+    /// The load of other processes, from the upstreams' own reports.
     told: OrderedMap<UpstreamId, OthersLoad>,
-    /// Engines on which a suspect of this process runs or is about to run alone.
+    /// Engines on which a suspect of this process runs, or will run, in isolation.
     kept_free: OrderedSet<UpstreamId>,
 }
 
 impl Routes {
-    /// Tells whether requests for the target may run at the upstream.
+    /// Reports whether requests for the target may run at the upstream.
     pub(super) fn concerns(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
         match target {
             Target::Model(model) => self.views.mentions(upstream, model),
@@ -144,19 +143,19 @@
         }
     }
 
-    /// Takes an owner's account of an engine over; tells whether it counts.
+    /// Stores an owner's view of an engine; reports whether it is current.
     pub(super) fn take_view(&mut self, now: Time, view: EngineView) -> bool {
         let upstream = view.upstream.clone();
         let own = self.in_flight(&upstream);
         let news = self.views.take(now, view, own);
         if news == News::Newer {
-            // The newer account settles what an older one got wrong.
+            // A newer view corrects what an older one got wrong.
             self.missing.retain(|place, _| place.upstream != upstream);
         }
         news != News::Late
     }
 
-    /// Takes over what has changed on the host list, and forgets what it no longer names.
+    /// Applies changes of the host list and removes the state of upstreams that left it.
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         self.views.on_host_list(cx, touched);
         for id in touched.iter().filter(|id| !cx.upstreams.contains(id)) {
@@ -166,34 +165,35 @@
         }
     }
 
-    /// Looks again at what the host list tells of engines, as far as that depends on time or catalogue.
+    /// Applies what the host list shows of engines where that depends on time or the
+    /// catalogue.
     pub(super) fn review_listed(&mut self, cx: &Cx<'_>) {
         self.views.review_listed(cx);
     }
 
-    /// Forgets pauses that are long over.
+    /// Removes entries that have expired.
     pub(super) fn forget_old(&mut self, now: Time) {
         self.leaving.retain(|_, until| !until.is_due(now));
         self.paused.retain(|_, pause| !pause.until.after(LONGEST_PAUSE).is_due(now));
         self.missing.retain(|_, until| !until.is_due(now));
     }
 
-    /// Returns how many requests of this process an upstream has.
+    /// Returns the number of requests of this process at an upstream.
     pub(super) fn in_flight(&self, upstream: &UpstreamId) -> u32 {
         self.in_flight.get(upstream).copied().unwrap_or(0)
     }
 
-    /// Returns the upstreams that have requests of this process, with their number.
+    /// Returns the upstreams with requests of this process, and how many.
     pub(super) fn used(&self) -> impl Iterator<Item = (&UpstreamId, u32)> {
         self.in_flight.iter().map(|(upstream, n)| (upstream, *n))
     }
 
-    /// Takes up a place at an upstream.
+    /// Occupies a slot at an upstream.
     pub(super) fn occupy(&mut self, upstream: &UpstreamId) {
         *self.in_flight.entry(upstream.clone()).or_default() += 1;
     }
 
-    /// Gives a place at an upstream back.
+    /// Releases a slot at an upstream.
     pub(super) fn free(&mut self, upstream: &UpstreamId) {
         let Some(n) = self.in_flight.get_mut(upstream) else { return };
         *n = n.saturating_sub(1);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes note of how much an upstream told that it had to do.
+    /// Records the load that an upstream reported.
     pub(super) fn note_load(&mut self, now: Time, upstream: &UpstreamId, load: LoadTold) {
         let others = (load.running + load.waiting).saturating_sub(self.in_flight(upstream));
         let told = self
@@ -212,12 +212,12 @@
         self.told.insert(upstream.clone(), told);
     }
 
-    /// Takes note that an upstream is about to go; tells whether that was news.
+    /// Records that an upstream is leaving; reports whether that was new.
     pub(super) fn note_leaving(&mut self, now: Time, upstream: &UpstreamId) -> bool {
         self.leaving.insert(upstream.clone(), now.after(LEAVING)).is_none()
     }
 
-    /// Takes note that an upstream couldn't be reached, died or was too busy.
+    /// Backs off from an upstream that is busy, died or can't be reached.
     pub(super) fn note_trouble(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         let failures = self.paused.get(upstream).map_or(0, |pause| pause.failures);
         let pause = FIRST_PAUSE.saturating_mul(1 << failures.min(6)).min(LONGEST_PAUSE);
@@ -225,23 +225,23 @@
         self.paused.insert(upstream.clone(), Pause { until, failures: failures + 1 });
     }
 
-    /// Takes note that an upstream answered.
+    /// Ends the backoff of an upstream that answered.
     pub(super) fn note_health(&mut self, upstream: &UpstreamId) {
         self.paused.remove(upstream);
     }
 
-    /// Takes note that a model isn't where its owner's last account said.
+    /// Records that a model isn't on the engine that its owner's last view named.
     pub(super) fn note_missing(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) {
         let until = cx.now.after(cx.jitter(LONGEST_PAUSE));
         self.missing.insert(Place { upstream: upstream.clone(), target: target.clone() }, until);
     }
 
-    /// Keeps an engine free for a suspect.
+    /// Holds an engine for an isolated suspect.
     pub(super) fn keep_free(&mut self, upstream: &UpstreamId) {
         self.kept_free.insert(upstream.clone());
     }
 
-    /// Opens an engine to all requests again.
+    /// Releases an engine that was held for a suspect.
     pub(super) fn open(&mut self, upstream: &UpstreamId) {
         self.kept_free.remove(upstream);
     }
@@ -263,19 +263,20 @@
         free.get(chosen).map(|c| c.upstream.clone())
     }
 
-    /// Returns the upstream that most probably has a prompt's beginning in its cache, be it full or not.
+    /// Returns the upstream that most probably has a prompt prefix cached, even if it is
+    /// full.
     pub(super) fn preferred(&self, cx: &Cx<'_>, wish: Wish<'_>) -> Option<UpstreamId> {
         let prefix = wish.prefix?;
         let candidates = self.candidates(cx, wish.target);
         candidates.into_iter().map(|c| c.upstream).max_by_key(|upstream| affinity(prefix, upstream))
     }
 
-    /// Tells whether a request for a target may still be sent to an upstream.
+    /// Reports whether a request for a target may still be sent to an upstream.
     pub(super) fn fits(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         self.candidates(cx, target).iter().any(|c| c.upstream == *upstream)
     }
 
-    /// Tells the same for a suspect, for which the upstream is kept free.
+    /// Reports the same for a suspect for which the upstream is held.
     pub(super) fn fits_alone(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         match target {
             Target::Model(target) => self.ready_engines(cx, target).contains(upstream),
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Returns the engines on which a suspect may run alone, once they are free.
+    /// Returns the engines on which a suspect can run in isolation once they are idle.
     pub(super) fn ready_engines(&self, cx: &Cx<'_>, target: &ModelTarget) -> Vec<UpstreamId> {
         let usable = self.views.ready(cx, target).filter(|known| {
             let other = known.view.reserved_for.as_ref().is_some_and(|host| *host != cx.cfg.host);
@@ -294,32 +295,33 @@
         usable.map(|known| known.view.upstream.clone()).collect()
     }
 
-    /// Returns the replicas on which a suspect call of a service may run.
+    /// Returns the replicas on which a suspect call of a service can run.
     pub(super) fn idle_replicas(&self, cx: &Cx<'_>, service: &ServiceName) -> Vec<UpstreamId> {
         let replicas = self.replicas(cx, service);
         replicas.filter(|id| self.in_flight(id) == 0).cloned().collect()
     }
 
-    /// Tells whether an engine is reserved for this host and runs nothing.
+    /// Reports whether an engine is reserved for this host and runs nothing.
     pub(super) fn is_ours_alone(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let reserved = self.views.get(upstream).is_some_and(|known| known.is_ours_alone(cx));
         reserved && self.in_flight(upstream) == 0
     }
 
-    /// Tells whether an engine was idle by its owner's last account and runs nothing from here.
+    /// Reports whether an engine was idle in its owner's last view and runs nothing from
+    /// here.
     pub(super) fn seems_idle(&self, upstream: &UpstreamId) -> bool {
         let idle = self.views.get(upstream).is_some_and(|known| known.view.running == 0);
         idle && self.in_flight(upstream) == 0
     }
 
-    /// Tells whether an upstream is known to be about to go.
+    /// Reports whether an upstream is known to be leaving.
     pub(super) fn is_going(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let listed = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
         let says_so = self.views.get(upstream).is_some_and(|known| known.view.leaving);
         !listed || says_so || self.leaving.contains_key(upstream)
     }
 
-    /// Tells what is known of an upstream's load, for the log.
+    /// Summarizes what is known of an upstream's load, for the log.
     pub(super) fn seen(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> String {
         let own = self.in_flight(upstream);
         let view = self.views.get(upstream);
@@ -330,7 +332,7 @@
         format!("own={own} others={others} view_age_ms={age}")
     }
 
-    /// Tells in a few words how an upstream is used, for the state dump.
+    /// Describes how an upstream is used, for the state dump.
     pub(super) fn describe(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> &'static str {
         if self.is_going(cx, upstream) {
             "about to go"
@@ -343,7 +345,7 @@
         }
     }
 
-    /// Tells what can be expected for a target.
+    /// Returns whether a target is available or being loaded.
     pub(super) fn prospect(&self, cx: &Cx<'_>, target: &Target) -> Prospect {
         if !self.candidates(cx, target).is_empty() {
             return Prospect::Ready;
@@ -356,18 +358,19 @@
         ready_at.map_or(Prospect::None, |ready_at| Prospect::Loading { ready_at })
     }
 
-    /// Tells whether a target is an adapter whose base is ready on an engine.
+    /// Reports whether a target is an adapter whose base model is ready on an engine.
     ///
-    /// It takes that engine a hundredth of a second. If the load of the base on one
-    /// more engine counted, callers of the adapter would be refused on arrival for
-    /// as long as that lasts, and nobody would be asked for the adapter.
+    /// Loading the adapter there takes about ten milliseconds. If a load of the base model
+    /// on another engine counted instead, callers would be refused on arrival for the whole
+    /// of that load, and no owner would be asked for the adapter.
     fn lacks_only_adapter(&self, cx: &Cx<'_>, target: &ModelTarget) -> bool {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         let mut ready = self.views.ready(cx, &base).map(|known| &known.view.upstream);
         target.adapter.is_some() && ready.any(|engine| self.usable(cx, engine))
     }
 
-    /// Tells whether the host list names a live replica of a service, be it paused or not.
+    /// Reports whether the host list names a live replica of a service, even one that is
+    /// backed off.
     pub(super) fn has_replica(&self, cx: &Cx<'_>, service: &ServiceName) -> bool {
         let mut live = cx.upstreams.replicas(service).filter(|u| u.standing == Standing::Live);
         live.any(|u| !self.leaving.contains_key(&u.id))
@@ -446,7 +449,7 @@
     }
 }
 
-/// Ranks the upstreams for a prompt's beginning, the same at every process.
+/// Ranks the upstreams for a prompt prefix, with the same result at every process.
 fn affinity(prefix: Digest, upstream: &UpstreamId) -> u64 {
     FixedState::default().hash_one((prefix, upstream))
 }
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -1,4 +1,5 @@
-//! What waiting requests can expect, and what is asked for them.
+//! The availability of targets that requests wait for: asking owners, and refusing what can't
+//! be served.
 
 use std::time::Duration;
 
@@ -19,22 +20,22 @@
 use crate::time::Time;
 use crate::view::EngineView;
 
-/// How long requests wait without a word from any owner.
+/// How long requests wait while no owner responds.
 const UNHEARD_PATIENCE: Duration = Duration::from_secs(25);
-/// When to come back after nobody could take a request.
+/// Retry delay when no upstream could take a request.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Why the less patient requests for a target can't be served in time.
+/// Why the requests with earlier deadlines can't be served in time.
 #[derive(Clone, Debug)]
 struct Shortage {
     reason: RefusalReason,
-    /// Requests with a deadline up to this one can't be served.
+    /// Requests whose deadline is at or before this time can't be served.
     bar: Time,
     retry_after: Duration,
 }
 
 impl Serving {
-    /// Takes an owner's account of an engine.
+    /// Handles an owner's view of an engine.
     pub(super) fn on_view(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
         if !self.routes.take_view(cx.now, view.clone()) {
             return;
@@ -49,7 +50,7 @@
         self.pump_at(cx, &view.upstream);
     }
 
-    /// Takes an owner's refusal to make a target available.
+    /// Handles an owner's refusal to load a target.
     pub(super) fn on_cannot_load(
         &mut self,
         cx: &mut Cx<'_>,
@@ -58,8 +59,8 @@
         reason: &CannotLoad,
         retry_after: Duration,
     ) {
-        // An owner that has just handed the engine over says so; the new one is
-        // asked as soon as the cache names it.
+        // The owner has just handed the engine over; the new one is asked as soon as it
+        // is in the cache.
         if *reason == CannotLoad::NotOwner {
             return;
         }
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Refuses the requests for every target that can't be served in time.
+    /// Refuses the requests that can't be served in time, for every target.
     pub(super) fn review_all(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
         targets.extend(self.waiting_models(cx).into_iter().map(Target::Model));
@@ -89,8 +90,8 @@
 
     /// Refuses the requests for a target that can't be served in time.
     ///
-    /// A caller that is told at once can ask elsewhere or change its plan; one
-    /// that is kept until its deadline has lost the time.
+    /// A caller that is refused immediately can ask another host; one that waits until its
+    /// deadline has lost that time.
     pub(super) fn review(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Some(shortage) = self.shortage(cx, target) else { return };
         for id in self.waiting_for(target) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Refuses all that wait: another host has to serve them.
+    /// Refuses every waiting request; another host has to serve them.
     pub(super) fn refuse_waiting(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
         targets.extend(self.alone_targets());
@@ -151,22 +152,22 @@
         unheard.after(UNHEARD_PATIENCE).is_due(cx.now).then(|| everyone(RETRY_AFTER))
     }
 
-    /// Asks the owners for a target, if requests wait for it.
+    /// Asks the owners for a target if requests wait for it.
     pub(super) fn ask_for(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Target::Model(model) = target else { return };
         if self.waiting(cx, target).is_none() {
             return self.wants.satisfied(model);
         }
-        // Only the first of those that wait may ask out of turn. An owner's answer
-        // brings this here again; were each answer followed by another question, a
-        // host that owns the home itself would never leave this circle, and two
-        // hosts would flood one another, while an engine is away.
+        // Only the first waiting request may ask before the interval has passed. Each
+        // answer of an owner leads back here. If each answer triggered another question
+        // while an engine is unreachable, a host that owns the home itself would loop
+        // forever, and two hosts would flood each other.
         let first = !self.wants.is_waited_for(model);
         let cold = first && self.routes.prospect(cx, target) == Prospect::None;
         self.ask(cx, target, if cold { Pace::Now } else { Pace::WhenDue });
     }
 
-    /// Asks the new owners for the targets whose homes have changed hands.
+    /// Asks the new owners for the targets whose homes or owners have changed.
     pub(super) fn ask_again(&mut self, cx: &mut Cx<'_>, key: &Key) {
         for model in self.waiting_models(cx) {
             let concerned = match key {
@@ -188,7 +189,8 @@
         let Some(waiting) = self.waiting(cx, target) else { return };
         let supply = match self.routes.prospect(cx, target) {
             Prospect::Ready => Supply::Full,
-            // What comes only after those who wait have given up is no help to them.
+            // A load that finishes after every waiting request has timed out is of
+            // no use to them.
             Prospect::Loading { ready_at } if ready_at >= waiting.patient_until => Supply::Nothing,
             Prospect::Loading { .. } => Supply::Coming,
             Prospect::None => Supply::Nothing,
@@ -202,19 +204,20 @@
         self.wants.ask(cx, model, waiting, supply, pace, &loaded);
     }
 
-    /// Returns the owner of the engine that will be the first to be ready with a target.
+    /// Returns the owner of the engine that is expected to be ready with a target first.
     fn loader(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<HostId> {
         let engine = self.routes.views.first_loading(cx, target)?;
         cx.cache.owner(engine).map(|(_, owner)| owner.host.clone())
     }
 
-    /// Returns the engines on which the base of a target can be used.
+    /// Returns the engines on which a target's base model is ready.
     fn loaded(&self, cx: &Cx<'_>, target: &ModelTarget) -> OrderedSet<UpstreamId> {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         self.routes.views.ready(cx, &base).map(|known| known.view.upstream.clone()).collect()
     }
 
-    /// Returns what waits for a target, with suspects and those who were told when to come back.
+    /// Summarizes the requests that wait for a target, including suspects and expected
+    /// retries.
     fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<Waiting> {
         let mut waiting = self.queue.waiting(cx.now, target);
         for urgency in &self.suspects.waiting {
@@ -239,7 +242,7 @@
         ids
     }
 
-    /// Lists the targets to which callers were told to come back, and for which nothing waits.
+    /// Returns the targets for which retries are expected and no request is queued.
     pub(super) fn returning_targets(&self, cx: &Cx<'_>) -> Vec<Target> {
         let targets = self.wants.returning_targets(cx).cloned().map(Target::Model);
         targets.filter(|target| self.queue.len_of(target) == 0).collect()
@@ -258,7 +261,7 @@
         targets.into_iter().filter_map(model).collect()
     }
 
-    /// Returns the targets of suspects that wait to run alone.
+    /// Returns the targets of suspects that wait for isolation.
     pub(super) fn alone_targets(&self) -> Vec<Target> {
         let waiting = self.suspects.waiting.iter().filter_map(|urgency| {
             let request = self.requests.get(&urgency.due.request)?;
@@ -270,8 +273,9 @@
 
 /// Returns the latest deadline that can't be met after a refusal.
 ///
-/// An owner that weighed its load against the requests' patience has judged
-/// all that it knew of; one that can't act may be able to when it is asked again.
+/// An owner that compared the load with the requests' remaining time has considered every
+/// deadline that it was sent. An owner that was unable to act may be able to when it is asked
+/// again.
 fn bar_of(refused: &Refused) -> Time {
     match refused.reason {
         CannotLoad::Memory | CannotLoad::Power | CannotLoad::EngineRefuses | CannotLoad::TooSlow => {
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -1,4 +1,7 @@
-//! Requests that were in progress when an upstream died.
+//! Requests that were in progress when an upstream died, and the conviction of those that crash
+//! upstreams.
+//!
+//! Open [`Suspects`] first.
 
 use std::time::Duration;
 
@@ -11,25 +14,25 @@
 use crate::serving::request::Company;
 use crate::time::Time;
 
-/// How long a suspect stays one when nothing is heard of it.
+/// How long a request remains suspect after its last crash.
 const SUSPECTED: Duration = Duration::from_hours(1);
-/// How long a lost request is counted with the upstream that ended.
+/// How long a lost request is counted with an upstream that may have terminated.
 const COUNTED: Duration = Duration::from_mins(2);
 /// How long a request that crashes upstreams is refused.
 const CONVICTED: Duration = Duration::from_hours(24);
-/// How long the peers' word is awaited before the caller hears anything.
+/// Longest time that the peers' acknowledgements are awaited before the caller is answered.
 const TELL_PATIENCE: Duration = Duration::from_millis(300);
-/// After how long peers that haven't answered are told again.
+/// Interval at which a notice is sent again to peers that haven't acknowledged it.
 const TELL_AGAIN: Duration = Duration::from_millis(100);
-/// The most suspects that are remembered.
+/// Maximum number of digests that are kept.
 const REMEMBERED: usize = 4096;
-/// On how many different upstreams a suspect dies, in company or not, to be convicted.
+/// Number of different upstreams that convicts a suspect when they crash, in isolation or not.
 ///
-/// A plain service's replica can't be reserved, so that its suspects never
-/// provably run alone; without this, one call could take them down in turn for ever.
+/// A plain service's replica can't be reserved, so its suspects never provably run in
+/// isolation. Without this limit, one call could crash all replicas in turn, forever.
 const CRASHES_THAT_CONVICT: usize = 3;
 
-/// One life of an upstream.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Life {
     upstream: UpstreamId,
@@ -37,14 +40,14 @@
 }
 
 impl Life {
-    /// Tells whether the host list shows that this life has ended.
+    /// Reports whether the host list shows that this incarnation has terminated.
     fn has_ended(&self, cx: &Cx<'_>) -> bool {
         let listed = cx.upstreams.get(&self.upstream);
         listed.is_none_or(|listed| self.incarnation.is_some_and(|own| own < listed.incarnation))
     }
 }
 
-/// What is known of a request that was in progress when an upstream died.
+/// The crashes that a request was involved in.
 #[derive(Debug)]
 struct Suspicion {
     crashed: OrderedSet<Life>,
@@ -52,7 +55,7 @@
     until: Time,
 }
 
-/// A crash of which the peers are being told.
+/// A crash of which the peers have been notified and not all have acknowledged.
 #[derive(Debug)]
 struct Telling {
     upstream: UpstreamId,
@@ -75,31 +78,29 @@
     }
 }
 
-/// The suspect that runs alone, or is the next to do so.
+/// The suspect that runs in isolation, or is the next to do so.
 #[derive(Clone, Debug)]
 pub(super) struct Alone {
-    /// The request.
     pub(super) request: RequestId,
-    /// Where.
     pub(super) upstream: UpstreamId,
-    /// Since when the upstream is kept free for it.
+    /// Since when the upstream has been held for it.
     pub(super) since: Time,
-    /// When the upstream's owner was last asked to reserve it.
+    /// When the upstream's owner was last asked for a reservation.
     pub(super) asked: Option<Time>,
 }
 
-/// How a request's digest stands.
+/// Whether a request with this digest may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Standing {
-    /// Nothing is held against it.
+    /// It isn't suspect.
     Free,
-    /// It runs alone.
+    /// It runs in isolation.
     Suspect,
     /// It isn't run any more.
     Convicted,
 }
 
-/// The suspects that a process knows of.
+/// The suspects known to a process.
 #[derive(Debug)]
 pub(super) struct Suspects {
     policy: SuspectPolicy,
@@ -108,12 +109,12 @@
     heard: OrderedMap<HostId, Time>,
     /// The suspect requests that wait for an upstream of their own.
     pub(super) waiting: OrderedSet<Urgency>,
-    /// The one whose turn it is.
+    /// The one that is dispatched now.
     pub(super) alone: Option<Alone>,
 }
 
 impl Suspects {
-    /// Makes the state of a process that suspects nothing.
+    /// Creates the state of a process without suspects.
     pub(super) const fn new(policy: SuspectPolicy) -> Self {
         Self {
             policy,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Tells how a request's digest stands.
+    /// Returns the status of a request's digest.
     pub(super) fn standing(&self, digest: Digest) -> Standing {
         match self.known.get(&digest) {
             None => Standing::Free,
@@ -135,20 +136,20 @@
         }
     }
 
-    /// Returns how many digests are suspect, and how many of them convicted.
+    /// Returns how many digests have a status.
     pub(super) fn count(&self, standing: Standing) -> usize {
         self.known.keys().filter(|digest| self.standing(**digest) == standing).count()
     }
 
-    /// Returns the digests that something is held against.
+    /// Returns the digests that are suspect, convicted or counted.
     pub(super) fn digests(&self) -> impl Iterator<Item = Digest> {
         self.known.keys().copied()
     }
 
-    /// Takes note of a crash and begins to tell the peers of it.
+    /// Records a crash and notifies the peers of it.
     ///
-    /// Were the caller answered first, it could send the request again at once,
-    /// to a host that knows nothing and gives it to the next upstream.
+    /// If the caller were answered first, it could send the request again immediately, to a
+    /// host that doesn't know of the crash and passes the request to the next upstream.
     pub(super) fn begin_telling(
         &mut self,
         cx: &mut Cx<'_>,
@@ -172,7 +173,8 @@
         self.tellings.push(telling);
     }
 
-    /// Lets a request wait for a telling in progress that names it; tells whether there is one.
+    /// Makes a request wait for a pending notice that names it; reports whether there is
+    /// one.
     pub(super) fn join_telling(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
         let telling =
             self.tellings.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
@@ -181,7 +183,7 @@
         true
     }
 
-    /// Takes note of suspects, from this process or a peer.
+    /// Records suspects that this process or a peer has found.
     pub(super) fn suspect(
         &mut self,
         cx: &mut Cx<'_>,
@@ -209,10 +211,11 @@
         }
     }
 
-    /// Counts requests that were lost with a life of an upstream, from this process or a peer.
+    /// Records requests that were lost with an incarnation of an upstream, at this process
+    /// or a peer.
     ///
-    /// Only lives that have ended count, as the host list shows; a connection
-    /// that broke says nothing of the request.
+    /// Only incarnations that have terminated according to the host list count; a broken
+    /// connection alone proves nothing about the request.
     pub(super) fn count_loss(
         &mut self,
         cx: &mut Cx<'_>,
@@ -233,11 +236,11 @@
         self.on_host_list(cx);
     }
 
-    /// Tells whether one more loss of a request is taken for its doing.
+    /// Reports whether one more loss is enough to blame the request.
     ///
-    /// The host list tells of an upstream's end only after a while. A request
-    /// that has ended all but one of the upstreams it takes to convict it would
-    /// be sent again in the meantime, and end one more.
+    /// The host list shows an upstream's termination only after a while. A request that is
+    /// one crash short of conviction would be sent again in the meantime and crash one more
+    /// upstream.
     pub(super) fn is_doubted(&self, cx: &Cx<'_>, digest: Digest) -> bool {
         if self.policy != SuspectPolicy::CountEnds {
             return false;
@@ -246,7 +249,7 @@
         lives.filter(|life| life.has_ended(cx)).count() + 1 >= CRASHES_THAT_CONVICT
     }
 
-    /// Looks which requests have been lost with too many lives that ended.
+    /// Convicts requests that were lost with too many terminated incarnations.
     pub(super) fn on_host_list(&mut self, cx: &mut Cx<'_>) {
         if self.policy != SuspectPolicy::CountEnds {
             return;
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Takes note that a suspect ran to its end; tells whether it was one.
+    /// Clears a suspect that ran to completion; reports whether it was one.
     pub(super) fn clear(&mut self, digest: Digest) -> bool {
         if self.policy == SuspectPolicy::CountEnds {
             self.known.remove(&digest);
@@ -274,12 +277,12 @@
         true
     }
 
-    /// Takes note that a peer lives.
+    /// Records that a peer is alive.
     pub(super) fn heard_from(&mut self, now: Time, host: &HostId) {
         self.heard.insert(host.clone(), now);
     }
 
-    /// Takes a peer's word that it knows of suspects; returns the requests that may go on.
+    /// Handles a peer's acknowledgement; returns the requests that may proceed.
     pub(super) fn on_noted(&mut self, from: &HostId, digests: &[Digest]) -> Vec<RequestId> {
         for telling in &mut self.tellings {
             if telling.digests.iter().all(|digest| digests.contains(digest)) {
@@ -289,13 +292,13 @@
         self.take_told(Time::START)
     }
 
-    /// Forgets old suspicions and peers that are gone.
+    /// Removes expired suspicions and peers that are no longer members.
     pub(super) fn forget_old(&mut self, cx: &Cx<'_>) {
         self.known.retain(|_, suspicion| !suspicion.until.is_due(cx.now));
         self.heard.retain(|host, _| cx.cache.member(host).is_some());
     }
 
-    /// Tells silent peers again; returns the requests that may go on.
+    /// Sends pending notices again; returns the requests that may proceed.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<RequestId> {
         for telling in &mut self.tellings {
             if !telling.again_at.is_due(cx.now) {
@@ -310,13 +313,13 @@
         self.take_told(cx.now)
     }
 
-    /// Returns the requests whose peers have been told as far as is possible.
+    /// Returns the requests whose notice is acknowledged by all peers or has timed out.
     pub(super) fn take_told(&mut self, now: Time) -> Vec<RequestId> {
         let told = |t: &mut Telling| t.missing.is_empty() || t.until.is_due(now);
         self.tellings.extract_if(.., told).flat_map(|t| t.held).collect()
     }
 
-    /// Returns the peers whose word is worth waiting for.
+    /// Returns the peers whose acknowledgement is awaited.
     fn reachable(&self, cx: &Cx<'_>) -> OrderedSet<HostId> {
         let silent = |host: &HostId| {
             let heard = self.heard.get(host);
--- a/crates/skylarkshore-core/src/serving/tally.rs
+++ b/crates/skylarkshore-core/src/serving/tally.rs
@@ -1,4 +1,4 @@
-//! What has happened to requests, in numbers.
+//! Counters of what has happened to requests.
 
 use crate::collections::OrderedMap;
 use crate::dump::Gauge;
@@ -11,11 +11,11 @@
     pub(super) arrived: u64,
     /// Attempts that were sent.
     pub(super) sent: u64,
-    /// Attempts that were sent again.
+    /// Requests that were requeued for another attempt.
     pub(super) retries: u64,
-    /// Requests whose caller got the whole answer.
+    /// Requests that were answered in full.
     pub(super) answered: u64,
-    /// Events about requests or attempts that had ended.
+    /// Events about requests or attempts that had already ended.
     pub(super) late: u64,
     refused: OrderedMap<&'static str, u64>,
     not_run: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Makes a gauge of a count.
+/// Builds a gauge from a count.
 #[expect(clippy::cast_precision_loss, reason = "metrics are floating-point numbers")]
 pub(super) const fn gauge(name: &'static str, count: u64) -> Gauge {
     Gauge { name, value: count as f64 }
--- a/crates/skylarkshore-core/src/serving/views.rs
+++ b/crates/skylarkshore-core/src/serving/views.rs
@@ -1,4 +1,6 @@
-//! The owners' accounts of their engines, as this router has them.
+//! The latest view of each engine, as published by its owner or read from the host list.
+//!
+//! Open [`PublishedViews`] first.
 
 use std::time::Duration;
 
@@ -11,48 +13,47 @@
 use crate::upstream::Upstream;
 use crate::view::{EngineView, ModelView, Readiness, ViewVersion};
 
-/// How long after its expected end a load is still counted on.
+/// How long a load is still expected after it should have finished.
 ///
-/// An owner that dies in the middle of a load leaves an account behind that
-/// promises the model. Requests would wait for it in vain instead of for the
-/// next owner's word.
+/// An owner that dies during a load leaves a view that promises the model. Without a limit,
+/// requests would wait for it instead of for the next owner's view.
 const OVERDUE: Duration = Duration::from_secs(10);
 
-/// After how long the host list shows what an engine holds.
+/// Delay after which the host list reflects what an engine has loaded.
 ///
-/// Engines register about once a second, and the list is read every two.
+/// Engines register about once a second, and the list is read every two seconds.
 const LISTED_WITHIN: Duration = Duration::from_secs(4);
 
-/// An owner's account of an engine, with what this process had there when it came.
+/// A view of an engine, with when and from what it was derived.
 #[derive(Clone, Debug)]
 pub(super) struct KnownView {
-    /// The account.
     pub(super) view: EngineView,
-    /// When it came.
+    /// When the view arrived.
     pub(super) taken: Time,
-    /// What other processes have in progress there.
+    /// The load of other processes on the engine.
     pub(super) others: OthersLoad,
     /// Since when the engine has been reserved for the same host.
     reserved_since: Time,
 }
 
-/// What an account was worth.
+/// How a view compares with the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum News {
-    /// It is older than what is known.
+    /// Older than the stored one.
     Late,
-    /// It is the known one again, so that its figures hold for longer.
+    /// The stored one again; its figures remain valid for longer.
     Again,
-    /// It is newer.
+    /// Newer than the stored one.
     Newer,
 }
 
 impl KnownView {
-    /// Tells whether the engine has been reserved for this host, and idle, for long enough.
+    /// Reports whether the engine has been reserved for this host, and idle, for long
+    /// enough.
     ///
-    /// When the reservation begins, other routers haven't heard of it, and the
-    /// engine's figures are older still. A suspect sent at once could run beside
-    /// an innocent request, or be convicted for that one's crash.
+    /// When a reservation begins, other routers don't know of it yet, and the engine's
+    /// figures are older still. A suspect sent immediately could run next to an innocent
+    /// request, or be convicted of the crash that the other one caused.
     pub(super) fn is_ours_alone(&self, cx: &Cx<'_>) -> bool {
         let settled = self.reserved_since.after(cx.cfg.timings.report_every * 2);
         self.view.reserved_for.as_ref() == Some(&cx.cfg.host)
@@ -60,7 +61,7 @@
             && settled <= self.taken
     }
 
-    /// Tells whether the account says more of an engine than the host list does.
+    /// Reports whether the view takes precedence over the host list.
     fn outranks(&self, cx: &Cx<'_>, listed: &Upstream) -> bool {
         let life = self.view.incarnation;
         if life != listed.incarnation {
@@ -70,7 +71,7 @@
         is_owners && (!self.taken.after(LISTED_WITHIN).is_due(cx.now) || self.agrees_with(listed))
     }
 
-    /// Tells whether the host list names just the models that can be used by the account.
+    /// Reports whether the host list names exactly the models that are ready in the view.
     fn agrees_with(&self, listed: &Upstream) -> bool {
         let ready = self.view.models.iter().filter(|m| m.readiness == Readiness::Ready);
         let mut count = 0;
@@ -106,22 +107,22 @@
     }
 }
 
-/// The newest account of each engine.
+/// The latest view of each engine.
 #[derive(Debug, Default)]
 pub(super) struct Views {
     known: OrderedMap<UpstreamId, KnownView>,
-    /// The engines whose accounts mention a model.
+    /// Index of the engines whose views contain a model.
     by_model: HashMap<ModelName, OrderedSet<UpstreamId>>,
-    /// The engines of which the host list may say something else than their owners.
+    /// Engines whose owner's view and host list entry may differ.
     disputed: OrderedSet<UpstreamId>,
-    /// The models of the catalogue for which the host list was last read.
+    /// The catalogue's models and versions at the last full pass over the host list.
     catalogue: OrderedMap<ModelName, ModelVersion>,
-    /// How many accounts came that were older than what was known.
+    /// Number of views that were older than the stored ones.
     pub(super) late: u64,
 }
 
 impl Views {
-    /// Takes an account over, unless it is older than what is known.
+    /// Stores a view unless it is older than the stored one.
     pub(super) fn take(&mut self, now: Time, view: EngineView, own: u32) -> News {
         let known = self.known.get(&view.upstream);
         let version = known.map(|known| known.view.version);
@@ -132,7 +133,7 @@
         let news = if version == Some(view.version) { News::Again } else { News::Newer };
         let same_holder = known.filter(|known| known.view.reserved_for == view.reserved_for);
         let reserved_since = same_holder.map_or(now, |known| known.reserved_since);
-        // The account counts this process's own requests too, which are known exactly.
+        // The view includes this process's own requests, whose number is known exactly.
         let reported = view.running.saturating_sub(own);
         let same_models = known.filter(|known| holds_the_same(&known.view, &view));
         self.disputed.insert(view.upstream.clone());
@@ -162,13 +163,13 @@
         }
     }
 
-    /// Returns the accounts that mention a model.
+    /// Returns the views that contain a model.
     fn mentioning<'a>(&'a self, model: &ModelName) -> impl Iterator<Item = &'a KnownView> + use<'a> {
         let engines = self.by_model.get(model).into_iter().flatten();
         engines.filter_map(|engine| self.known.get(engine))
     }
 
-    /// Takes over what the host list now tells of some engines.
+    /// Applies the host list entries of some engines.
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         for id in touched {
             match cx.upstreams.get(id) {
@@ -178,9 +179,9 @@
         }
     }
 
-    /// Looks again at the engines of which owner and host list say different things.
+    /// Applies the host list again to engines whose owner's view differs from it.
     ///
-    /// An owner's account counts for a while; then the list is right.
+    /// The owner's view takes precedence for a while, then the list.
     pub(super) fn review_listed(&mut self, cx: &Cx<'_>) {
         let catalogue = cx.document.catalogue.models.iter();
         if !catalogue.clone().map(|(name, model)| (name, &model.version)).eq(self.catalogue.iter()) {
@@ -195,12 +196,13 @@
         }
     }
 
-    /// Takes over what the host list tells of an engine of which no owner has spoken lately.
+    /// Replaces the view of an engine by its host list entry, unless its owner's view takes
+    /// precedence.
     ///
-    /// A process that has just started would otherwise have to wait for each
-    /// owner's word, and where an owner is away, for its successor's. Owners tell
-    /// only those of changes who use a model; whoever last asked for one long ago
-    /// would go on sending its requests where it was then.
+    /// Without this, a process that has just started would wait for each owner's view and,
+    /// if an owner is down, for its successor's. Owners publish changes only to hosts that
+    /// use a model, so a host that last asked long ago would keep sending requests to where
+    /// the model was then.
     fn take_listed(&mut self, cx: &Cx<'_>, upstream: &Upstream) {
         let Some(spec) = upstream.engine() else { return };
         let known = self.known.get(&upstream.id);
@@ -224,12 +226,12 @@
         self.insert(KnownView { view, taken: cx.now, others, reserved_since: cx.now });
     }
 
-    /// Returns the newest account of an engine.
+    /// Returns the latest view of an engine.
     pub(super) fn get(&self, upstream: &UpstreamId) -> Option<&KnownView> {
         self.known.get(upstream)
     }
 
-    /// Returns the engines on which a target can be used.
+    /// Returns the engines on which a target is ready.
     pub(super) fn ready<'a>(
         &'a self,
         cx: &'a Cx<'_>,
@@ -239,7 +241,7 @@
         self.mentioning(&target.model).filter(move |known| known.is_ready(cx, &target))
     }
 
-    /// Returns when each engine that is loading a target's model will probably be ready.
+    /// Returns when each engine that is loading the target's model is expected to be ready.
     pub(super) fn loading<'a>(
         &'a self,
         cx: &'a Cx<'_>,
@@ -249,7 +251,7 @@
         self.mentioning(&target.model).filter_map(move |known| known.ready_at(cx, &target))
     }
 
-    /// Returns the engine that will probably be the first to be ready with a target, of those that load it.
+    /// Returns the engine, of those loading the target, that is expected to be ready first.
     pub(super) fn first_loading(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<&UpstreamId> {
         let loading = self
             .mentioning(&target.model)
@@ -257,7 +259,7 @@
         loading.min().map(|(_, engine)| engine)
     }
 
-    /// Tells whether any account mentions a model on an engine, whatever its state.
+    /// Reports whether a view lists the model on an engine, in any state.
     pub(super) fn mentions(&self, upstream: &UpstreamId, target: &ModelTarget) -> bool {
         let known = self.known.get(upstream);
         known.is_some_and(|known| known.view.models.iter().any(|m| m.model == target.model))
@@ -287,7 +289,7 @@
     }
 }
 
-/// Takes over which adapters can be used on models that are still there.
+/// Copies the ready adapters of models that are still loaded.
 fn keep_adapters(view: &mut EngineView, known: &EngineView) {
     for model in &mut view.models {
         let before = known.models.iter().find(|m| m.model == model.model && m.version == model.version);
@@ -297,7 +299,8 @@
     }
 }
 
-/// Tells whether the same models can be used, so that earlier loads say something of present ones.
+/// Reports whether two views have the same models ready, so that earlier load reports still
+/// apply.
 fn holds_the_same(a: &EngineView, b: &EngineView) -> bool {
     let usable = |view: &EngineView| -> Vec<ModelName> {
         let ready = view.models.iter().filter(|m| m.readiness == Readiness::Ready);
--- a/crates/skylarkshore-core/src/serving/wanted.rs
+++ b/crates/skylarkshore-core/src/serving/wanted.rs
@@ -1,4 +1,7 @@
-//! What this router asks the engines' owners for, and what they said.
+//! This router's demand for models: which owners are asked to load a target, and their
+//! responses.
+//!
+//! Open [`Demand`] first.
 
 mod assign;
 mod owners;
@@ -19,91 +22,91 @@
 use crate::serving::returning::Returning;
 use crate::time::Time;
 
-/// How long a target is remembered after its last request.
+/// How long a target is kept after its last request.
 const REMEMBERED: Duration = Duration::from_hours(24);
 
-/// How long an owner's word that it would take long is believed.
+/// How long an owner's busy response is valid.
 const BUSY_FOR: Duration = Duration::from_millis(700);
 
-/// How long an owner that loads is counted on after its load was last heard of.
+/// How long the owner of a load is treated as the target's loader after the load was last seen.
 const TAKEN_ON_FOR: Duration = Duration::from_secs(2);
 
-/// An owner's word that it can't make a target available.
+/// An owner's refusal to load a target.
 #[derive(Clone, Debug)]
 pub(super) struct Refused {
-    /// Why.
     pub(super) reason: CannotLoad,
     /// When to ask again.
     pub(super) until: Time,
-    /// The latest deadline that the owner knew of.
+    /// The latest deadline that the owner was sent.
     pub(super) patient_until: Time,
 }
 
 #[derive(Debug)]
 struct Want {
     arrived: u32,
-    /// Answers that began late for the engine's sake.
+    /// Answers that began late because of the engine.
     late: u32,
     last_arrival: Time,
     told: Option<Time>,
-    /// When the owners were last told how often it is asked for.
+    /// When usage was last sent to the owners.
     counted: Time,
-    /// How many owners have been asked to load, in the order of the homes.
+    /// Number of owners asked to load, in the order of the homes.
     asked: usize,
-    /// Since when requests have waited without a word from any owner.
+    /// Since when requests have waited without a response from any owner.
     unheard_since: Option<Time>,
-    /// Since when requests have waited without a break, whatever the owners said.
+    /// Since when requests have waited without interruption, whatever the owners responded.
     waiting_since: Option<Time>,
     patient_until: Time,
     refused: OrderedMap<HostId, Refused>,
-    /// Owners that would take long, and how long.
+    /// Owners that responded that the load would take long.
     busy: OrderedMap<HostId, Busy>,
-    /// The owner that is asked because all would take long, and it the shortest.
+    /// The owner that is asked although it is busy, because all are and it is expected to
+    /// be the fastest.
     assigned: Option<HostId>,
-    /// When it should have made the target available.
+    /// When it should have loaded the target.
     assigned_until: Time,
-    /// The requests that were told when to come back, and until when they are expected.
+    /// Requests that were told when to retry.
     returning: Returning,
-    /// The owners that were asked and haven't said that they would take long.
+    /// Owners that were asked and have not responded that they are busy.
     told_to: OrderedSet<HostId>,
 }
 
-/// An owner's word that it would take long to make a target available.
+/// An owner's response that a load would take long.
 #[derive(Clone, Copy, Debug)]
 struct Busy {
     ready_at: Time,
-    /// Until when that is believed.
+    /// Until when the response is valid.
     until: Time,
 }
 
-/// How things stand for a target whose requests wait.
+/// The state of supply for a target whose requests wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Supply {
-    /// Nothing is ready and nothing is on its way.
+    /// Nothing is ready or being loaded.
     Nothing,
-    /// A load is on its way.
+    /// A load is in progress.
     Coming,
-    /// What is ready is full.
+    /// Every ready upstream is full.
     Full,
 }
 
-/// Whether the owners are asked although they were asked a moment ago.
+/// Whether owners are asked before the usual interval has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pace {
-    /// They are asked as soon as the usual time has passed.
+    /// They are asked when the interval has passed.
     WhenDue,
-    /// They are asked now: something has changed.
+    /// They are asked immediately, because something has changed.
     Now,
 }
 
-/// The targets that this router wants to hear of.
+/// The targets that this router has recently had requests for.
 #[derive(Debug, Default)]
 pub(super) struct Wants {
     wants: OrderedMap<ModelTarget, Want>,
 }
 
 impl Wants {
-    /// Counts a request; returns how long the target had none, if it ever had.
+    /// Counts a request; returns how long the target had none, if it ever had one.
     pub(super) fn count_arrival(&mut self, now: Time, target: &ModelTarget) -> Option<Duration> {
         if let Some(want) = self.wants.get_mut(target) {
             let idle = now.since(want.last_arrival);
@@ -132,7 +135,7 @@
         None
     }
 
-    /// Counts an answer that began late although its request hadn't waited here.
+    /// Counts an answer that began late although its request had not waited here.
     pub(super) fn count_late(&mut self, target: &ModelTarget) {
         if let Some(want) = self.wants.get_mut(target) {
             want.late = want.late.saturating_add(1);
@@ -141,9 +144,9 @@
 
     /// Asks the owners for a target that requests wait for.
     ///
-    /// The first home's owner is asked first, by every router, so that a burst
-    /// at many routers becomes one load. Further homes are asked only once the
-    /// earlier ones can't help or are full.
+    /// Every router asks the owner of the first home first, so that a burst across routers
+    /// becomes one load. Further homes are asked only once the earlier ones refuse, do not
+    /// respond or are full.
     pub(super) fn ask(
         &mut self,
         cx: &mut Cx<'_>,
@@ -177,17 +180,19 @@
             if asked && waiting.aim.is_none() && want.is_taken_on_by_others(owner) {
                 continue;
             }
-            // Whoever has taken it on keeps it; two loads of it would be one too many.
+            // An owner that has taken the target on keeps it; a second load would
+            // be wasted.
             let is_open = want.told_to.insert(owner.clone()) || !asked;
             let aim = waiting.aim.filter(|_| is_open).map(|aim| aim.remaining(cx.now));
             tell(cx, owner, target, Ask { count, order: waiting.order, patience, aim });
         }
     }
 
-    /// Tells the owners of targets in use how much they are used, and that this router still wants to hear of them.
+    /// Sends usage to the owners of targets in use, which also renews this router's
+    /// interest.
     ///
-    /// All of a model's owners are told, whoever is asked to load it: each has to
-    /// know whether its own replica is needed.
+    /// All owners of a model are sent it, whichever was asked to load: each has to know
+    /// whether its own replica is needed.
     pub(super) fn renew(&mut self, cx: &mut Cx<'_>, paces: &mut Paces) {
         self.wants.retain(|_, want| !want.last_arrival.after(REMEMBERED).is_due(cx.now));
         let every = cx.cfg.timings.usage_every;
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Takes note that nothing waits for a target any more.
+    /// Resets a target for which no request waits any longer.
     pub(super) fn satisfied(&mut self, target: &ModelTarget) {
         let Some(want) = self.wants.get_mut(target) else { return };
         want.asked = 1;
@@ -222,7 +227,7 @@
         want.told_to.clear();
     }
 
-    /// Takes an owner's word that it would take long.
+    /// Records an owner's response that a load would take long.
     pub(super) fn busy(&mut self, now: Time, from: &HostId, target: &ModelTarget, takes: Duration) {
         let Some(want) = self.wants.get_mut(target) else { return };
         let busy = Busy { ready_at: now.after(takes), until: now.after(BUSY_FOR) };
@@ -231,12 +236,11 @@
         want.unheard_since = None;
     }
 
-    /// Forgets the silence of owners whom nobody waits for any more.
+    /// Clears the waiting times of targets for which no request waits.
     ///
-    /// Requests that ran into their deadline while the owner was cut off leave
-    /// the queue without a word from it. If the silence were still counted from
-    /// then, the next request, perhaps hours later, would be refused on arrival
-    /// although the owner is back.
+    /// Requests that reach their deadline while an owner is unreachable leave the queue
+    /// without a response. If its silence were still counted from then, the next request,
+    /// perhaps hours later, would be refused on arrival although the owner is back.
     pub(super) fn forget_silence(&mut self, waiting: &[ModelTarget]) {
         for (target, want) in &mut self.wants {
             if !waiting.contains(target) {
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Takes note that a request was told when to come back.
+    /// Records that a refused request was told when to retry.
     pub(super) fn told_to_return(
         &mut self,
         now: Time,
@@ -259,23 +263,24 @@
         }
     }
 
-    /// Returns the requests that are expected back.
+    /// Returns the retries that are expected for a target.
     pub(super) fn returning(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<Returning> {
         self.wants.get(target)?.returning.at(cx.now)
     }
 
-    /// Lists the targets for which requests are expected back.
+    /// Returns the targets for which retries are expected.
     pub(super) fn returning_targets(&self, cx: &Cx<'_>) -> impl Iterator<Item = &ModelTarget> {
         let now = cx.now;
         let awaited = self.wants.iter().filter(move |(_, want)| want.returning.at(now).is_some());
         awaited.map(|(target, _)| target)
     }
 
-    /// Takes note of the owner whose engine loads a target, so that it is told of those who wait.
+    /// Assigns a target to the owner whose engine is loading it, so that it is sent the
+    /// demand.
     ///
-    /// Hosts ask the owner of the first home, whichever home has taken a model on.
-    /// An owner that isn't told who waits for its load gives the model's place to
-    /// others as soon as it is there, and those who waited are refused.
+    /// Hosts ask the owner of the first home, whichever home loads the model. An owner that
+    /// doesn't know which requests wait for its load gives the model's place to others as
+    /// soon as it is ready, and the waiting requests are refused.
     pub(super) fn taken_on(&mut self, cx: &Cx<'_>, target: &ModelTarget, loader: HostId) {
         let Some(want) = self.wants.get_mut(target) else { return };
         want.assigned_until = cx.now.after(TAKEN_ON_FOR);
@@ -283,14 +288,15 @@
         want.assigned = Some(loader);
     }
 
-    /// Takes note that an owner spoke of a target that is on its way.
+    /// Records that an owner has published news about a target.
     pub(super) fn heard(&mut self, target: &ModelTarget) {
         if let Some(want) = self.wants.get_mut(target) {
             want.unheard_since = None;
         }
     }
 
-    /// Takes an owner's refusal; tells whether the next owner should be asked at once.
+    /// Records an owner's refusal; reports whether the next owner should be asked
+    /// immediately.
     pub(super) fn refused(
         &mut self,
         cx: &Cx<'_>,
@@ -314,9 +320,9 @@
         all_asked_refuse && more
     }
 
-    /// Returns why no owner can make a target available, if none can.
+    /// Returns why no owner can load a target, if all refuse.
     ///
-    /// Of several refusals the one that ends first counts.
+    /// Of several refusals, returns the one that expires first.
     pub(super) fn hopeless(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<&Refused> {
         let want = self.wants.get(target)?;
         let owners = owners(cx, target, &OrderedSet::new());
@@ -327,12 +333,12 @@
         owners.iter().filter_map(refused).min_by_key(|refused| refused.until)
     }
 
-    /// Tells whether requests have waited since before now.
+    /// Reports whether requests have been waiting for a target.
     pub(super) fn is_waited_for(&self, target: &ModelTarget) -> bool {
         self.wants.get(target).is_some_and(|want| want.waiting_since.is_some())
     }
 
-    /// Returns since when requests have waited without a word from any owner.
+    /// Returns since when requests have waited without a response from any owner.
     pub(super) fn unheard_since(&self, target: &ModelTarget) -> Option<Time> {
         self.wants.get(target)?.unheard_since
     }
--- a/crates/skylarkshore-core/src/serving/wanted/assign.rs
+++ b/crates/skylarkshore-core/src/serving/wanted/assign.rs
@@ -1,4 +1,4 @@
-//! Which of a model's owners is asked to load it.
+//! Selection of the owner that is asked to load a target.
 
 use std::time::Duration;
 
@@ -7,17 +7,16 @@
 use crate::cx::Cx;
 use crate::id::HostId;
 
-/// How long after the time that an assigned owner said the others are asked anew.
+/// How long after an assigned owner's estimate the others are asked again.
 const ASSIGNED_GRACE: Duration = Duration::from_millis(500);
 
 impl Want {
-    /// Looks further where the owners that were asked would take long.
+    /// Asks further owners if those asked so far are busy, and assigns the fastest if all
+    /// are.
     ///
-    /// Where all would, the one that would be ready first is asked all the same.
-    ///
-    /// Its word is only an estimate. Once the time it said is over, and nothing
-    /// is ready, all are asked anew: what held it up may last, and the callers
-    /// of a model that many ask for would wait behind it until they give up.
+    /// The assigned owner's time is only an estimate. Once it has passed and nothing is
+    /// ready, all owners are asked again: whatever delays the owner may last, and callers
+    /// of a popular model would wait behind it until they time out.
     pub(super) fn assign(
         &mut self,
         cx: &mut Cx<'_>,
@@ -47,19 +46,18 @@
         let Some((owner, busy)) = fastest else { return };
         let takes = busy.ready_at.remaining(now).as_millis();
         cx.note("load_assigned", target, format!("to={owner} takes_ms={takes} of={}", self.busy.len()));
-        // It is told without an aim, so that it takes the target on.
+        // It is sent no soft deadline, so that it takes the target on.
         self.told_to.insert(owner.clone());
         self.assigned = Some(owner.clone());
         self.assigned_until = busy.ready_at.after(ASSIGNED_GRACE);
     }
 
-    /// Tells whether other owners have taken the target on, and this one hasn't.
+    /// Reports whether other owners have taken the target on, and this one hasn't.
     ///
-    /// Once all those who wait have passed their aim, an owner can't say any more
-    /// that it would take too long, and takes the target on. If it were asked
-    /// beside the one that loads already, a model that comes from the weight
-    /// store would be loaded at each of its homes, and keep three engines from all
-    /// other loads for as long.
+    /// Once all waiting requests have passed their soft deadline, an owner has no ground
+    /// left to respond that it is busy, and takes the target on. If it were asked in
+    /// addition to the one that is loading, a model from the weight store would be loaded
+    /// at each of its homes and keep three engines from all other loads for that time.
     pub(super) fn is_taken_on_by_others(&self, owner: &HostId) -> bool {
         !self.told_to.contains(owner) && !self.told_to.is_empty() && self.assigned.as_ref() != Some(owner)
     }
--- a/crates/skylarkshore-core/src/serving/wanted/owners.rs
+++ b/crates/skylarkshore-core/src/serving/wanted/owners.rs
@@ -1,4 +1,4 @@
-//! The owners of a model's homes, and what they are told.
+//! The owners of a model's homes, and the demand that they are sent.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::peer::PeerMessage;
 use crate::rules::ServiceOrder;
 
-/// What an owner is told of the requests for a target.
+/// The demand for a target that an owner is sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ask {
     pub(super) count: u32,
@@ -21,7 +21,7 @@
     pub(super) aim: Option<Duration>,
 }
 
-/// Tells an owner of the requests for a target.
+/// Sends an owner the demand for a target.
 pub(super) fn tell(cx: &mut Cx<'_>, owner: &HostId, target: &ModelTarget, ask: Ask) {
     let message = PeerMessage::Wanted {
         target: target.clone(),
@@ -35,10 +35,9 @@
 
 /// Returns the owners of a model's homes, each once, in the order in which they are asked.
 ///
-/// That is the order of the homes for a base model. Engines hold only a few
-/// adapters at a time, so each adapter has an order of its own among the homes
-/// where its base is `loaded`; else the first home would load and unload them in
-/// turn while the others have room.
+/// For a base model that is the order of the homes. Engines hold only a few adapters at a time,
+/// so each adapter has its own order among the homes where its base is `loaded`; otherwise the
+/// first home would load and unload adapters in turn while the others have room.
 pub(super) fn owners(cx: &Cx<'_>, target: &ModelTarget, loaded: &OrderedSet<UpstreamId>) -> Vec<HostId> {
     let mut owners = Vec::new();
     let Some((_, homes)) = cx.cache.homes(&target.model) else { return owners };
