--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -2,26 +2,26 @@
 //!
 //! Open [`Serving`] first: it owns the request table and dispatches events to the submodules.
 
-mod alone;
 mod arrival;
 mod attempt;
 mod budget;
+mod counters;
 mod credit;
-mod decide;
+mod demand;
+mod disposition;
+mod expected_retries;
+mod isolation;
 mod lease;
-mod load;
 mod once;
-mod pace;
+mod others_load;
+mod published_views;
 mod queue;
-mod report;
 mod request;
-mod returning;
 mod routing;
+mod state_dump;
 mod supply;
 mod suspect;
-mod tally;
-mod views;
-mod wanted;
+mod wait_estimate;
 
 use std::time::Duration;
 
@@ -38,15 +38,15 @@
 use crate::time::Time;
 
 use budget::RetryBudget;
-use decide::Step;
+use counters::Tally;
+use demand::Wants;
+use disposition::Disposition;
 use once::Once;
-use pace::Paces;
 use queue::Queue;
-use request::{Caller, Due, Past, Request, State};
+use request::{Caller, Due, Request, RunHistory, State};
 use routing::Routes;
 use suspect::Suspects;
-use tally::Tally;
-use wanted::Wants;
+use wait_estimate::Paces;
 
 /// Interval between scans of everything that is remembered.
 const HOUSEKEEPING_EVERY: Duration = Duration::from_secs(1);
@@ -108,9 +108,9 @@
         let runs_for_record = gone.once_key().is_some()
             && (gone.run().is_some() || matches!(gone.state, State::Recording { .. }));
         if !runs_for_record {
-            let step = Step::Refuse { reason: RefusalReason::CallerGone, retry_after: None };
-            self.advance(cx, request, step);
-            self.pump(cx);
+            let disposition = Disposition::Refuse { reason: RefusalReason::CallerGone, retry_after: None };
+            self.send_or_refuse(cx, request, disposition);
+            self.dispatch_waiting(cx);
         }
     }
 
@@ -130,7 +130,7 @@
             {
                 self.wants.count_late(target);
             }
-            request.enter(State::Answering(run), cx.now);
+            request.set_state(State::Answering(run), cx.now);
         }
     }
 
@@ -144,7 +144,7 @@
         let upstream = self.upstream_of(attempt);
         self.end_attempt(cx, attempt, end);
         if let Some(upstream) = upstream {
-            self.pump_at(cx, &upstream);
+            self.dispatch_for_upstream(cx, &upstream);
         }
     }
 
@@ -159,8 +159,8 @@
         for verdict in self.quota.on_tick(cx) {
             self.on_ruling(cx, verdict);
         }
-        for learnt in self.once.on_tick(cx) {
-            self.on_learnt(cx, learnt);
+        for progress in self.once.on_tick(cx) {
+            self.on_claim_progress(cx, progress);
         }
         for id in self.suspects.on_tick(cx) {
             self.after_loss(cx, id);
@@ -171,7 +171,7 @@
         }
         self.wants.forget_silence(&self.waiting_models(cx));
         self.review_all(cx);
-        self.pump(cx);
+        self.dispatch_waiting(cx);
         if self.is_closed {
             self.refuse_waiting(cx);
         }
@@ -197,7 +197,7 @@
         self.suspects.on_host_list(cx);
         self.refuse_convicted(cx);
         self.review_all(cx);
-        self.pump(cx);
+        self.dispatch_waiting(cx);
     }
 
     /// Handles a change of a shared key in the cache.
@@ -206,7 +206,7 @@
             Key::Document | Key::Catalogue => {
                 self.refuse_withdrawn(cx);
                 self.routes.review_listed(cx);
-                self.pump(cx);
+                self.dispatch_waiting(cx);
             }
             Key::Owner(_) | Key::Homes(_) => self.ask_again(cx, key),
             Key::Member(_) | Key::Power(_) | Key::Once(_) => {}
@@ -215,24 +215,24 @@
 
     /// Handles the result of a store call that isn't a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
-        if let Some(learnt) = self.once.on_store(cx, call, result) {
-            self.on_learnt(cx, learnt);
-            self.pump(cx);
+        if let Some(progress) = self.once.on_store(cx, call, result) {
+            self.on_claim_progress(cx, progress);
+            self.dispatch_waiting(cx);
         }
     }
 
     /// Handles the outcome of a write to a [`Key::Once`].
     pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         let Key::Once(key) = key else { return };
-        if let Some(learnt) = self.once.on_write(cx, *key, outcome) {
-            self.on_learnt(cx, learnt);
-            self.pump(cx);
+        if let Some(progress) = self.once.on_write(cx, *key, outcome) {
+            self.on_claim_progress(cx, progress);
+            self.dispatch_waiting(cx);
         }
     }
 
     /// Handles a peer's message if it concerns requests.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
-        self.suspects.heard_from(cx.now, from);
+        self.suspects.record_contact(cx.now, from);
         match message {
             PeerMessage::Credit(message) => {
                 if let Some(verdict) = self.quota.on_peer(cx, from, message) {
@@ -247,10 +247,10 @@
                 self.on_suspects(cx, from, upstream, *incarnation, requests, *alone);
             }
             PeerMessage::SuspectsNoted { requests } => {
-                for id in self.suspects.on_noted(from, requests) {
+                for id in self.suspects.on_acknowledged(from, requests) {
                     self.after_loss(cx, id);
                 }
-                self.pump(cx);
+                self.dispatch_waiting(cx);
             }
             PeerMessage::Cleared { request } if self.suspects.clear(*request) => {
                 self.requeue_cleared(cx, *request);
@@ -302,19 +302,19 @@
         let passed = request.arrival.deadline.is_due(cx.now);
         match request.state.clone() {
             State::Recording { until, answer } if passed || until.is_due(cx.now) => {
-                self.answer(cx, id, answer);
+                self.finish_with_answer(cx, id, answer);
             }
             State::Releasing { until, refusal } if passed || until.is_due(cx.now) => {
-                self.conclude(cx, id, refusal);
+                self.finish_refused(cx, id, refusal);
             }
             // The caller is answered only after the peers are notified, which has
             // its own short time-out.
-            State::Recording { .. } | State::Releasing { .. } | State::TellingPeers => {}
+            State::Recording { .. } | State::Releasing { .. } | State::NotifyingPeers => {}
             _ if passed => self.refuse_late(cx, id),
             State::AwaitingCredit { not_before: Some(not_before) } => {
                 self.on_credit_due(cx, id, not_before);
             }
-            State::Queued | State::QueuedAlone if request.waits_until().is_due(cx.now) => {
+            State::Queued | State::QueuedForIsolation if request.queue_deadline().is_due(cx.now) => {
                 self.refuse_late(cx, id);
             }
             _ => {}
@@ -326,21 +326,21 @@
         let Some(request) = self.requests.get(&id) else { return };
         let reason = if request.run().is_some() {
             RefusalReason::DeadlinePassedRunning
-        } else if request.past == Past::Clean {
+        } else if request.history == RunHistory::NeverRan {
             RefusalReason::DeadlinePassed
         } else {
             RefusalReason::UpstreamLost
         };
-        self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
     }
 
     /// Removes a request and releases everything it holds.
-    fn forget(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
+    fn remove_request(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.timers.remove(&Due { at: request.arrival.deadline, request: id });
         self.timers.remove(&Due { at: request.arrival.terms.begins_by, request: id });
         self.suspects.waiting.remove(&queue::Urgency::of(id, &request));
-        self.end_alone(cx, id);
+        self.end_isolation(cx, id);
         self.settle_credit(cx, id, &request);
         Some(request)
     }
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -9,25 +9,25 @@
 use crate::rules::{Facts, ServiceOrder};
 use crate::serving::Serving;
 use crate::serving::budget::Destination;
-use crate::serving::decide::Step;
-use crate::serving::once::{Here, Learnt};
+use crate::serving::disposition::Disposition;
+use crate::serving::once::{ClaimProgress, LocalUse};
 use crate::serving::queue::{Overflow, Urgency};
-use crate::serving::request::{Company, Due, Past, Request, State};
-use crate::serving::routing::{Prospect, Wish};
-use crate::serving::suspect::Standing;
+use crate::serving::request::{Due, Isolation, Request, RunHistory, State};
+use crate::serving::routing::{Availability, RouteQuery};
+use crate::serving::suspect::SuspectStatus;
 use crate::store::{OnceRecord, OnceState};
 
 /// Factor by which an estimated wait may be exceeded.
 ///
 /// Without a margin, requests are admitted whose answers come around their deadline, many of
 /// them just after it, and the work on those is wasted.
-const ESTIMATE_MARGIN: f64 = 1.5;
+const WAIT_ESTIMATE_MARGIN: f64 = 1.5;
 /// Retry delay when the queue is full.
-const QUEUE_RETRY: Duration = Duration::from_secs(1);
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry delay for the answer of a request in progress.
-const PROGRESS_RETRY: Duration = Duration::from_secs(1);
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry delay when the key-value service can't be reached.
-const STORE_RETRY: Duration = Duration::from_secs(2);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Serving {
     /// Registers a request and admits or refuses it.
@@ -42,7 +42,7 @@
             Target::Model(target) => self.wants.count_arrival(cx.now, target),
             Target::Service(_) => None,
         };
-        let verdict = self.judge(cx, &arrival, idle_for);
+        let verdict = self.apply_rules(cx, &arrival, idle_for);
         let (deadline, begins_by) = (arrival.deadline, arrival.terms.begins_by);
         let order = verdict.as_ref().map_or(ServiceOrder::default(), |order| *order);
         let order = ServiceOrder(order.0.saturating_add_signed(arrival.terms.rank));
@@ -52,18 +52,18 @@
         match verdict {
             Ok(_) if deadline.is_due(cx.now) => self.refuse_late(cx, id),
             Ok(_) => self.ask_credit(cx, id),
-            Err(reason) => self.advance(cx, id, Step::Refuse { reason, retry_after: None }),
+            Err(reason) => self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None }),
         }
     }
 
     /// Returns the order of service for a request, or why the rules refuse it.
-    fn judge(
+    fn apply_rules(
         &self,
         cx: &Cx<'_>,
         arrival: &Arrival,
         idle_for: Option<Duration>,
     ) -> Result<ServiceOrder, RefusalReason> {
-        if self.suspects.standing(arrival.digest) == Standing::Convicted {
+        if self.suspects.status(arrival.digest) == SuspectStatus::Convicted {
             return Err(RefusalReason::CrashesUpstreams);
         }
         let mut facts = Facts {
@@ -91,35 +91,39 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(key) = request.once_key() else { return self.enqueue(cx, id) };
         let digest = request.arrival.digest;
-        match self.once.here(key, digest) {
-            Here::Unknown => {}
-            Here::SameRequest => {
-                request.past = Past::Elsewhere;
-                let step =
-                    Step::Refuse { reason: RefusalReason::KeyInProgress, retry_after: Some(PROGRESS_RETRY) };
-                return self.advance(cx, id, step);
+        match self.once.local_use(key, digest) {
+            LocalUse::Unknown => {}
+            LocalUse::SameRequest => {
+                request.history = RunHistory::MayHaveRunElsewhere;
+                let disposition = Disposition::Refuse {
+                    reason: RefusalReason::KeyInProgress,
+                    retry_after: Some(IN_PROGRESS_RETRY_AFTER),
+                };
+                return self.send_or_refuse(cx, id, disposition);
             }
-            Here::OtherRequest => {
-                let step = Step::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-                return self.advance(cx, id, step);
+            LocalUse::OtherRequest => {
+                let disposition =
+                    Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
+                return self.send_or_refuse(cx, id, disposition);
             }
         }
         self.once.begin(key, digest, id);
-        if self.is_next(cx, id) {
+        if self.would_dispatch_now(cx, id) {
             return self.enqueue(cx, id);
         }
         // The request has to wait. If its key was used before, it needn't, and it must
         // not be refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
-            request.enter(State::LookingUp, cx.now);
+            request.set_state(State::LookingUp, cx.now);
             self.once.look_up(cx, key);
         }
     }
 
     /// Reports whether a request would be dispatched immediately.
-    fn is_next(&self, cx: &mut Cx<'_>, id: RequestId) -> bool {
+    fn would_dispatch_now(&self, cx: &mut Cx<'_>, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        self.queue.len_of(&request.arrival.target) == 0 && self.routes.choose(cx, wish(request)).is_some()
+        self.queue.len_of(&request.arrival.target) == 0
+            && self.routes.choose(cx, route_query(request)).is_some()
     }
 
     /// Queues a request, unless the queue is full or the wait would be too long.
@@ -128,18 +132,19 @@
         let urgency = Urgency::of(id, request);
         match self.queue.overflow(&cx.cfg.limits, &request.arrival.caller, urgency) {
             None => {}
-            Some(Overflow::Itself) => return self.refuse_for_room(cx, id),
-            Some(Overflow::Shed(other)) => self.refuse_for_room(cx, other),
+            Some(Overflow::Itself) => return self.refuse_queue_full(cx, id),
+            Some(Overflow::Shed(other)) => self.refuse_queue_full(cx, other),
         }
-        if let Some(wait) = self.too_long(cx, id) {
-            let step = Step::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(wait) };
-            return self.advance(cx, id, step);
+        if let Some(wait) = self.wait_past_deadline(cx, id) {
+            let disposition =
+                Disposition::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(wait) };
+            return self.send_or_refuse(cx, id, disposition);
         }
-        self.wait(cx, id);
+        self.push_to_queue(cx, id);
     }
 
     /// Returns the estimated wait if it exceeds the request's deadline.
-    fn too_long(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
+    fn wait_past_deadline(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
         let request = self.requests.get(&id)?;
         let target = &request.arrival.target;
         let ahead = self.queue.ahead_of(target, Urgency::of(id, request));
@@ -147,45 +152,52 @@
             return None;
         }
         let wait = self.paces.estimate(target, ahead)?;
-        let at_worst = wait.mul_f64(ESTIMATE_MARGIN);
-        (cx.now.after(at_worst) > request.waits_until()).then_some(wait)
+        let at_worst = wait.mul_f64(WAIT_ESTIMATE_MARGIN);
+        (cx.now.after(at_worst) > request.queue_deadline()).then_some(wait)
     }
 
     /// Queues a request that has passed admission.
-    pub(super) fn wait(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+    pub(super) fn push_to_queue(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let target = request.arrival.target.clone();
-        if self.suspects.standing(request.arrival.digest) == Standing::Suspect {
-            request.enter(State::QueuedAlone, cx.now);
+        if self.suspects.status(request.arrival.digest) == SuspectStatus::Suspect {
+            request.set_state(State::QueuedForIsolation, cx.now);
             self.suspects.waiting.insert(Urgency::of(id, request));
         } else {
-            request.enter(State::Queued, cx.now);
+            request.set_state(State::Queued, cx.now);
             self.queue.push(id, request);
         }
-        if self.routes.prospect(cx, &target) != Prospect::Ready {
-            let prospect = self.routes.prospect(cx, &target);
-            cx.decided(id, "request_waits", format!("for {} supply={}", target, prospect.describe(cx.now)));
+        if self.routes.availability(cx, &target) != Availability::Ready {
+            let availability = self.routes.availability(cx, &target);
+            cx.decided(
+                id,
+                "request_waits",
+                format!("for {} supply={}", target, availability.describe(cx.now)),
+            );
         }
         self.review(cx, &target);
-        self.pump_target(cx, &target);
-        self.pump_alone(cx);
+        self.dispatch_target(cx, &target);
+        self.dispatch_suspects(cx);
     }
 
-    fn refuse_for_room(&mut self, cx: &mut Cx<'_>, id: RequestId) {
-        let step = Step::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(QUEUE_RETRY) };
-        self.advance(cx, id, step);
+    fn refuse_queue_full(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+        let disposition = Disposition::Refuse {
+            reason: RefusalReason::QueueFull,
+            retry_after: Some(QUEUE_FULL_RETRY_AFTER),
+        };
+        self.send_or_refuse(cx, id, disposition);
     }
 
     /// Dispatches waiting requests to all upstreams with room.
-    pub(super) fn pump(&mut self, cx: &mut Cx<'_>) {
+    pub(super) fn dispatch_waiting(&mut self, cx: &mut Cx<'_>) {
         for target in self.queue.targets() {
-            self.pump_target(cx, &target);
+            self.dispatch_target(cx, &target);
         }
-        self.pump_alone(cx);
+        self.dispatch_suspects(cx);
         // A suspect's model is lost with the engine that died. If only the queue's
         // targets were requested, nobody would load it again, and the suspect would
         // wait until its time-out although it may be innocent.
-        for target in self.alone_targets() {
+        for target in self.suspect_targets() {
             self.ask_for(cx, &target);
         }
         for target in self.returning_targets(cx) {
@@ -197,23 +209,23 @@
     ///
     /// Checking every target at each message and each end of a request took a tenth of a
     /// core with a hundred models in demand; the tick checks all of them.
-    pub(super) fn pump_at(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
+    pub(super) fn dispatch_for_upstream(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         for target in self.queue.targets() {
             if self.routes.concerns(cx, upstream, &target) {
-                self.pump_target(cx, &target);
+                self.dispatch_target(cx, &target);
             }
         }
-        self.pump_alone(cx);
+        self.dispatch_suspects(cx);
     }
 
-    fn pump_target(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    fn dispatch_target(&mut self, cx: &mut Cx<'_>, target: &Target) {
         while let Some(id) = self.queue.first(target) {
             let Some(request) = self.requests.get(&id) else { break };
-            let Some(upstream) = self.routes.choose(cx, wish(request)) else { break };
+            let Some(upstream) = self.routes.choose(cx, route_query(request)) else { break };
             let id = self.best_fit(cx, id, &upstream);
             let Some(request) = self.requests.get(&id) else { break };
             self.queue.take(id, request);
-            self.start(cx, id, upstream, Company::Others);
+            self.claim_or_send(cx, id, upstream, Isolation::Shared);
         }
         self.ask_for(cx, target);
     }
@@ -222,53 +234,63 @@
     /// cached, or the first.
     fn best_fit(&self, cx: &Cx<'_>, first: RequestId, upstream: &UpstreamId) -> RequestId {
         let Some(request) = self.requests.get(&first) else { return first };
-        if request.arrival.prefix.is_none() || self.prefers(cx, first, upstream) {
+        if request.arrival.prefix.is_none() || self.is_preferred(cx, first, upstream) {
             return first;
         }
         let others = self.queue.may_go_first(&request.arrival.target);
-        others.into_iter().find(|id| self.prefers(cx, *id, upstream)).unwrap_or(first)
+        others.into_iter().find(|id| self.is_preferred(cx, *id, upstream)).unwrap_or(first)
     }
 
-    fn prefers(&self, cx: &Cx<'_>, id: RequestId, upstream: &UpstreamId) -> bool {
+    fn is_preferred(&self, cx: &Cx<'_>, id: RequestId, upstream: &UpstreamId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let untried = !request.tried.contains(upstream);
-        untried && self.routes.preferred(cx, wish(request)).as_ref() == Some(upstream)
+        untried && self.routes.preferred(cx, route_query(request)).as_ref() == Some(upstream)
     }
 
     /// Sends a request, after claiming its key if it may run only once.
-    pub(super) fn start(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, company: Company) {
+    pub(super) fn claim_or_send(
+        &mut self,
+        cx: &mut Cx<'_>,
+        id: RequestId,
+        upstream: UpstreamId,
+        isolation: Isolation,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.once_key() {
             Some(key) if !self.once.holds(key) => {
                 self.routes.occupy(&upstream);
-                request.enter(State::Claiming { run: upstream, company }, cx.now);
+                request.set_state(State::Claiming { run: upstream, isolation }, cx.now);
                 self.once.claim(cx, key);
             }
-            _ => self.advance(cx, id, Step::Send { upstream, company }),
+            _ => self.send_or_refuse(cx, id, Disposition::Send { upstream, isolation }),
         }
     }
 
     /// Handles news about a request's idempotency key.
-    pub(super) fn on_learnt(&mut self, cx: &mut Cx<'_>, learnt: Learnt) {
-        match learnt {
-            Learnt::Unused(id) => self.enqueue(cx, id),
-            Learnt::Claimed(id) => self.on_claimed(cx, id),
-            Learnt::Used { request, found } => self.on_used(cx, request, found),
-            Learnt::Unreachable(id) => {
+    pub(super) fn on_claim_progress(&mut self, cx: &mut Cx<'_>, progress: ClaimProgress) {
+        match progress {
+            ClaimProgress::Unused(id) => self.enqueue(cx, id),
+            ClaimProgress::Claimed(id) => self.on_claimed(cx, id),
+            ClaimProgress::Used { request, found } => self.on_used(cx, request, found),
+            ClaimProgress::Unreachable(id) => {
                 let reason = RefusalReason::StoreUnreachable;
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(STORE_RETRY) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(STORE_RETRY_AFTER) },
+                );
             }
-            Learnt::Recorded(id) => {
+            ClaimProgress::Recorded(id) => {
                 if let Some(State::Recording { answer, .. }) = self.requests.get(&id).map(|r| r.state.clone())
                 {
-                    self.answer(cx, id, answer);
+                    self.finish_with_answer(cx, id, answer);
                 }
             }
-            Learnt::Released(id) => {
+            ClaimProgress::Released(id) => {
                 if let Some(State::Releasing { refusal, .. }) =
                     self.requests.get(&id).map(|r| r.state.clone())
                 {
-                    self.conclude(cx, id, refusal);
+                    self.finish_refused(cx, id, refusal);
                 }
             }
         }
@@ -276,50 +298,52 @@
 
     fn on_claimed(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let State::Claiming { run, company } = request.state.clone() else { return };
+        let State::Claiming { run, isolation } = request.state.clone() else { return };
         if request.arrival.deadline.is_due(cx.now) {
             return self.refuse_late(cx, id);
         }
-        let suspect = self.suspects.standing(request.arrival.digest);
+        let suspect = self.suspects.status(request.arrival.digest);
         let goes_on = match suspect {
-            Standing::Free => self.routes.fits(cx, &request.arrival.target, &run),
-            Standing::Suspect => {
-                let kept = self.suspects.alone.as_ref().is_some_and(|alone| alone.request == id);
-                kept && self.routes.fits_alone(cx, &request.arrival.target, &run)
+            SuspectStatus::Unsuspected => self.routes.can_take(cx, &request.arrival.target, &run),
+            SuspectStatus::Suspect => {
+                let kept = self.suspects.isolated.as_ref().is_some_and(|run| run.request == id);
+                kept && self.routes.can_take_isolated(cx, &request.arrival.target, &run)
             }
-            Standing::Convicted => {
+            SuspectStatus::Convicted => {
                 let reason = RefusalReason::CrashesUpstreams;
-                return self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+                return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
             }
         };
         if goes_on {
-            return self.advance(cx, id, Step::Send { upstream: run, company });
+            return self.send_or_refuse(cx, id, Disposition::Send { upstream: run, isolation });
         }
         self.routes.free(&run);
-        self.end_alone(cx, id);
-        self.wait(cx, id);
+        self.end_isolation(cx, id);
+        self.push_to_queue(cx, id);
     }
 
     fn on_used(&mut self, cx: &mut Cx<'_>, id: RequestId, found: OnceRecord) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some(place) = request.place() {
-            self.routes.free(&place.clone());
-            request.enter(State::LookingUp, cx.now);
+        if let Some(occupied_upstream) = request.occupied_upstream() {
+            self.routes.free(&occupied_upstream.clone());
+            request.set_state(State::LookingUp, cx.now);
         }
         if found.request != request.arrival.digest {
-            let step = Step::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-            return self.advance(cx, id, step);
+            let disposition = Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
+            return self.send_or_refuse(cx, id, disposition);
         }
-        request.past = Past::Elsewhere;
+        request.history = RunHistory::MayHaveRunElsewhere;
         let own = found.host == cx.cfg.host;
         let alive = cx.cache.member(&found.host).is_some_and(|m| m.incarnation == found.incarnation);
         let (reason, retry_after) = match found.state {
-            OnceState::Answered(answer) => return self.answer(cx, id, answer),
+            OnceState::Answered(answer) => return self.finish_with_answer(cx, id, answer),
             OnceState::AnswerNotKept => (RefusalReason::AnswerNotKept, None),
-            OnceState::Claimed if alive && !own => (RefusalReason::KeyInProgress, Some(PROGRESS_RETRY)),
+            OnceState::Claimed if alive && !own => {
+                (RefusalReason::KeyInProgress, Some(IN_PROGRESS_RETRY_AFTER))
+            }
             OnceState::Claimed => (RefusalReason::KeyInDoubt, None),
         };
-        self.advance(cx, id, Step::Refuse { reason, retry_after });
+        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after });
     }
 }
 
@@ -332,6 +356,6 @@
 }
 
 /// Builds the routing query for a request.
-const fn wish(request: &Request) -> Wish<'_> {
-    Wish { target: &request.arrival.target, prefix: request.arrival.prefix, tried: &request.tried }
+const fn route_query(request: &Request) -> RouteQuery<'_> {
+    RouteQuery { target: &request.arrival.target, prefix: request.arrival.prefix, tried: &request.tried }
 }
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -11,19 +11,19 @@
 use crate::peer::PeerMessage;
 use crate::serving::Serving;
 use crate::serving::arrival::destination;
-use crate::serving::decide::Step;
-use crate::serving::request::{Caller, Company, Due, Past, Run, State};
-use crate::serving::suspect::Standing;
+use crate::serving::disposition::Disposition;
+use crate::serving::request::{Caller, Due, Isolation, Run, RunHistory, State};
+use crate::serving::suspect::SuspectStatus;
 use crate::store::RecordedAnswer;
 
 /// Longest time that an answer waits to be recorded.
-const RECORD_PATIENCE: Duration = Duration::from_millis(300);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(300);
 /// Retry delay after all attempts have failed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What another attempt costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cost {
+enum RetryCost {
     /// Nothing: the upstream stated that it did nothing, and why.
     Free,
     /// One retry from the budget.
@@ -52,16 +52,16 @@
             matches!(end, AttemptEnd::Whole { .. } | AttemptEnd::WholeTooLarge | AttemptEnd::FailedWhole);
         self.paces.end(cx.now, &request.arrival.target, answered.then(|| cx.now.since(run.sent)));
         match end {
-            AttemptEnd::Whole { held } => self.on_whole(cx, id, &run.upstream, held),
-            AttemptEnd::WholeTooLarge => self.on_whole(cx, id, &run.upstream, None),
-            AttemptEnd::FailedWhole => self.on_failed_whole(cx, id, &run.upstream),
+            AttemptEnd::Whole { held } => self.on_completed(cx, id, &run.upstream, held),
+            AttemptEnd::WholeTooLarge => self.on_completed(cx, id, &run.upstream, None),
+            AttemptEnd::FailedWhole => self.on_failure_answer(cx, id, &run.upstream),
             AttemptEnd::NotSent => self.on_not_sent(cx, id, &run.upstream),
             AttemptEnd::Rejected(rejection) => self.on_rejected(cx, id, &run.upstream, rejection),
             AttemptEnd::Lost { passed_on, died } => self.on_lost(cx, id, &run, passed_on, died),
         }
     }
 
-    fn on_whole(
+    fn on_completed(
         &mut self,
         cx: &mut Cx<'_>,
         id: RequestId,
@@ -78,12 +78,12 @@
         }
         match (key, held) {
             (Some(_), Some(answer)) => {
-                let until = cx.now.after(RECORD_PATIENCE);
-                request.enter(State::Recording { until, answer }, cx.now);
+                let until = cx.now.after(RECORD_TIMEOUT);
+                request.set_state(State::Recording { until, answer }, cx.now);
                 self.timers.insert(Due { at: until, request: id });
-                self.end_alone(cx, id);
+                self.end_isolation(cx, id);
             }
-            _ => self.finish(cx, id),
+            _ => self.finish_forwarded(cx, id),
         }
         if cleared {
             tell_everyone(cx, &PeerMessage::Cleared { request: digest });
@@ -92,18 +92,18 @@
     }
 
     /// Retries a request whose upstream returned a failure, or forwards the failure.
-    fn on_failed_whole(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
+    fn on_failure_answer(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.runs += 1;
-        request.kept_failure = true;
-        request.past = Past::Lost;
-        self.fail_once(cx, id, upstream);
-        self.retry(cx, id, Cost::Retry);
+        request.holds_failure = true;
+        request.history = RunHistory::MayHaveRun;
+        self.record_failure(cx, id, upstream);
+        self.retry(cx, id, RetryCost::Retry);
     }
 
     fn on_not_sent(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         self.routes.note_trouble(cx, upstream);
-        if let Some(owner) = owner(cx, upstream) {
+        if let Some(owner) = owner_of(cx, upstream) {
             cx.tell(&owner, PeerMessage::UpstreamUnreachable { upstream: upstream.clone() });
         }
         let is_model = self.requests.get(&id).is_some_and(|r| matches!(r.arrival.target, Target::Model(_)));
@@ -112,11 +112,11 @@
             // the model. If this counted as a failure, a restarting engine would
             // exhaust the attempts of a request within moments although its
             // deadline is far away.
-            self.end_run(cx, id, upstream);
-            return self.retry(cx, id, Cost::Free);
+            self.requeue_untouched(cx, id, upstream);
+            return self.retry(cx, id, RetryCost::Free);
         }
-        self.fail_once(cx, id, upstream);
-        self.retry(cx, id, Cost::Retry);
+        self.record_failure(cx, id, upstream);
+        self.retry(cx, id, RetryCost::Retry);
     }
 
     fn on_rejected(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId, rejection: Rejection) {
@@ -126,42 +126,42 @@
                 // The model was unloaded after its owner last published a view.
                 // This is normal for rarely used models and costs no retry.
                 self.routes.note_missing(cx, upstream, &target);
-                self.fail_once(cx, id, upstream);
-                return self.retry(cx, id, Cost::Free);
+                self.record_failure(cx, id, upstream);
+                return self.retry(cx, id, RetryCost::Free);
             }
             (Rejection::NotLoaded, Target::Service(_)) => {
                 self.routes.note_trouble(cx, upstream);
-                self.fail_once(cx, id, upstream);
+                self.record_failure(cx, id, upstream);
             }
             // A busy upstream is back-pressure, not a failure: the request waits as
             // it would have if the load had been known.
             (Rejection::Busy, _) => {
                 self.routes.note_trouble(cx, upstream);
-                self.end_run(cx, id, upstream);
-                return self.retry(cx, id, Cost::Free);
+                self.requeue_untouched(cx, id, upstream);
+                return self.retry(cx, id, RetryCost::Free);
             }
             // The host list will show what runs at the address now.
             (Rejection::Replaced, _) => {
                 self.routes.note_trouble(cx, upstream);
-                self.fail_once(cx, id, upstream);
-                return self.retry(cx, id, Cost::Free);
+                self.record_failure(cx, id, upstream);
+                return self.retry(cx, id, RetryCost::Free);
             }
             (Rejection::Leaving, _) => {
                 if self.routes.note_leaving(cx.now, upstream) {
                     tell_everyone(cx, &PeerMessage::UpstreamLeaving { upstream: upstream.clone() });
                 }
-                self.fail_once(cx, id, upstream);
-                return self.retry(cx, id, Cost::Free);
+                self.record_failure(cx, id, upstream);
+                return self.retry(cx, id, RetryCost::Free);
             }
         }
-        self.retry(cx, id, Cost::Retry);
+        self.retry(cx, id, RetryCost::Retry);
     }
 
     fn on_lost(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run, passed_on: bool, died: bool) {
         if died && cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
             // The host list may already have dropped an upstream that the request
             // crashed.
-            self.count_loss(cx, id, run);
+            self.record_loss(cx, id, run);
         }
         // A reclaimed host takes its upstream with it, which is no request's fault. If
         // all its requests became suspects, each would wait for an engine of its own.
@@ -171,29 +171,33 @@
         if died || !out_of_time {
             self.routes.note_trouble(cx, &run.upstream);
         }
-        self.fail_once(cx, id, &run.upstream);
+        self.record_failure(cx, id, &run.upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.passed_on |= passed_on;
         request.runs += 1;
-        request.past = if died && run.company == Company::Alone { Past::Crashed } else { Past::Lost };
+        request.history = if died && run.isolation == Isolation::Exclusive {
+            RunHistory::Crashed
+        } else {
+            RunHistory::MayHaveRun
+        };
         if !died || cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
             return self.after_loss(cx, id);
         }
-        request.enter(State::TellingPeers, cx.now);
+        request.set_state(State::NotifyingPeers, cx.now);
         let digest = request.arrival.digest;
-        if let Some(owner) = owner(cx, &run.upstream) {
+        if let Some(owner) = owner_of(cx, &run.upstream) {
             cx.tell(&owner, PeerMessage::UpstreamUnreachable { upstream: run.upstream.clone() });
         }
-        if run.company == Company::Alone || !self.suspects.join_telling(&run.upstream, digest, id) {
+        if run.isolation == Isolation::Exclusive || !self.suspects.join_notice(&run.upstream, digest, id) {
             let mut digests = others;
             digests.push(digest);
             digests.sort_unstable();
             digests.dedup();
-            self.suspects.begin_telling(cx, &run.upstream, digests, run.company, id);
+            self.suspects.notify_peers(cx, &run.upstream, digests, run.isolation, id);
         }
         self.refuse_convicted(cx);
-        self.set_apart(cx);
-        for told in self.suspects.take_told(cx.now) {
+        self.isolate_suspects(cx);
+        for told in self.suspects.take_notified(cx.now) {
             self.after_loss(cx, told);
         }
     }
@@ -202,54 +206,54 @@
     pub(super) fn after_loss(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let digest = request.arrival.digest;
-        let convicted = self.suspects.standing(digest) == Standing::Convicted;
-        if convicted || self.suspects.is_doubted(cx, digest) {
+        let convicted = self.suspects.status(digest) == SuspectStatus::Convicted;
+        if convicted || self.suspects.is_one_loss_from_conviction(cx, digest) {
             let reason = RefusalReason::CrashesUpstreams;
-            return self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+            return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
-        self.retry(cx, id, Cost::Retry);
+        self.retry(cx, id, RetryCost::Retry);
     }
 
     /// Requeues a request whose attempt ended without an answer, or refuses it.
-    fn retry(&mut self, cx: &mut Cx<'_>, id: RequestId, cost: Cost) {
+    fn retry(&mut self, cx: &mut Cx<'_>, id: RequestId, cost: RetryCost) {
         let Some(request) = self.requests.get(&id) else { return };
-        let lost = request.past != Past::Clean;
+        let lost = request.history != RunHistory::NeverRan;
         let destination = destination(cx, &request.arrival.target);
-        let cost = if self.budget.counts_every_sending() { Cost::Retry } else { cost };
-        if request.waits_until().is_due(cx.now) {
+        let cost = if self.budget.counts_every_sending() { RetryCost::Retry } else { cost };
+        if request.queue_deadline().is_due(cx.now) {
             let reason =
                 if lost { RefusalReason::DeadlinePassedRunning } else { RefusalReason::DeadlinePassed };
-            return self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+            return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
         let may = request.caller == Caller::Waiting
             && request.may_be_sent()
             && (!request.passed_on || request.can_resume())
             && request.failures < cx.cfg.limits.attempts
             && request.runs < request.arrival.terms.tries
-            && (cost == Cost::Free || self.budget.spend(cx.now, &destination));
+            && (cost == RetryCost::Free || self.budget.spend(cx.now, &destination));
         if may {
             self.tally.retries += 1;
-            return self.wait(cx, id);
+            return self.push_to_queue(cx, id);
         }
-        if request.kept_failure {
+        if request.holds_failure {
             cx.push(Effect::PassOn { request: id });
-            return self.finish(cx, id);
+            return self.finish_forwarded(cx, id);
         }
         let reason = if lost { RefusalReason::UpstreamLost } else { RefusalReason::NoUpstream };
         let retry_after = (!lost).then_some(RETRY_AFTER);
-        self.advance(cx, id, Step::Refuse { reason, retry_after });
+        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after });
     }
 
     /// Requeues a request on which an upstream did no work.
-    fn end_run(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
-        self.end_alone(cx, id);
+    fn requeue_untouched(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
+        self.end_isolation(cx, id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.tried.insert(upstream.clone());
-        request.enter(State::Queued, cx.now);
+        request.set_state(State::Queued, cx.now);
     }
 
-    fn fail_once(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
-        self.end_run(cx, id, upstream);
+    fn record_failure(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
+        self.requeue_untouched(cx, id, upstream);
         if let Some(request) = self.requests.get_mut(&id) {
             request.failures += 1;
         }
@@ -263,6 +267,6 @@
 }
 
 /// Returns the owner of an engine.
-pub(super) fn owner(cx: &Cx<'_>, upstream: &UpstreamId) -> Option<HostId> {
+pub(super) fn owner_of(cx: &Cx<'_>, upstream: &UpstreamId) -> Option<HostId> {
     cx.cache.owner(upstream).map(|(_, record)| record.host.clone())
 }
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -7,8 +7,8 @@
 use crate::id::RequestId;
 use crate::quota::{Ruling, Verdict};
 use crate::serving::Serving;
-use crate::serving::decide::Step;
-use crate::serving::request::{Due, Past, Request, State};
+use crate::serving::disposition::Disposition;
+use crate::serving::request::{Due, Request, RunHistory, State};
 use crate::time::Time;
 
 impl Serving {
@@ -16,7 +16,7 @@
     pub(super) fn ask_credit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(charge) = request.arrival.charge.clone() else { return self.admit(cx, id) };
-        request.enter(State::AwaitingCredit { not_before: None }, cx.now);
+        request.set_state(State::AwaitingCredit { not_before: None }, cx.now);
         if let Some(ruling) = self.quota.ask(cx, id, &charge) {
             self.on_ruling(cx, Verdict { request: id, ruling });
         }
@@ -32,15 +32,20 @@
                 if not_before.is_due(cx.now) {
                     return self.admit(cx, id);
                 }
-                request.enter(State::AwaitingCredit { not_before: Some(not_before) }, cx.now);
+                request.set_state(State::AwaitingCredit { not_before: Some(not_before) }, cx.now);
                 self.timers.insert(Due { at: not_before, request: id });
             }
             Ruling::Over { retry_after } => {
-                let step = Step::Refuse { reason: RefusalReason::OverLimit, retry_after: Some(retry_after) };
-                self.advance(cx, id, step);
+                let disposition =
+                    Disposition::Refuse { reason: RefusalReason::OverLimit, retry_after: Some(retry_after) };
+                self.send_or_refuse(cx, id, disposition);
             }
             Ruling::TooLarge => {
-                self.advance(cx, id, Step::Refuse { reason: RefusalReason::BeyondLimit, retry_after: None });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason: RefusalReason::BeyondLimit, retry_after: None },
+                );
             }
         }
     }
@@ -57,7 +62,7 @@
         let Some(charge) = &request.arrival.charge else { return };
         if !request.has_credit {
             self.quota.forget(id);
-        } else if request.past == Past::Clean && request.has_not_begun() {
+        } else if request.history == RunHistory::NeverRan && request.has_no_run() {
             self.quota.give_back(cx, charge);
         }
     }
@@ -69,7 +74,7 @@
         let withdrawn: Vec<(RequestId, RefusalReason)> =
             found.filter_map(|(id, request)| Some((*id, withdrawal(accounts, request)?))).collect();
         for (id, reason) in withdrawn {
-            self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+            self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/wanted.rs
+++ b/crates/skylarkshore-core/src/serving/demand.rs
@@ -3,7 +3,7 @@
 //!
 //! Open [`Demand`] first.
 
-mod assign;
+mod assignment;
 mod owners;
 
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::id::{HostId, UpstreamId};
 use crate::peer::{CannotLoad, PeerMessage};
 use crate::rules::ServiceOrder;
-use crate::serving::pace::Paces;
+use crate::serving::expected_retries::Returning;
 use crate::serving::queue::Waiting;
-use crate::serving::returning::Returning;
+use crate::serving::wait_estimate::Paces;
 use crate::time::Time;
 
 /// How long a target is kept after its last request.
--- a/crates/skylarkshore-core/src/serving/decide.rs
+++ b/crates/skylarkshore-core/src/serving/disposition.rs
@@ -9,21 +9,21 @@
 use crate::event::Repeat;
 use crate::id::{RequestId, UpstreamId};
 use crate::serving::Serving;
-use crate::serving::request::{Caller, Company, Due, Past, Run, State};
+use crate::serving::request::{Caller, Due, Isolation, Run, RunHistory, State};
 use crate::store::RecordedAnswer;
 
 /// Longest time that a refusal waits for its claim to be released.
-const RELEASE_PATIENCE: Duration = Duration::from_millis(300);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What to do with a request next.
 #[derive(Clone, Debug)]
-pub(super) enum Step {
+pub(super) enum Disposition {
     /// Send it to an upstream.
     Send {
         /// The upstream, whose slot the request occupies.
         upstream: UpstreamId,
         /// Whether other requests may run there at the same time.
-        company: Company,
+        isolation: Isolation,
     },
     /// Refuse it for good.
     Refuse {
@@ -40,20 +40,20 @@
     /// If this were decided in two places, a deadline that passes while a claim's answer is
     /// in flight could refuse a request as not run, and the answer could then send it: a
     /// booking would be made after its caller was told that it was not.
-    pub(super) fn advance(&mut self, cx: &mut Cx<'_>, id: RequestId, step: Step) {
+    pub(super) fn send_or_refuse(&mut self, cx: &mut Cx<'_>, id: RequestId, disposition: Disposition) {
         let Some(request) = self.requests.get(&id) else { return };
-        match step {
-            Step::Send { upstream, company } if request.may_be_sent() => {
-                self.send(cx, id, upstream, company);
+        match disposition {
+            Disposition::Send { upstream, isolation } if request.may_be_sent() => {
+                self.send(cx, id, upstream, isolation);
             }
-            Step::Send { .. } => self.refuse(cx, id, RefusalReason::UpstreamLost, None),
-            Step::Refuse { reason, retry_after } => self.refuse(cx, id, reason, retry_after),
+            Disposition::Send { .. } => self.refuse(cx, id, RefusalReason::UpstreamLost, None),
+            Disposition::Refuse { reason, retry_after } => self.refuse(cx, id, reason, retry_after),
         }
     }
 
-    fn send(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, company: Company) {
+    fn send(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, isolation: Isolation) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.place() != Some(&upstream) {
+        if request.occupied_upstream() != Some(&upstream) {
             self.routes.occupy(&upstream);
         }
         let attempt = cx.next_attempt();
@@ -78,8 +78,9 @@
                 && !request.passed_on
                 && request.runs + 1 < request.arrival.terms.tries.min(cx.cfg.limits.attempts),
         });
-        let life = cx.upstreams.get(&upstream).map(|listed| listed.incarnation);
-        request.enter(State::Sent(Run { attempt, upstream, life, company, sent: cx.now }), cx.now);
+        let incarnation = cx.upstreams.get(&upstream).map(|listed| listed.incarnation);
+        request
+            .set_state(State::Sent(Run { attempt, upstream, incarnation, isolation, sent: cx.now }), cx.now);
         self.attempts.insert(attempt, id);
         self.paces.begin(cx.now, &request.arrival.target);
         self.tally.sent += 1;
@@ -105,32 +106,32 @@
         );
         cx.decided(id, "request_refused", detail);
         request.passed_on = request.is_partly_answered();
-        if let Some(place) = request.place() {
-            self.routes.free(place);
+        if let Some(occupied_upstream) = request.occupied_upstream() {
+            self.routes.free(occupied_upstream);
         }
         if let Some(run) = request.run() {
             cx.push(Effect::Cancel { attempt: run.attempt });
             self.attempts.remove(&run.attempt);
             self.paces.end(cx.now, &request.arrival.target, None);
-            request.past = Past::Lost;
+            request.history = RunHistory::MayHaveRun;
         }
         self.queue.drop_out(id, request);
-        let Some(key) = request.once_key() else { return self.conclude(cx, id, refusal) };
+        let Some(key) = request.once_key() else { return self.finish_refused(cx, id, refusal) };
         if refusal.outcome != RefusalOutcome::NotRun {
             self.once.leave_in_doubt(cx, key, id);
-            return self.conclude(cx, id, refusal);
+            return self.finish_refused(cx, id, refusal);
         }
         if !self.once.release(cx, key, id) {
-            return self.conclude(cx, id, refusal);
+            return self.finish_refused(cx, id, refusal);
         }
-        let until = cx.now.after(RELEASE_PATIENCE);
-        request.enter(State::Releasing { until, refusal }, cx.now);
+        let until = cx.now.after(RELEASE_TIMEOUT);
+        request.set_state(State::Releasing { until, refusal }, cx.now);
         self.timers.insert(Due { at: until, request: id });
     }
 
     /// Sends the refusal to the caller and removes the request.
-    pub(super) fn conclude(&mut self, cx: &mut Cx<'_>, id: RequestId, refusal: Refusal) {
-        let Some(request) = self.forget(cx, id) else { return };
+    pub(super) fn finish_refused(&mut self, cx: &mut Cx<'_>, id: RequestId, refusal: Refusal) {
+        let Some(request) = self.remove_request(cx, id) else { return };
         if request.caller == Caller::Gone {
             return;
         }
@@ -144,8 +145,8 @@
     }
 
     /// Sends a recorded answer to the caller and removes the request.
-    pub(super) fn answer(&mut self, cx: &mut Cx<'_>, id: RequestId, answer: RecordedAnswer) {
-        let Some(request) = self.forget(cx, id) else { return };
+    pub(super) fn finish_with_answer(&mut self, cx: &mut Cx<'_>, id: RequestId, answer: RecordedAnswer) {
+        let Some(request) = self.remove_request(cx, id) else { return };
         self.tally.answered += 1;
         if request.caller == Caller::Waiting {
             cx.push(Effect::Answer { request: id, answer });
@@ -153,8 +154,8 @@
     }
 
     /// Removes a request whose answer was forwarded in full.
-    pub(super) fn finish(&mut self, cx: &mut Cx<'_>, id: RequestId) {
-        if self.forget(cx, id).is_some() {
+    pub(super) fn finish_forwarded(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+        if self.remove_request(cx, id).is_some() {
             self.tally.answered += 1;
         }
     }
--- a/crates/skylarkshore-core/src/serving/alone.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -10,48 +10,48 @@
 use crate::id::{Digest, HostId, Incarnation, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
 use crate::serving::Serving;
-use crate::serving::attempt::owner;
-use crate::serving::decide::Step;
+use crate::serving::attempt::owner_of;
+use crate::serving::disposition::Disposition;
 use crate::serving::queue::Urgency;
-use crate::serving::request::{Company, Run, State};
-use crate::serving::suspect::{Alone, Standing};
+use crate::serving::request::{Isolation, Run, State};
+use crate::serving::suspect::{IsolatedRun, SuspectStatus};
 use crate::view::EngineView;
 
 /// How long an owner's reservation is awaited before an engine that seems idle is used without
 /// one.
-const RESERVATION_PATIENCE: Duration = Duration::from_secs(3);
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval between reservation requests to an owner.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const RESERVATION_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Serving {
     /// Dispatches the next suspect, one at a time.
     ///
     /// Two suspects at the same time would not show which of them crashes engines, and the
     /// innocent one would be convicted with the other.
-    pub(super) fn pump_alone(&mut self, cx: &mut Cx<'_>) {
-        if self.suspects.alone.is_none() {
-            self.choose_alone(cx);
+    pub(super) fn dispatch_suspects(&mut self, cx: &mut Cx<'_>) {
+        if self.suspects.isolated.is_none() {
+            self.choose_suspect(cx);
         }
-        let Some(alone) = self.suspects.alone.clone() else { return };
-        let Some(request) = self.requests.get(&alone.request) else { return };
-        if request.state != State::QueuedAlone {
+        let Some(isolated) = self.suspects.isolated.clone() else { return };
+        let Some(request) = self.requests.get(&isolated.request) else { return };
+        if request.state != State::QueuedForIsolation {
             return;
         }
         let Target::Model(target) = &request.arrival.target else {
-            self.suspects.waiting.remove(&Urgency::of(alone.request, request));
-            return self.start(cx, alone.request, alone.upstream, Company::Others);
+            self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
+            return self.claim_or_send(cx, isolated.request, isolated.upstream, Isolation::Shared);
         };
         let patience = request.arrival.deadline.remaining(cx.now);
-        if !self.routes.ready_engines(cx, target).contains(&alone.upstream) {
-            self.end_alone(cx, alone.request);
+        if !self.routes.ready_engines(cx, target).contains(&isolated.upstream) {
+            self.end_isolation(cx, isolated.request);
             return;
         }
-        if let Some(company) = self.company(cx, &alone) {
-            self.suspects.waiting.remove(&Urgency::of(alone.request, request));
-            return self.start(cx, alone.request, alone.upstream, company);
+        if let Some(isolation) = self.permitted_isolation(cx, &isolated) {
+            self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
+            return self.claim_or_send(cx, isolated.request, isolated.upstream, isolation);
         }
-        if alone.asked.is_none_or(|asked| asked.after(ASK_EVERY).is_due(cx.now)) {
-            self.ask_reservation(cx, &alone.upstream, patience);
+        if isolated.asked.is_none_or(|asked| asked.after(RESERVATION_REQUEST_INTERVAL).is_due(cx.now)) {
+            self.ask_reservation(cx, &isolated.upstream, patience);
         }
     }
 
@@ -59,15 +59,15 @@
     ///
     /// An owner that is down can't reserve its engine. A suspect runs there anyway if the
     /// engine seems idle, but a crash then proves nothing.
-    fn company(&self, cx: &Cx<'_>, alone: &Alone) -> Option<Company> {
-        if self.routes.is_ours_alone(cx, &alone.upstream) {
-            return Some(Company::Alone);
+    fn permitted_isolation(&self, cx: &Cx<'_>, isolated: &IsolatedRun) -> Option<Isolation> {
+        if self.routes.is_reserved_and_idle(cx, &isolated.upstream) {
+            return Some(Isolation::Exclusive);
         }
-        let unanswered = alone.since.after(RESERVATION_PATIENCE).is_due(cx.now);
-        (unanswered && self.routes.seems_idle(&alone.upstream)).then_some(Company::Others)
+        let unanswered = isolated.since.after(RESERVATION_TIMEOUT).is_due(cx.now);
+        (unanswered && self.routes.seems_idle(&isolated.upstream)).then_some(Isolation::Shared)
     }
 
-    fn choose_alone(&mut self, cx: &Cx<'_>) {
+    fn choose_suspect(&mut self, cx: &Cx<'_>) {
         for urgency in &self.suspects.waiting {
             let Some(request) = self.requests.get(&urgency.due.request) else { continue };
             let mut upstreams = match &request.arrival.target {
@@ -78,29 +78,31 @@
             let Some(upstream) = upstreams.into_iter().next() else { continue };
             self.routes.keep_free(&upstream);
             let request = urgency.due.request;
-            self.suspects.alone = Some(Alone { request, upstream, since: cx.now, asked: None });
+            self.suspects.isolated = Some(IsolatedRun { request, upstream, since: cx.now, asked: None });
             return;
         }
     }
 
     fn ask_reservation(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, patience: Duration) {
-        if let Some(alone) = &mut self.suspects.alone {
-            alone.asked = Some(cx.now);
+        if let Some(isolated) = &mut self.suspects.isolated {
+            isolated.asked = Some(cx.now);
         }
-        if let Some(owner) = owner(cx, upstream) {
+        if let Some(owner) = owner_of(cx, upstream) {
             cx.tell(&owner, PeerMessage::ReservationWanted { upstream: upstream.clone(), patience });
         }
     }
 
     /// Releases the upstream held for a suspect, if the request is the isolated one.
-    pub(super) fn end_alone(&mut self, cx: &mut Cx<'_>, id: RequestId) {
-        let Some(alone) = self.suspects.alone.take_if(|alone| alone.request == id) else { return };
-        self.routes.open(&alone.upstream);
-        if alone.asked.is_none() {
+    pub(super) fn end_isolation(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+        let Some(isolated) = self.suspects.isolated.take_if(|isolated| isolated.request == id) else {
+            return;
+        };
+        self.routes.open(&isolated.upstream);
+        if isolated.asked.is_none() {
             return;
         }
-        if let Some(owner) = owner(cx, &alone.upstream) {
-            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: alone.upstream });
+        if let Some(owner) = owner_of(cx, &isolated.upstream) {
+            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: isolated.upstream });
         }
     }
 
@@ -110,11 +112,11 @@
     /// reservation expires.
     pub(super) fn return_stray_reservation(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
         let here = view.reserved_for.as_ref() == Some(&cx.cfg.host);
-        let needed = self.suspects.alone.as_ref().is_some_and(|alone| alone.upstream == view.upstream);
+        let needed = self.suspects.isolated.as_ref().is_some_and(|run| run.upstream == view.upstream);
         if !here || needed {
             return;
         }
-        if let Some(owner) = owner(cx, &view.upstream) {
+        if let Some(owner) = owner_of(cx, &view.upstream) {
             cx.tell(&owner, PeerMessage::ReservationReturned { upstream: view.upstream.clone() });
         }
     }
@@ -124,11 +126,11 @@
     /// The incarnation is the one that the request was sent to. When the loss is noticed,
     /// the host list may no longer name it, or may name the next one. With either of these,
     /// no termination would ever be counted, and the request would crash more upstreams.
-    pub(super) fn count_loss(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run) {
+    pub(super) fn record_loss(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run) {
         let Some(request) = self.requests.get(&id) else { return };
         let digests = vec![request.arrival.digest];
-        let (upstream, incarnation) = (run.upstream.clone(), run.life);
-        self.suspects.count_loss(cx, &upstream, incarnation, &digests);
+        let (upstream, incarnation) = (run.upstream.clone(), run.incarnation);
+        self.suspects.record_loss(cx, &upstream, incarnation, &digests);
         tell_everyone(cx, &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false });
     }
 
@@ -143,35 +145,35 @@
         alone: bool,
     ) {
         if cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
-            self.suspects.count_loss(cx, upstream, incarnation, digests);
+            self.suspects.record_loss(cx, upstream, incarnation, digests);
             return self.refuse_convicted(cx);
         }
-        let company = if alone { Company::Alone } else { Company::Others };
-        self.suspects.suspect(cx, upstream, digests, company);
+        let isolation = if alone { Isolation::Exclusive } else { Isolation::Shared };
+        self.suspects.record_crash(cx, upstream, digests, isolation);
         cx.tell(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
         self.refuse_convicted(cx);
-        self.set_apart(cx);
-        self.pump(cx);
+        self.isolate_suspects(cx);
+        self.dispatch_waiting(cx);
     }
 
     /// Refuses the waiting requests that crash upstreams.
     pub(super) fn refuse_convicted(&mut self, cx: &mut Cx<'_>) {
-        let ids = self.waiting_with(Standing::Convicted);
+        let ids = self.waiting_with(SuspectStatus::Convicted);
         for id in ids {
             let reason = RefusalReason::CrashesUpstreams;
-            self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+            self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
     }
 
     /// Moves queued requests that have become suspect to the queue for isolated runs.
-    pub(super) fn set_apart(&mut self, cx: &mut Cx<'_>) {
-        for id in self.waiting_with(Standing::Suspect) {
+    pub(super) fn isolate_suspects(&mut self, cx: &mut Cx<'_>) {
+        for id in self.waiting_with(SuspectStatus::Suspect) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
             if request.state != State::Queued {
                 continue;
             }
             self.queue.drop_out(id, request);
-            request.enter(State::QueuedAlone, cx.now);
+            request.set_state(State::QueuedForIsolation, cx.now);
             self.suspects.waiting.insert(Urgency::of(id, request));
         }
     }
@@ -181,7 +183,7 @@
         let cleared: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.arrival.digest == digest && r.state == State::QueuedAlone)
+            .filter(|(_, r)| r.arrival.digest == digest && r.state == State::QueuedForIsolation)
             .map(|(id, _)| *id)
             .collect();
         // All requests leave the suspect queue before the first is requeued. Requeueing
@@ -189,16 +191,16 @@
         for id in &cleared {
             let Some(request) = self.requests.get(id) else { continue };
             self.suspects.waiting.remove(&Urgency::of(*id, request));
-            self.end_alone(cx, *id);
+            self.end_isolation(cx, *id);
         }
         for id in cleared {
-            self.wait(cx, id);
+            self.push_to_queue(cx, id);
         }
     }
 
-    fn waiting_with(&self, standing: Standing) -> Vec<RequestId> {
-        let waits = |state: &State| matches!(state, State::Queued | State::QueuedAlone);
-        let with = |digest| self.suspects.standing(digest) == standing;
+    fn waiting_with(&self, status: SuspectStatus) -> Vec<RequestId> {
+        let waits = |state: &State| matches!(state, State::Queued | State::QueuedForIsolation);
+        let with = |digest| self.suspects.status(digest) == status;
         let found = self.requests.iter().filter(|(_, r)| waits(&r.state) && with(r.arrival.digest));
         found.map(|(id, _)| *id).collect()
     }
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -2,9 +2,9 @@
 //!
 //! Open [`Once`] first.
 
-mod calls;
 mod claim;
-mod unsettled;
+mod store_calls;
+mod unknown_outcomes;
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::cx::Cx;
 use crate::id::{CallId, Digest, LeaseId, RequestId};
 use crate::serving::lease::OnceLease;
-use crate::serving::once::calls::{SETTLE, delete, is_own_claim, once_record, read};
 use crate::serving::once::claim::{Claim, Claimed, Step};
-use crate::serving::once::unsettled::Unsettled;
+use crate::serving::once::store_calls::{SETTLE, delete, is_own_claim, once_record, read};
+use crate::serving::once::unknown_outcomes::Unsettled;
 use crate::store::{
     Expect, Key, OnceRecord, OnceState, Record, RecordedAnswer, StoreAnswer, StoreResult, Versioned,
     WriteOutcome, WriteRequest,
@@ -27,7 +27,7 @@
 const CLAIM_PATIENCE_FAILING: Duration = Duration::from_millis(200);
 /// Progress of a request's claim.
 #[derive(Debug)]
-pub(super) enum Learnt {
+pub(super) enum ClaimProgress {
     /// The key is unused.
     Unused(RequestId),
     /// The claim is held: the request may be sent.
@@ -48,7 +48,7 @@
 
 /// The use of a key at this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Here {
+pub(super) enum LocalUse {
     /// Not known to be in use.
     Unknown,
     /// The same request is in progress.
@@ -70,12 +70,12 @@
 
 impl Once {
     /// Returns how a key is used at this process.
-    pub(super) fn here(&self, key: Digest, digest: Digest) -> Here {
+    pub(super) fn local_use(&self, key: Digest, digest: Digest) -> LocalUse {
         match self.claims.get(&key) {
-            None => Here::Unknown,
-            Some(claim) if matches!(claim.step, Step::Doubtful(_)) => Here::Unknown,
-            Some(claim) if claim.digest == digest => Here::SameRequest,
-            Some(_) => Here::OtherRequest,
+            None => LocalUse::Unknown,
+            Some(claim) if matches!(claim.step, Step::Doubtful(_)) => LocalUse::Unknown,
+            Some(claim) if claim.digest == digest => LocalUse::SameRequest,
+            Some(_) => LocalUse::OtherRequest,
         }
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Runs what is due.
-    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Learnt> {
+    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<ClaimProgress> {
         self.lease.on_tick(cx);
         self.write_waiting(cx);
         let mut late = Vec::new();
@@ -186,18 +186,23 @@
                 _ => {}
             }
         }
-        let mut learnt = Vec::new();
+        let mut progress = Vec::new();
         for (key, user) in late {
             self.release(cx, key, user);
-            learnt.push(Learnt::Unreachable(user));
+            progress.push(ClaimProgress::Unreachable(user));
         }
         self.claims
             .retain(|_, claim| !matches!(&claim.step, Step::Doubtful(doubt) if doubt.until.is_due(cx.now)));
-        learnt
+        progress
     }
 
     /// Handles the result of a store call that isn't a write.
-    pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) -> Option<Learnt> {
+    pub(super) fn on_store(
+        &mut self,
+        cx: &mut Cx<'_>,
+        call: CallId,
+        result: &StoreResult,
+    ) -> Option<ClaimProgress> {
         self.failing = result.is_err();
         if self.lease.on_store(cx, call, result) {
             self.write_waiting(cx);
@@ -222,7 +227,7 @@
         cx: &mut Cx<'_>,
         key: Digest,
         outcome: &WriteOutcome,
-    ) -> Option<Learnt> {
+    ) -> Option<ClaimProgress> {
         match self.claims.get(&key)?.step {
             Step::Writing { lease } => self.on_claim_written(cx, key, lease, outcome),
             Step::Recording => {
@@ -230,7 +235,7 @@
                     self.unsettled.insert(cx.now, key);
                     cx.note("once_answer_not_recorded", key, "the request has run; its key stays claimed");
                 }
-                self.claims.remove(&key)?.user.map(Learnt::Recorded)
+                self.claims.remove(&key)?.user.map(ClaimProgress::Recorded)
             }
             Step::Releasing => self.on_released(cx, key, outcome),
             _ => None,
@@ -243,14 +248,14 @@
         key: Digest,
         lease: LeaseId,
         outcome: &WriteOutcome,
-    ) -> Option<Learnt> {
+    ) -> Option<ClaimProgress> {
         let claim = self.claims.get_mut(&key)?;
         match outcome {
             WriteOutcome::Done(written) => {
                 claim.leftover = false;
                 if let Some(user) = claim.user {
                     claim.step = Step::Held(Claimed { revision: written.revision, lease });
-                    return Some(Learnt::Claimed(user));
+                    return Some(ClaimProgress::Claimed(user));
                 }
                 claim.step = Step::Releasing;
                 delete(cx, key, written.revision);
@@ -266,17 +271,17 @@
                     return None;
                 };
                 self.release(cx, key, user);
-                Some(Learnt::Unreachable(user))
+                Some(ClaimProgress::Unreachable(user))
             }
             WriteOutcome::Unknown => {
                 claim.step = Step::doubtful(cx.now);
                 claim.leftover = true;
-                claim.user.take().map(Learnt::Unreachable)
+                claim.user.take().map(ClaimProgress::Unreachable)
             }
         }
     }
 
-    fn on_released(&mut self, cx: &Cx<'_>, key: Digest, outcome: &WriteOutcome) -> Option<Learnt> {
+    fn on_released(&mut self, cx: &Cx<'_>, key: Digest, outcome: &WriteOutcome) -> Option<ClaimProgress> {
         let claim = self.claims.get_mut(&key)?;
         let user = claim.user.take();
         if matches!(outcome, WriteOutcome::NotDone | WriteOutcome::Unknown) {
@@ -285,7 +290,7 @@
         } else {
             self.claims.remove(&key);
         }
-        user.map(Learnt::Released)
+        user.map(ClaimProgress::Released)
     }
 
     /// Reports whether a record is an orphaned claim of this process, under which nothing
@@ -296,9 +301,9 @@
     }
 
     /// Handles a conflict with an existing record under a key that was to be claimed.
-    fn on_taken(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<Learnt> {
+    fn on_taken(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<ClaimProgress> {
         let Some(Record::Once(record)) = &found.record else {
-            return self.claims.remove(&key)?.user.map(Learnt::Unreachable);
+            return self.claims.remove(&key)?.user.map(ClaimProgress::Unreachable);
         };
         if self.is_leftover(cx, key, record) {
             let claim = self.claims.get_mut(&key)?;
@@ -307,26 +312,26 @@
             // lease expires.
             claim.step = Step::Releasing;
             delete(cx, key, found.revision);
-            return claim.user.take().map(Learnt::Unreachable);
+            return claim.user.take().map(ClaimProgress::Unreachable);
         }
         let request = self.claims.remove(&key)?.user?;
-        Some(Learnt::Used { request, found: record.clone() })
+        Some(ClaimProgress::Used { request, found: record.clone() })
     }
 
-    fn on_looked_up(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) -> Option<Learnt> {
+    fn on_looked_up(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) -> Option<ClaimProgress> {
         let request = self.claims.get(&key)?.user?;
         let Ok(StoreAnswer::One(found)) = result else {
             self.release(cx, key, request);
-            return Some(Learnt::Unreachable(request));
+            return Some(ClaimProgress::Unreachable(request));
         };
         match &found.record {
             Some(Record::Once(record)) if !self.is_leftover(cx, key, record) => {
                 self.claims.remove(&key);
-                Some(Learnt::Used { request, found: record.clone() })
+                Some(ClaimProgress::Used { request, found: record.clone() })
             }
             _ => {
                 self.claims.get_mut(&key)?.step = Step::Queued;
-                Some(Learnt::Unused(request))
+                Some(ClaimProgress::Unused(request))
             }
         }
     }
--- a/crates/skylarkshore-core/src/serving/once/claim.rs
+++ b/crates/skylarkshore-core/src/serving/once/claim.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::id::{CallId, Digest, LeaseId, RequestId, StoreRevision};
-use crate::serving::once::calls::SETTLE;
+use crate::serving::once::store_calls::SETTLE;
 use crate::time::Time;
 
 /// First pause before an unconfirmed claim is looked up.
--- a/crates/skylarkshore-core/src/serving/views.rs
+++ b/crates/skylarkshore-core/src/serving/published_views.rs
@@ -8,7 +8,7 @@
 use crate::collections::{HashMap, OrderedMap, OrderedSet};
 use crate::cx::Cx;
 use crate::id::{ModelName, ModelVersion, UpstreamId};
-use crate::serving::load::OthersLoad;
+use crate::serving::others_load::OthersLoad;
 use crate::time::Time;
 use crate::upstream::Upstream;
 use crate::view::{EngineView, ModelView, Readiness, ViewVersion};
@@ -54,7 +54,7 @@
     /// When a reservation begins, other routers don't know of it yet, and the engine's
     /// figures are older still. A suspect sent immediately could run next to an innocent
     /// request, or be convicted of the crash that the other one caused.
-    pub(super) fn is_ours_alone(&self, cx: &Cx<'_>) -> bool {
+    pub(super) fn is_reserved_and_idle(&self, cx: &Cx<'_>) -> bool {
         let settled = self.reserved_since.after(cx.cfg.timings.report_every * 2);
         self.view.reserved_for.as_ref() == Some(&cx.cfg.host)
             && self.view.running == 0
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -22,7 +22,7 @@
 
 impl Urgency {
     pub(super) fn of(id: RequestId, request: &Request) -> Self {
-        Self { order: request.order, due: Due { at: request.waits_until(), request: id } }
+        Self { order: request.order, due: Due { at: request.queue_deadline(), request: id } }
     }
 }
 
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -23,18 +23,18 @@
     pub(super) attempt: AttemptId,
     pub(super) upstream: UpstreamId,
     /// The upstream's incarnation on the host list when the attempt was sent.
-    pub(super) life: Option<Incarnation>,
-    pub(super) company: Company,
+    pub(super) incarnation: Option<Incarnation>,
+    pub(super) isolation: Isolation,
     pub(super) sent: Time,
 }
 
 /// Whether other requests may run on the upstream of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Company {
+pub(super) enum Isolation {
     /// Other requests may run at the same time.
-    Others,
+    Shared,
     /// The request is a suspect, and nothing else runs there.
-    Alone,
+    Exclusive,
 }
 
 /// The stage that a request has reached.
@@ -50,20 +50,20 @@
     /// Waits for an upstream.
     Queued,
     /// Is a suspect and waits for an upstream of its own.
-    QueuedAlone,
+    QueuedForIsolation,
     /// Occupies a slot at the upstream while its idempotency key is being claimed.
     Claiming {
         /// The upstream on which it will run.
         run: UpstreamId,
         /// Whether other requests may run there.
-        company: Company,
+        isolation: Isolation,
     },
     /// Was sent; no part of the answer has arrived.
     Sent(Run),
     /// A part of the answer has arrived.
     Answering(Run),
     /// Its upstream died, and the peers are being notified before it is retried or refused.
-    TellingPeers,
+    NotifyingPeers,
     /// Its answer is being recorded under its idempotency key.
     Recording {
         /// When the caller gets the answer even if it is not recorded.
@@ -80,15 +80,15 @@
 
 /// Whether earlier attempts may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Past {
+pub(super) enum RunHistory {
     /// No attempt was sent, or the upstreams did nothing.
-    Clean,
+    NeverRan,
     /// An attempt was lost and may have run.
-    Lost,
+    MayHaveRun,
     /// An isolated attempt ran and crashed its upstream.
     Crashed,
     /// An earlier request with the same idempotency key may have run.
-    Elsewhere,
+    MayHaveRunElsewhere,
 }
 
 /// Whether the caller still waits for the answer.
@@ -116,11 +116,11 @@
     /// Attempts that may have run.
     pub(super) runs: u32,
     /// Whether a failure answer of the last attempt is held for the caller.
-    pub(super) kept_failure: bool,
+    pub(super) holds_failure: bool,
     /// Upstreams on which an attempt has failed.
     pub(super) tried: OrderedSet<UpstreamId>,
     /// Whether earlier attempts may have run it.
-    pub(super) past: Past,
+    pub(super) history: RunHistory,
     /// Whether the caller has received a part of the answer.
     pub(super) passed_on: bool,
     pub(super) caller: Caller,
@@ -134,7 +134,7 @@
     /// Callers of streams disconnect if no event arrives for a while, long before their
     /// deadline. A request that waited longer would be answered to nobody, and its caller
     /// would lose the time in which it could have asked another host.
-    pub(super) fn waits_until(&self) -> Time {
+    pub(super) fn queue_deadline(&self) -> Time {
         let deadline = self.arrival.deadline;
         if self.passed_on { deadline } else { deadline.min(self.arrival.terms.begins_by) }
     }
@@ -149,9 +149,9 @@
             since: now,
             failures: 0,
             runs: 0,
-            kept_failure: false,
+            holds_failure: false,
             tried: OrderedSet::new(),
-            past: Past::Clean,
+            history: RunHistory::NeverRan,
             passed_on: false,
             caller: Caller::Waiting,
             has_credit: false,
@@ -159,7 +159,7 @@
     }
 
     /// Sets the state.
-    pub(super) fn enter(&mut self, state: State, now: Time) {
+    pub(super) fn set_state(&mut self, state: State, now: Time) {
         self.state = state;
         self.since = now;
     }
@@ -181,7 +181,7 @@
     }
 
     /// Returns the upstream at which the request occupies a slot.
-    pub(super) const fn place(&self) -> Option<&UpstreamId> {
+    pub(super) const fn occupied_upstream(&self) -> Option<&UpstreamId> {
         match &self.state {
             State::Claiming { run: upstream, .. } => Some(upstream),
             State::Sent(run) | State::Answering(run) => Some(&run.upstream),
@@ -193,12 +193,12 @@
     pub(super) const fn is_waiting(&self) -> bool {
         matches!(
             self.state,
-            State::AwaitingCredit { .. } | State::LookingUp | State::Queued | State::QueuedAlone
+            State::AwaitingCredit { .. } | State::LookingUp | State::Queued | State::QueuedForIsolation
         )
     }
 
     /// Reports whether no attempt is in progress and no answer is being recorded.
-    pub(super) const fn has_not_begun(&self) -> bool {
+    pub(super) const fn has_no_run(&self) -> bool {
         self.run().is_none() && !matches!(self.state, State::Recording { .. })
     }
 
@@ -209,7 +209,8 @@
 
     /// Reports whether sending the request now can't cause a forbidden second run.
     pub(super) fn may_be_sent(&self) -> bool {
-        self.run().is_none() && (self.past == Past::Clean || self.arrival.repeat == Repeat::Allowed)
+        self.run().is_none()
+            && (self.history == RunHistory::NeverRan || self.arrival.repeat == Repeat::Allowed)
     }
 
     /// Reports whether the caller has, or may have, a part of the answer.
@@ -232,10 +233,10 @@
         if self.run().is_some() {
             return RefusalOutcome::Unknown;
         }
-        match self.past {
-            Past::Clean => RefusalOutcome::NotRun,
-            Past::Lost | Past::Elsewhere => RefusalOutcome::Unknown,
-            Past::Crashed => RefusalOutcome::Failed,
+        match self.history {
+            RunHistory::NeverRan => RefusalOutcome::NotRun,
+            RunHistory::MayHaveRun | RunHistory::MayHaveRunElsewhere => RefusalOutcome::Unknown,
+            RunHistory::Crashed => RefusalOutcome::Failed,
         }
     }
 
@@ -245,11 +246,11 @@
             State::AwaitingCredit { .. } => "waiting for its client account's credit".to_owned(),
             State::LookingUp => "looking its key up".to_owned(),
             State::Queued => "queued".to_owned(),
-            State::QueuedAlone => "suspect, waiting for an upstream of its own".to_owned(),
+            State::QueuedForIsolation => "suspect, waiting for an upstream of its own".to_owned(),
             State::Claiming { run, .. } => format!("claiming its key, to be sent to {run}"),
             State::Sent(run) => format!("sent to {}, attempt {}", run.upstream, run.attempt),
             State::Answering(run) => format!("answering from {}, attempt {}", run.upstream, run.attempt),
-            State::TellingPeers => "lost, peers are being told".to_owned(),
+            State::NotifyingPeers => "lost, peers are being told".to_owned(),
             State::Recording { .. } => "answered, being recorded".to_owned(),
             State::Releasing { .. } => "not run, its claim is being given up".to_owned(),
         }
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -13,8 +13,8 @@
 use crate::cx::Cx;
 use crate::event::{LoadTold, Target};
 use crate::id::{Digest, ServiceName, UpstreamId};
-use crate::serving::load::{Millis, OthersLoad};
-use crate::serving::views::{News, Views};
+use crate::serving::others_load::{Millis, OthersLoad};
+use crate::serving::published_views::{News, Views};
 use crate::time::Time;
 use crate::upstream::{Standing, Upstream};
 use crate::view::EngineView;
@@ -86,7 +86,7 @@
 
 /// Whether a target is available or will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Prospect {
+pub(super) enum Availability {
     /// An upstream has it, whether busy or not.
     Ready,
     /// An engine is loading it.
@@ -98,7 +98,7 @@
     None,
 }
 
-impl Prospect {
+impl Availability {
     /// Returns the text for the log.
     pub(super) fn describe(self, now: Time) -> String {
         match self {
@@ -111,7 +111,7 @@
 
 /// What routing needs to know of a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wish<'a> {
+pub(super) struct RouteQuery<'a> {
     pub(super) target: &'a Target,
     /// The digest of the prompt prefix.
     pub(super) prefix: Option<Digest>,
@@ -247,14 +247,14 @@
     }
 
     /// Chooses an upstream with room for a request.
-    pub(super) fn choose(&self, cx: &mut Cx<'_>, wish: Wish<'_>) -> Option<UpstreamId> {
-        let mut free: Vec<Candidate> = self.candidates(cx, wish.target);
-        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && wish.prefix.is_some()));
-        if free.iter().any(|c| !wish.tried.contains(&c.upstream)) {
-            free.retain(|c| !wish.tried.contains(&c.upstream));
+    pub(super) fn choose(&self, cx: &mut Cx<'_>, route_query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let mut free: Vec<Candidate> = self.candidates(cx, route_query.target);
+        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && route_query.prefix.is_some()));
+        if free.iter().any(|c| !route_query.tried.contains(&c.upstream)) {
+            free.retain(|c| !route_query.tried.contains(&c.upstream));
         }
         let least = free.iter().map(|c| c.cost).min()?;
-        if let Some(prefix) = wish.prefix {
+        if let Some(prefix) = route_query.prefix {
             free.retain(|c| c.cost <= least + PREFIX_SLACK.min(c.of_requests(PREFIX_SLACK_REQUESTS)));
             return free.iter().max_by_key(|c| affinity(prefix, &c.upstream)).map(|c| c.upstream.clone());
         }
@@ -265,19 +265,19 @@
 
     /// Returns the upstream that most probably has a prompt prefix cached, even if it is
     /// full.
-    pub(super) fn preferred(&self, cx: &Cx<'_>, wish: Wish<'_>) -> Option<UpstreamId> {
-        let prefix = wish.prefix?;
-        let candidates = self.candidates(cx, wish.target);
+    pub(super) fn preferred(&self, cx: &Cx<'_>, route_query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let prefix = route_query.prefix?;
+        let candidates = self.candidates(cx, route_query.target);
         candidates.into_iter().map(|c| c.upstream).max_by_key(|upstream| affinity(prefix, upstream))
     }
 
     /// Reports whether a request for a target may still be sent to an upstream.
-    pub(super) fn fits(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    pub(super) fn can_take(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         self.candidates(cx, target).iter().any(|c| c.upstream == *upstream)
     }
 
     /// Reports the same for a suspect for which the upstream is held.
-    pub(super) fn fits_alone(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    pub(super) fn can_take_isolated(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         match target {
             Target::Model(target) => self.ready_engines(cx, target).contains(upstream),
             Target::Service(_) => self.usable(cx, upstream),
@@ -302,8 +302,8 @@
     }
 
     /// Reports whether an engine is reserved for this host and runs nothing.
-    pub(super) fn is_ours_alone(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let reserved = self.views.get(upstream).is_some_and(|known| known.is_ours_alone(cx));
+    pub(super) fn is_reserved_and_idle(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
+        let reserved = self.views.get(upstream).is_some_and(|known| known.is_reserved_and_idle(cx));
         reserved && self.in_flight(upstream) == 0
     }
 
@@ -346,16 +346,16 @@
     }
 
     /// Returns whether a target is available or being loaded.
-    pub(super) fn prospect(&self, cx: &Cx<'_>, target: &Target) -> Prospect {
+    pub(super) fn availability(&self, cx: &Cx<'_>, target: &Target) -> Availability {
         if !self.candidates(cx, target).is_empty() {
-            return Prospect::Ready;
+            return Availability::Ready;
         }
-        let Target::Model(target) = target else { return Prospect::None };
+        let Target::Model(target) = target else { return Availability::None };
         if self.lacks_only_adapter(cx, target) {
-            return Prospect::None;
+            return Availability::None;
         }
         let ready_at = self.views.loading(cx, target).min();
-        ready_at.map_or(Prospect::None, |ready_at| Prospect::Loading { ready_at })
+        ready_at.map_or(Availability::None, |ready_at| Availability::Loading { ready_at })
     }
 
     /// Reports whether a target is an adapter whose base model is ready on an engine.
--- a/crates/skylarkshore-core/src/serving/report.rs
+++ b/crates/skylarkshore-core/src/serving/state_dump.rs
@@ -3,8 +3,8 @@
 use crate::cx::Cx;
 use crate::dump::{Belief, Gauge};
 use crate::serving::Serving;
-use crate::serving::suspect::Standing;
-use crate::serving::tally::gauge;
+use crate::serving::counters::gauge;
+use crate::serving::suspect::SuspectStatus;
 
 impl Serving {
     /// Returns an entry for each request, each upstream in use and each suspect.
@@ -22,9 +22,11 @@
             since: self.routes.views.get(upstream).map(|known| known.taken),
         });
         let suspects = self.suspects.digests().map(|digest| {
-            let state = match self.suspects.standing(digest) {
-                Standing::Convicted => "crashes upstreams and is refused",
-                Standing::Suspect | Standing::Free => "was in progress when an upstream died and runs alone",
+            let state = match self.suspects.status(digest) {
+                SuspectStatus::Convicted => "crashes upstreams and is refused",
+                SuspectStatus::Suspect | SuspectStatus::Unsuspected => {
+                    "was in progress when an upstream died and runs alone"
+                }
             };
             Belief { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
         });
@@ -38,8 +40,8 @@
             gauge("requests_queued_alone", self.suspects.waiting.len() as u64),
             gauge("requests_unfinished", self.requests.len() as u64),
             gauge("attempts_in_flight", self.attempts.len() as u64),
-            gauge("suspect_requests", self.suspects.count(Standing::Suspect) as u64),
-            gauge("convicted_requests", self.suspects.count(Standing::Convicted) as u64),
+            gauge("suspect_requests", self.suspects.count(SuspectStatus::Suspect) as u64),
+            gauge("convicted_requests", self.suspects.count(SuspectStatus::Convicted) as u64),
             gauge("once_in_doubt_total", self.once.in_doubt),
             gauge("late_views_total", self.routes.views.late),
         ];
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -11,11 +11,11 @@
 use crate::id::{HostId, RequestId, UpstreamId};
 use crate::peer::CannotLoad;
 use crate::serving::Serving;
-use crate::serving::decide::Step;
+use crate::serving::demand::{Pace, Refused, Supply};
+use crate::serving::disposition::Disposition;
 use crate::serving::queue::Waiting;
 use crate::serving::request::State;
-use crate::serving::routing::Prospect;
-use crate::serving::wanted::{Pace, Refused, Supply};
+use crate::serving::routing::Availability;
 use crate::store::Key;
 use crate::time::Time;
 use crate::view::EngineView;
@@ -47,7 +47,7 @@
                 self.review(cx, &Target::Model(model));
             }
         }
-        self.pump_at(cx, &view.upstream);
+        self.dispatch_for_upstream(cx, &view.upstream);
     }
 
     /// Handles an owner's refusal to load a target.
@@ -95,11 +95,15 @@
     pub(super) fn review(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Some(shortage) = self.shortage(cx, target) else { return };
         for id in self.waiting_for(target) {
-            let late = self.requests.get(&id).is_some_and(|r| r.waits_until() <= shortage.bar);
+            let late = self.requests.get(&id).is_some_and(|r| r.queue_deadline() <= shortage.bar);
             if late {
                 self.expect_back(cx.now, id, shortage.retry_after);
                 let reason = shortage.reason.clone();
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(shortage.retry_after) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(shortage.retry_after) },
+                );
             }
         }
     }
@@ -107,13 +111,17 @@
     /// Refuses every waiting request; another host has to serve them.
     pub(super) fn refuse_waiting(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
-        targets.extend(self.alone_targets());
+        targets.extend(self.suspect_targets());
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
             for id in self.waiting_for(&target) {
                 let reason = RefusalReason::Leaving;
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(Duration::ZERO) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(Duration::ZERO) },
+                );
             }
         }
     }
@@ -133,13 +141,13 @@
             }
             Target::Model(target) => target,
         };
-        match self.routes.prospect(cx, target) {
-            Prospect::Ready => return None,
-            Prospect::Loading { ready_at } => {
+        match self.routes.availability(cx, target) {
+            Availability::Ready => return None,
+            Availability::Loading { ready_at } => {
                 let reason = RefusalReason::ColdStartTooLong;
                 return Some(Shortage { reason, bar: ready_at, retry_after: ready_at.remaining(cx.now) });
             }
-            Prospect::None => {}
+            Availability::None => {}
         }
         if !cx.document.catalogue.models.contains_key(&model.model) {
             return Some(everyone(RETRY_AFTER));
@@ -163,7 +171,7 @@
         // while an engine is unreachable, a host that owns the home itself would loop
         // forever, and two hosts would flood each other.
         let first = !self.wants.is_waited_for(model);
-        let cold = first && self.routes.prospect(cx, target) == Prospect::None;
+        let cold = first && self.routes.availability(cx, target) == Availability::None;
         self.ask(cx, target, if cold { Pace::Now } else { Pace::WhenDue });
     }
 
@@ -178,7 +186,7 @@
                 _ => false,
             };
             let target = Target::Model(model);
-            if concerned && self.routes.prospect(cx, &target) == Prospect::None {
+            if concerned && self.routes.availability(cx, &target) == Availability::None {
                 self.ask(cx, &target, Pace::Now);
             }
         }
@@ -187,13 +195,13 @@
     fn ask(&mut self, cx: &mut Cx<'_>, target: &Target, pace: Pace) {
         let Target::Model(model) = target else { return };
         let Some(waiting) = self.waiting(cx, target) else { return };
-        let supply = match self.routes.prospect(cx, target) {
-            Prospect::Ready => Supply::Full,
+        let supply = match self.routes.availability(cx, target) {
+            Availability::Ready => Supply::Full,
             // A load that finishes after every waiting request has timed out is of
             // no use to them.
-            Prospect::Loading { ready_at } if ready_at >= waiting.patient_until => Supply::Nothing,
-            Prospect::Loading { .. } => Supply::Coming,
-            Prospect::None => Supply::Nothing,
+            Availability::Loading { ready_at } if ready_at >= waiting.patient_until => Supply::Nothing,
+            Availability::Loading { .. } => Supply::Coming,
+            Availability::None => Supply::Nothing,
         };
         if supply == Supply::Coming
             && let Some(loader) = self.loader(cx, model)
@@ -228,7 +236,7 @@
         }
         if let Target::Model(model) = target
             && let Some(returning) = self.wants.returning(cx, model)
-            && self.routes.prospect(cx, target) != Prospect::Ready
+            && self.routes.availability(cx, target) != Availability::Ready
         {
             Waiting::add(&mut waiting, returning.count, returning.order, returning.until);
         }
@@ -251,7 +259,7 @@
     pub(super) fn waiting_models(&self, cx: &Cx<'_>) -> Vec<ModelTarget> {
         let mut targets = self.queue.targets();
         targets.extend(self.wants.returning_targets(cx).cloned().map(Target::Model));
-        targets.extend(self.alone_targets());
+        targets.extend(self.suspect_targets());
         targets.sort_unstable();
         targets.dedup();
         let model = |target| match target {
@@ -262,10 +270,10 @@
     }
 
     /// Returns the targets of suspects that wait for isolation.
-    pub(super) fn alone_targets(&self) -> Vec<Target> {
+    pub(super) fn suspect_targets(&self) -> Vec<Target> {
         let waiting = self.suspects.waiting.iter().filter_map(|urgency| {
             let request = self.requests.get(&urgency.due.request)?;
-            (request.state == State::QueuedAlone).then(|| request.arrival.target.clone())
+            (request.state == State::QueuedForIsolation).then(|| request.arrival.target.clone())
         });
         waiting.collect()
     }
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -11,35 +11,35 @@
 use crate::id::{Digest, HostId, Incarnation, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
 use crate::serving::queue::Urgency;
-use crate::serving::request::Company;
+use crate::serving::request::Isolation;
 use crate::time::Time;
 
 /// How long a request remains suspect after its last crash.
-const SUSPECTED: Duration = Duration::from_hours(1);
+const SUSPICION_TTL: Duration = Duration::from_hours(1);
 /// How long a lost request is counted with an upstream that may have terminated.
-const COUNTED: Duration = Duration::from_mins(2);
+const LOSS_TTL: Duration = Duration::from_mins(2);
 /// How long a request that crashes upstreams is refused.
-const CONVICTED: Duration = Duration::from_hours(24);
+const CONVICTION_TTL: Duration = Duration::from_hours(24);
 /// Longest time that the peers' acknowledgements are awaited before the caller is answered.
-const TELL_PATIENCE: Duration = Duration::from_millis(300);
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which a notice is sent again to peers that haven't acknowledged it.
-const TELL_AGAIN: Duration = Duration::from_millis(100);
+const NOTICE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of digests that are kept.
-const REMEMBERED: usize = 4096;
+const MAX_SUSPICIONS: usize = 4096;
 /// Number of different upstreams that convicts a suspect when they crash, in isolation or not.
 ///
 /// A plain service's replica can't be reserved, so its suspects never provably run in
 /// isolation. Without this limit, one call could crash all replicas in turn, forever.
-const CRASHES_THAT_CONVICT: usize = 3;
+const CONVICTION_THRESHOLD: usize = 3;
 
 /// One incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Life {
+struct UpstreamIncarnation {
     upstream: UpstreamId,
     incarnation: Option<Incarnation>,
 }
 
-impl Life {
+impl UpstreamIncarnation {
     /// Reports whether the host list shows that this incarnation has terminated.
     fn has_ended(&self, cx: &Cx<'_>) -> bool {
         let listed = cx.upstreams.get(&self.upstream);
@@ -50,37 +50,37 @@
 /// The crashes that a request was involved in.
 #[derive(Debug)]
 struct Suspicion {
-    crashed: OrderedSet<Life>,
+    crashes: OrderedSet<UpstreamIncarnation>,
     convicted: bool,
     until: Time,
 }
 
 /// A crash of which the peers have been notified and not all have acknowledged.
 #[derive(Debug)]
-struct Telling {
+struct PendingNotice {
     upstream: UpstreamId,
     digests: Vec<Digest>,
-    company: Company,
-    missing: OrderedSet<HostId>,
-    again_at: Time,
+    isolation: Isolation,
+    unacknowledged: OrderedSet<HostId>,
+    resend_at: Time,
     until: Time,
     held: Vec<RequestId>,
 }
 
-impl Telling {
+impl PendingNotice {
     fn message(&self) -> PeerMessage {
         PeerMessage::Suspects {
             upstream: self.upstream.clone(),
             incarnation: None,
             requests: self.digests.clone(),
-            alone: self.company == Company::Alone,
+            alone: self.isolation == Isolation::Exclusive,
         }
     }
 }
 
 /// The suspect that runs in isolation, or is the next to do so.
 #[derive(Clone, Debug)]
-pub(super) struct Alone {
+pub(super) struct IsolatedRun {
     pub(super) request: RequestId,
     pub(super) upstream: UpstreamId,
     /// Since when the upstream has been held for it.
@@ -91,9 +91,9 @@
 
 /// Whether a request with this digest may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum SuspectStatus {
     /// It isn't suspect.
-    Free,
+    Unsuspected,
     /// It runs in isolation.
     Suspect,
     /// It isn't run any more.
@@ -105,12 +105,12 @@
 pub(super) struct Suspects {
     policy: SuspectPolicy,
     known: OrderedMap<Digest, Suspicion>,
-    tellings: Vec<Telling>,
-    heard: OrderedMap<HostId, Time>,
+    pending_notices: Vec<PendingNotice>,
+    last_contact: OrderedMap<HostId, Time>,
     /// The suspect requests that wait for an upstream of their own.
     pub(super) waiting: OrderedSet<Urgency>,
     /// The one that is dispatched now.
-    pub(super) alone: Option<Alone>,
+    pub(super) isolated: Option<IsolatedRun>,
 }
 
 impl Suspects {
@@ -119,26 +119,26 @@
         Self {
             policy,
             known: OrderedMap::new(),
-            tellings: Vec::new(),
-            heard: OrderedMap::new(),
+            pending_notices: Vec::new(),
+            last_contact: OrderedMap::new(),
             waiting: OrderedSet::new(),
-            alone: None,
+            isolated: None,
         }
     }
 
     /// Returns the status of a request's digest.
-    pub(super) fn standing(&self, digest: Digest) -> Standing {
+    pub(super) fn status(&self, digest: Digest) -> SuspectStatus {
         match self.known.get(&digest) {
-            None => Standing::Free,
-            Some(suspicion) if suspicion.convicted => Standing::Convicted,
-            Some(_) if self.policy == SuspectPolicy::CountEnds => Standing::Free,
-            Some(_) => Standing::Suspect,
+            None => SuspectStatus::Unsuspected,
+            Some(suspicion) if suspicion.convicted => SuspectStatus::Convicted,
+            Some(_) if self.policy == SuspectPolicy::CountEnds => SuspectStatus::Unsuspected,
+            Some(_) => SuspectStatus::Suspect,
         }
     }
 
     /// Returns how many digests have a status.
-    pub(super) fn count(&self, standing: Standing) -> usize {
-        self.known.keys().filter(|digest| self.standing(**digest) == standing).count()
+    pub(super) fn count(&self, status: SuspectStatus) -> usize {
+        self.known.keys().filter(|digest| self.status(**digest) == status).count()
     }
 
     /// Returns the digests that are suspect, convicted or counted.
@@ -150,63 +150,64 @@
     ///
     /// If the caller were answered first, it could send the request again immediately, to a
     /// host that doesn't know of the crash and passes the request to the next upstream.
-    pub(super) fn begin_telling(
+    pub(super) fn notify_peers(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
         digests: Vec<Digest>,
-        company: Company,
+        isolation: Isolation,
         held: RequestId,
     ) {
-        self.suspect(cx, upstream, &digests, company);
-        let missing = self.reachable(cx);
-        let telling = Telling {
+        self.record_crash(cx, upstream, &digests, isolation);
+        let unacknowledged = self.peers_to_await(cx);
+        let notice = PendingNotice {
             upstream: upstream.clone(),
             digests,
-            company,
-            missing,
-            again_at: cx.now.after(TELL_AGAIN),
-            until: cx.now.after(TELL_PATIENCE),
+            isolation,
+            unacknowledged,
+            resend_at: cx.now.after(NOTICE_RESEND_INTERVAL),
+            until: cx.now.after(NOTICE_TIMEOUT),
             held: vec![held],
         };
-        cx.tell_all(&telling.message());
-        self.tellings.push(telling);
+        cx.tell_all(&notice.message());
+        self.pending_notices.push(notice);
     }
 
     /// Makes a request wait for a pending notice that names it; reports whether there is
     /// one.
-    pub(super) fn join_telling(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
-        let telling =
-            self.tellings.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
-        let Some(telling) = telling else { return false };
-        telling.held.push(held);
+    pub(super) fn join_notice(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
+        let notice =
+            self.pending_notices.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
+        let Some(notice) = notice else { return false };
+        notice.held.push(held);
         true
     }
 
     /// Records suspects that this process or a peer has found.
-    pub(super) fn suspect(
+    pub(super) fn record_crash(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
         digests: &[Digest],
-        company: Company,
+        isolation: Isolation,
     ) {
         for digest in digests {
-            self.make_room();
+            self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashed: OrderedSet::new(),
+                crashes: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashed.insert(Life { upstream: upstream.clone(), incarnation: None });
-            let convicted = company == Company::Alone || suspicion.crashed.len() >= CRASHES_THAT_CONVICT;
+            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation: None });
+            let convicted =
+                isolation == Isolation::Exclusive || suspicion.crashes.len() >= CONVICTION_THRESHOLD;
             if convicted && !suspicion.convicted {
                 cx.note("request_convicted", digest, format!("it crashed {upstream}"));
             } else if !convicted {
                 cx.note("request_suspected", digest, format!("it was in progress when {upstream} died"));
             }
             suspicion.convicted |= convicted;
-            let kept = if suspicion.convicted { CONVICTED } else { SUSPECTED };
+            let kept = if suspicion.convicted { CONVICTION_TTL } else { SUSPICION_TTL };
             suspicion.until = cx.now.after(kept);
         }
     }
@@ -216,7 +217,7 @@
     ///
     /// Only incarnations that have terminated according to the host list count; a broken
     /// connection alone proves nothing about the request.
-    pub(super) fn count_loss(
+    pub(super) fn record_loss(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
@@ -224,14 +225,14 @@
         digests: &[Digest],
     ) {
         for digest in digests {
-            self.make_room();
+            self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashed: OrderedSet::new(),
+                crashes: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashed.insert(Life { upstream: upstream.clone(), incarnation });
-            suspicion.until = cx.now.after(COUNTED);
+            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation });
+            suspicion.until = cx.now.after(LOSS_TTL);
         }
         self.on_host_list(cx);
     }
@@ -241,12 +242,12 @@
     /// The host list shows an upstream's termination only after a while. A request that is
     /// one crash short of conviction would be sent again in the meantime and crash one more
     /// upstream.
-    pub(super) fn is_doubted(&self, cx: &Cx<'_>, digest: Digest) -> bool {
+    pub(super) fn is_one_loss_from_conviction(&self, cx: &Cx<'_>, digest: Digest) -> bool {
         if self.policy != SuspectPolicy::CountEnds {
             return false;
         }
-        let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashed);
-        lives.filter(|life| life.has_ended(cx)).count() + 1 >= CRASHES_THAT_CONVICT
+        let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashes);
+        lives.filter(|life| life.has_ended(cx)).count() + 1 >= CONVICTION_THRESHOLD
     }
 
     /// Convicts requests that were lost with too many terminated incarnations.
@@ -255,10 +256,10 @@
             return;
         }
         for (digest, suspicion) in &mut self.known {
-            let ended = suspicion.crashed.iter().filter(|life| life.has_ended(cx)).count();
-            if ended >= CRASHES_THAT_CONVICT && !suspicion.convicted {
+            let ended = suspicion.crashes.iter().filter(|life| life.has_ended(cx)).count();
+            if ended >= CONVICTION_THRESHOLD && !suspicion.convicted {
                 suspicion.convicted = true;
-                suspicion.until = cx.now.after(CONVICTED);
+                suspicion.until = cx.now.after(CONVICTION_TTL);
                 cx.note("request_convicted", digest, format!("{ended} upstreams ended while they ran it"));
             }
         }
@@ -270,7 +271,7 @@
             self.known.remove(&digest);
             return false;
         }
-        if self.standing(digest) != Standing::Suspect {
+        if self.status(digest) != SuspectStatus::Suspect {
             return false;
         }
         self.known.remove(&digest);
@@ -278,59 +279,59 @@
     }
 
     /// Records that a peer is alive.
-    pub(super) fn heard_from(&mut self, now: Time, host: &HostId) {
-        self.heard.insert(host.clone(), now);
+    pub(super) fn record_contact(&mut self, now: Time, host: &HostId) {
+        self.last_contact.insert(host.clone(), now);
     }
 
     /// Handles a peer's acknowledgement; returns the requests that may proceed.
-    pub(super) fn on_noted(&mut self, from: &HostId, digests: &[Digest]) -> Vec<RequestId> {
-        for telling in &mut self.tellings {
-            if telling.digests.iter().all(|digest| digests.contains(digest)) {
-                telling.missing.remove(from);
+    pub(super) fn on_acknowledged(&mut self, from: &HostId, digests: &[Digest]) -> Vec<RequestId> {
+        for notice in &mut self.pending_notices {
+            if notice.digests.iter().all(|digest| digests.contains(digest)) {
+                notice.unacknowledged.remove(from);
             }
         }
-        self.take_told(Time::START)
+        self.take_notified(Time::START)
     }
 
     /// Removes expired suspicions and peers that are no longer members.
     pub(super) fn forget_old(&mut self, cx: &Cx<'_>) {
         self.known.retain(|_, suspicion| !suspicion.until.is_due(cx.now));
-        self.heard.retain(|host, _| cx.cache.member(host).is_some());
+        self.last_contact.retain(|host, _| cx.cache.member(host).is_some());
     }
 
     /// Sends pending notices again; returns the requests that may proceed.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<RequestId> {
-        for telling in &mut self.tellings {
-            if !telling.again_at.is_due(cx.now) {
+        for notice in &mut self.pending_notices {
+            if !notice.resend_at.is_due(cx.now) {
                 continue;
             }
-            telling.again_at = cx.now.after(TELL_AGAIN);
-            let message = telling.message();
-            for host in &telling.missing {
+            notice.resend_at = cx.now.after(NOTICE_RESEND_INTERVAL);
+            let message = notice.message();
+            for host in &notice.unacknowledged {
                 cx.tell(host, message.clone());
             }
         }
-        self.take_told(cx.now)
+        self.take_notified(cx.now)
     }
 
     /// Returns the requests whose notice is acknowledged by all peers or has timed out.
-    pub(super) fn take_told(&mut self, now: Time) -> Vec<RequestId> {
-        let told = |t: &mut Telling| t.missing.is_empty() || t.until.is_due(now);
-        self.tellings.extract_if(.., told).flat_map(|t| t.held).collect()
+    pub(super) fn take_notified(&mut self, now: Time) -> Vec<RequestId> {
+        let told = |t: &mut PendingNotice| t.unacknowledged.is_empty() || t.until.is_due(now);
+        self.pending_notices.extract_if(.., told).flat_map(|t| t.held).collect()
     }
 
     /// Returns the peers whose acknowledgement is awaited.
-    fn reachable(&self, cx: &Cx<'_>) -> OrderedSet<HostId> {
+    fn peers_to_await(&self, cx: &Cx<'_>) -> OrderedSet<HostId> {
         let silent = |host: &HostId| {
-            let heard = self.heard.get(host);
-            heard.is_some_and(|at| at.after(cx.cfg.timings.peer_timeout).is_due(cx.now))
+            let last_contact = self.last_contact.get(host);
+            last_contact.is_some_and(|at| at.after(cx.cfg.timings.peer_timeout).is_due(cx.now))
         };
         let members = cx.cache.members().map(|(host, _)| host);
         members.filter(|host| **host != cx.cfg.host && !silent(host)).cloned().collect()
     }
 
-    fn make_room(&mut self) {
-        if self.known.len() < REMEMBERED {
+    fn evict_if_full(&mut self) {
+        if self.known.len() < MAX_SUSPICIONS {
             return;
         }
         let first = self.known.iter().min_by_key(|(_, s)| (s.convicted, s.until)).map(|(digest, _)| *digest);
