--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -38,18 +38,18 @@
 use crate::time::Time;
 
 use budget::RetryBudget;
-use counters::Tally;
-use demand::Wants;
+use counters::RequestCounters;
+use demand::Demand;
 use disposition::Disposition;
 use once::Once;
 use queue::Queue;
 use request::{Caller, Due, Request, RunHistory, State};
 use routing::Routes;
 use suspect::Suspects;
-use wait_estimate::Paces;
+use wait_estimate::WaitEstimator;
 
 /// Interval between scans of everything that is remembered.
-const HOUSEKEEPING_EVERY: Duration = Duration::from_secs(1);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The requests, queues and routes of one process.
 #[derive(Debug)]
@@ -59,14 +59,14 @@
     timers: OrderedSet<Due>,
     queue: Queue,
     routes: Routes,
-    wants: Wants,
+    demand: Demand,
     once: Once,
     suspects: Suspects,
     budget: RetryBudget,
-    paces: Paces,
+    waits: WaitEstimator,
     quota: Quota,
-    tally: Tally,
-    house_due: Time,
+    counters: RequestCounters,
+    housekeeping_due: Time,
     /// Whether callers have been redirected to other hosts, so that no request may wait any
     /// longer.
     is_closed: bool,
@@ -81,14 +81,14 @@
             timers: OrderedSet::new(),
             queue: Queue::default(),
             routes: Routes::default(),
-            wants: Wants::default(),
+            demand: Demand::default(),
             once: Once::default(),
             suspects: Suspects::new(cfg.limits.suspects),
             budget: RetryBudget::new(cfg.limits.retries),
-            paces: Paces::default(),
+            waits: WaitEstimator::default(),
             quota: Quota::new(),
-            tally: Tally::default(),
-            house_due: Time::START,
+            counters: RequestCounters::default(),
+            housekeeping_due: Time::START,
             is_closed: false,
         }
     }
@@ -117,7 +117,7 @@
     /// Records that an answer has begun.
     pub fn on_answer_started(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let Some(id) = self.attempts.get(&attempt) else {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -128,7 +128,7 @@
             if let Target::Model(target) = &request.arrival.target
                 && by_engine
             {
-                self.wants.count_late(target);
+                self.demand.count_late(target);
             }
             request.set_state(State::Answering(run), cx.now);
         }
@@ -136,7 +136,7 @@
 
     /// Records the load that an upstream reported with an answer.
     pub fn on_load_told(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, load: LoadTold) {
-        self.routes.note_load(cx.now, upstream, load);
+        self.routes.record_load(cx.now, upstream, load);
     }
 
     /// Handles the end of an attempt.
@@ -155,7 +155,7 @@
 
     /// Runs all timers and periodic work that are due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        self.keep_house(cx);
+        self.run_housekeeping(cx);
         for verdict in self.quota.on_tick(cx) {
             self.on_ruling(cx, verdict);
         }
@@ -169,8 +169,8 @@
             self.timers.remove(&due);
             self.on_due(cx, due.request);
         }
-        self.wants.forget_silence(&self.waiting_models(cx));
-        self.review_all(cx);
+        self.demand.clear_waiting_times(&self.waiting_models(cx));
+        self.refuse_all_unservable(cx);
         self.dispatch_waiting(cx);
         if self.is_closed {
             self.refuse_waiting(cx);
@@ -178,17 +178,17 @@
     }
 
     /// Runs the work that scans all remembered state and is too expensive for every tick.
-    fn keep_house(&mut self, cx: &mut Cx<'_>) {
-        if !self.house_due.is_due(cx.now) {
+    fn run_housekeeping(&mut self, cx: &mut Cx<'_>) {
+        if !self.housekeeping_due.is_due(cx.now) {
             return;
         }
-        self.house_due = cx.now.after(HOUSEKEEPING_EVERY);
-        self.routes.forget_old(cx.now);
-        self.routes.review_listed(cx);
-        self.once.forget_old(cx.now);
-        self.suspects.forget_old(cx);
-        self.wants.renew(cx, &mut self.paces);
-        self.budget.note_hosts(cx.now, cx.cache.members().count());
+        self.housekeeping_due = cx.now.after(HOUSEKEEPING_INTERVAL);
+        self.routes.remove_expired(cx.now);
+        self.routes.reapply_host_list(cx);
+        self.once.remove_expired(cx.now);
+        self.suspects.remove_expired(cx);
+        self.demand.send_usage(cx, &mut self.waits);
+        self.budget.record_host_count(cx.now, cx.cache.members().count());
     }
 
     /// Handles changes to upstreams on the host list.
@@ -196,7 +196,7 @@
         self.routes.on_host_list(cx, touched);
         self.suspects.on_host_list(cx);
         self.refuse_convicted(cx);
-        self.review_all(cx);
+        self.refuse_all_unservable(cx);
         self.dispatch_waiting(cx);
     }
 
@@ -205,10 +205,10 @@
         match key {
             Key::Document | Key::Catalogue => {
                 self.refuse_withdrawn(cx);
-                self.routes.review_listed(cx);
+                self.routes.reapply_host_list(cx);
                 self.dispatch_waiting(cx);
             }
-            Key::Owner(_) | Key::Homes(_) => self.ask_again(cx, key),
+            Key::Owner(_) | Key::Homes(_) => self.ask_new_owners(cx, key),
             Key::Member(_) | Key::Power(_) | Key::Once(_) => {}
         }
     }
@@ -256,7 +256,7 @@
                 self.requeue_cleared(cx, *request);
             }
             PeerMessage::UpstreamLeaving { upstream } => {
-                self.routes.note_leaving(cx.now, upstream);
+                self.routes.record_leaving(cx.now, upstream);
             }
             _ => {}
         }
@@ -268,7 +268,7 @@
     /// while.
     pub fn on_shutdown(&mut self, cx: &mut Cx<'_>) {
         self.quota.on_shutdown(cx);
-        cx.note("serving_drains", self.requests.len(), "requests in progress go on to their end");
+        cx.note("serving_drains", self.requests.len(), "requests in progress will be completed");
     }
 
     /// Refuses all waiting requests once callers have been redirected and the process ends
@@ -289,12 +289,12 @@
 
     /// Returns the entries for the state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        self.beliefs(cx)
+        self.dump_entries(cx)
     }
 
     /// Returns the gauges for the metrics.
     pub fn gauges(&self, _cx: &Cx<'_>) -> Vec<Gauge> {
-        self.numbers()
+        self.collect_gauges()
     }
 
     fn on_due(&mut self, cx: &mut Cx<'_>, id: RequestId) {
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -33,23 +33,23 @@
     /// Registers a request and admits or refuses it.
     pub(super) fn arrive(&mut self, cx: &mut Cx<'_>, id: RequestId, arrival: Arrival) {
         if self.requests.contains_key(&id) {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         }
-        self.tally.arrived += 1;
-        self.budget.earn(cx.now, &destination(cx, &arrival.target));
+        self.counters.arrived += 1;
+        self.budget.record_request(cx.now, &destination(cx, &arrival.target));
         let idle_for = match &arrival.target {
-            Target::Model(target) => self.wants.count_arrival(cx.now, target),
+            Target::Model(target) => self.demand.count_arrival(cx.now, target),
             Target::Service(_) => None,
         };
-        let verdict = self.apply_rules(cx, &arrival, idle_for);
+        let rules_result = self.apply_rules(cx, &arrival, idle_for);
         let (deadline, begins_by) = (arrival.deadline, arrival.terms.begins_by);
-        let order = verdict.as_ref().map_or(ServiceOrder::default(), |order| *order);
+        let order = rules_result.as_ref().map_or(ServiceOrder::default(), |order| *order);
         let order = ServiceOrder(order.0.saturating_add_signed(arrival.terms.rank));
         self.requests.insert(id, Request::new(arrival, order, cx.now));
         self.timers.insert(Due { at: deadline, request: id });
         self.timers.insert(Due { at: begins_by, request: id });
-        match verdict {
+        match rules_result {
             Ok(_) if deadline.is_due(cx.now) => self.refuse_late(cx, id),
             Ok(_) => self.ask_credit(cx, id),
             Err(reason) => self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None }),
@@ -82,7 +82,7 @@
             Target::Service(service) => facts.service = Some(service),
         }
         let outcome = cx.document.rules.decide(&facts).outcome;
-        outcome.refuse.clone().map_or(Ok(outcome.order), |words| Err(RefusalReason::Rule(words)))
+        outcome.refuse.clone().map_or(Ok(outcome.order), |text| Err(RefusalReason::Rule(text)))
     }
 
     /// Queues a request that no rule and no limit refuses, after checking its idempotency
@@ -107,7 +107,7 @@
                 return self.send_or_refuse(cx, id, disposition);
             }
         }
-        self.once.begin(key, digest, id);
+        self.once.register(key, digest, id);
         if self.would_dispatch_now(cx, id) {
             return self.enqueue(cx, id);
         }
@@ -115,7 +115,7 @@
         // not be refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
             request.set_state(State::LookingUp, cx.now);
-            self.once.look_up(cx, key);
+            self.once.start_lookup(cx, key);
         }
     }
 
@@ -132,7 +132,7 @@
         let urgency = Urgency::of(id, request);
         match self.queue.overflow(&cx.cfg.limits, &request.arrival.caller, urgency) {
             None => {}
-            Some(Overflow::Itself) => return self.refuse_queue_full(cx, id),
+            Some(Overflow::Rejected) => return self.refuse_queue_full(cx, id),
             Some(Overflow::Shed(other)) => self.refuse_queue_full(cx, other),
         }
         if let Some(wait) = self.wait_past_deadline(cx, id) {
@@ -151,7 +151,7 @@
         if ahead == 0 {
             return None;
         }
-        let wait = self.paces.estimate(target, ahead)?;
+        let wait = self.waits.estimate(target, ahead)?;
         let at_worst = wait.mul_f64(WAIT_ESTIMATE_MARGIN);
         (cx.now.after(at_worst) > request.queue_deadline()).then_some(wait)
     }
@@ -175,7 +175,7 @@
                 format!("for {} supply={}", target, availability.describe(cx.now)),
             );
         }
-        self.review(cx, &target);
+        self.refuse_unservable(cx, &target);
         self.dispatch_target(cx, &target);
         self.dispatch_suspects(cx);
     }
@@ -198,10 +198,10 @@
         // targets were requested, nobody would load it again, and the suspect would
         // wait until its time-out although it may be innocent.
         for target in self.suspect_targets() {
-            self.ask_for(cx, &target);
+            self.ask_owners_for(cx, &target);
         }
-        for target in self.returning_targets(cx) {
-            self.ask_for(cx, &target);
+        for target in self.targets_expecting_retries(cx) {
+            self.ask_owners_for(cx, &target);
         }
     }
 
@@ -211,7 +211,7 @@
     /// core with a hundred models in demand; the tick checks all of them.
     pub(super) fn dispatch_for_upstream(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         for target in self.queue.targets() {
-            if self.routes.concerns(cx, upstream, &target) {
+            if self.routes.may_run(cx, upstream, &target) {
                 self.dispatch_target(cx, &target);
             }
         }
@@ -227,7 +227,7 @@
             self.queue.take(id, request);
             self.claim_or_send(cx, id, upstream, Isolation::Shared);
         }
-        self.ask_for(cx, target);
+        self.ask_owners_for(cx, target);
     }
 
     /// Returns one of the next requests whose prompt prefix the upstream probably has
@@ -237,7 +237,7 @@
         if request.arrival.prefix.is_none() || self.is_preferred(cx, first, upstream) {
             return first;
         }
-        let others = self.queue.may_go_first(&request.arrival.target);
+        let others = self.queue.lookahead(&request.arrival.target);
         others.into_iter().find(|id| self.is_preferred(cx, *id, upstream)).unwrap_or(first)
     }
 
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -37,7 +37,7 @@
     /// table, so a late answer can't reach another request's caller.
     pub(super) fn end_attempt(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
         let Some(id) = self.attempts.remove(&attempt) else {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         };
         let Some(request) = self.requests.get(&id) else { return };
@@ -50,7 +50,7 @@
         }
         let answered =
             matches!(end, AttemptEnd::Whole { .. } | AttemptEnd::WholeTooLarge | AttemptEnd::FailedWhole);
-        self.paces.end(cx.now, &request.arrival.target, answered.then(|| cx.now.since(run.sent)));
+        self.waits.record_ended(cx.now, &request.arrival.target, answered.then(|| cx.now.since(run.sent)));
         match end {
             AttemptEnd::Whole { held } => self.on_completed(cx, id, &run.upstream, held),
             AttemptEnd::WholeTooLarge => self.on_completed(cx, id, &run.upstream, None),
@@ -68,7 +68,7 @@
         upstream: &UpstreamId,
         held: Option<RecordedAnswer>,
     ) {
-        self.routes.note_health(upstream);
+        self.routes.clear_backoff(upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let digest = request.arrival.digest;
         let key = request.once_key();
@@ -102,7 +102,7 @@
     }
 
     fn on_not_sent(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
-        self.routes.note_trouble(cx, upstream);
+        self.routes.back_off(cx, upstream);
         if let Some(owner) = owner_of(cx, upstream) {
             cx.tell(&owner, PeerMessage::UpstreamUnreachable { upstream: upstream.clone() });
         }
@@ -125,29 +125,29 @@
             (Rejection::NotLoaded, Target::Model(target)) => {
                 // The model was unloaded after its owner last published a view.
                 // This is normal for rarely used models and costs no retry.
-                self.routes.note_missing(cx, upstream, &target);
+                self.routes.record_missing(cx, upstream, &target);
                 self.record_failure(cx, id, upstream);
                 return self.retry(cx, id, RetryCost::Free);
             }
             (Rejection::NotLoaded, Target::Service(_)) => {
-                self.routes.note_trouble(cx, upstream);
+                self.routes.back_off(cx, upstream);
                 self.record_failure(cx, id, upstream);
             }
             // A busy upstream is back-pressure, not a failure: the request waits as
             // it would have if the load had been known.
             (Rejection::Busy, _) => {
-                self.routes.note_trouble(cx, upstream);
+                self.routes.back_off(cx, upstream);
                 self.requeue_untouched(cx, id, upstream);
                 return self.retry(cx, id, RetryCost::Free);
             }
             // The host list will show what runs at the address now.
             (Rejection::Replaced, _) => {
-                self.routes.note_trouble(cx, upstream);
+                self.routes.back_off(cx, upstream);
                 self.record_failure(cx, id, upstream);
                 return self.retry(cx, id, RetryCost::Free);
             }
             (Rejection::Leaving, _) => {
-                if self.routes.note_leaving(cx.now, upstream) {
+                if self.routes.record_leaving(cx.now, upstream) {
                     tell_everyone(cx, &PeerMessage::UpstreamLeaving { upstream: upstream.clone() });
                 }
                 self.record_failure(cx, id, upstream);
@@ -165,11 +165,11 @@
         }
         // A reclaimed host takes its upstream with it, which is no request's fault. If
         // all its requests became suspects, each would wait for an engine of its own.
-        let died = died && !self.routes.is_going(cx, &run.upstream);
+        let died = died && !self.routes.is_leaving(cx, &run.upstream);
         let others = if died { self.digests_at(&run.upstream) } else { Vec::new() };
         let out_of_time = self.requests.get(&id).is_some_and(|r| r.arrival.deadline.is_due(cx.now));
         if died || !out_of_time {
-            self.routes.note_trouble(cx, &run.upstream);
+            self.routes.back_off(cx, &run.upstream);
         }
         self.record_failure(cx, id, &run.upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -219,7 +219,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let lost = request.history != RunHistory::NeverRan;
         let destination = destination(cx, &request.arrival.target);
-        let cost = if self.budget.counts_every_sending() { RetryCost::Retry } else { cost };
+        let cost = if self.budget.charges_every_retry() { RetryCost::Retry } else { cost };
         if request.queue_deadline().is_due(cx.now) {
             let reason =
                 if lost { RefusalReason::DeadlinePassedRunning } else { RefusalReason::DeadlinePassed };
@@ -230,9 +230,9 @@
             && (!request.passed_on || request.can_resume())
             && request.failures < cx.cfg.limits.attempts
             && request.runs < request.arrival.terms.tries
-            && (cost == RetryCost::Free || self.budget.spend(cx.now, &destination));
+            && (cost == RetryCost::Free || self.budget.try_spend(cx.now, &destination));
         if may {
-            self.tally.retries += 1;
+            self.counters.retries += 1;
             return self.push_to_queue(cx, id);
         }
         if request.holds_failure {
--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -10,18 +10,18 @@
 use crate::time::Time;
 
 /// Budgets count in thousandths of a retry, so that a request can earn a fraction of one.
-const WHOLE_RETRY: u64 = 1000;
+const UNITS_PER_RETRY: u64 = 1000;
 /// Earned with each request: a tenth of a retry.
-const PER_REQUEST: u64 = 100;
+const UNITS_PER_REQUEST: u64 = 100;
 /// Earned each second, so that a process with little load can retry at all.
-const PER_SECOND: u64 = WHOLE_RETRY;
+const UNITS_PER_SECOND: u64 = UNITS_PER_RETRY;
 /// Capacity of the bucket.
-const MOST: u64 = 20 * WHOLE_RETRY;
+const MAX_UNITS: u64 = 20 * UNITS_PER_RETRY;
 /// Percentage of the shared budget that the processes use.
 ///
 /// Their windows start at different times, and they learn late that one of them has left; the
 /// rest covers both.
-const USED_OF_SHARED: u64 = 80;
+const SHARED_PERCENT_USED: u64 = 80;
 /// The service or pool that a retry is sent to.
 pub(super) type Destination = Option<ServiceName>;
 
@@ -32,17 +32,19 @@
 #[derive(Debug)]
 pub(super) enum RetryBudget {
     /// A budget of this process alone.
-    Own(Bucket),
+    Local(TokenBucket),
     /// This process's share of a budget of all processes.
-    Shared(Share),
+    Shared(SharedBudget),
 }
 
 impl RetryBudget {
     /// Creates a full budget.
     pub(super) const fn new(limits: RetryLimits) -> Self {
         match limits {
-            RetryLimits::PerProcess => Self::Own(Bucket { saved: MOST, filled: Time::START }),
-            RetryLimits::Shared { percent, slack, window } => Self::Shared(Share {
+            RetryLimits::PerProcess => {
+                Self::Local(TokenBucket { units: MAX_UNITS, refilled_at: Time::START })
+            }
+            RetryLimits::Shared { percent, slack, window } => Self::Shared(SharedBudget {
                 percent,
                 slack,
                 window,
@@ -53,64 +55,64 @@
     }
 
     /// Counts a request.
-    pub(super) fn earn(&mut self, now: Time, destination: &Destination) {
+    pub(super) fn record_request(&mut self, now: Time, destination: &Destination) {
         match self {
-            Self::Own(bucket) => bucket.saved = (bucket.saved + PER_REQUEST).min(MOST),
-            Self::Shared(share) => share.count(now, destination, |usage| &mut usage.requests),
+            Self::Local(bucket) => bucket.units = (bucket.units + UNITS_PER_REQUEST).min(MAX_UNITS),
+            Self::Shared(budget) => budget.count(now, destination, |usage| &mut usage.requests),
         }
     }
 
     /// Takes one retry if the budget allows it; reports whether it did.
-    pub(super) fn spend(&mut self, now: Time, destination: &Destination) -> bool {
+    pub(super) fn try_spend(&mut self, now: Time, destination: &Destination) -> bool {
         match self {
-            Self::Own(bucket) => bucket.spend(now),
-            Self::Shared(share) => share.spend(now, destination),
+            Self::Local(bucket) => bucket.try_spend(now),
+            Self::Shared(budget) => budget.try_spend(now, destination),
         }
     }
 
     /// Reports whether even retries of attempts without effect are charged.
-    pub(super) const fn counts_every_sending(&self) -> bool {
+    pub(super) const fn charges_every_retry(&self) -> bool {
         matches!(self, Self::Shared(_))
     }
 
     /// Records how many processes share the budget.
-    pub(super) fn note_hosts(&mut self, now: Time, hosts: usize) {
-        if let Self::Shared(share) = self {
-            share.hosts.note(now, hosts);
+    pub(super) fn record_host_count(&mut self, now: Time, hosts: usize) {
+        if let Self::Shared(budget) = self {
+            budget.hosts.note(now, hosts);
         }
     }
 }
 
 /// A token bucket that earns a tenth of the requests plus a constant rate.
 #[derive(Debug)]
-pub(super) struct Bucket {
-    saved: u64,
-    filled: Time,
+pub(super) struct TokenBucket {
+    units: u64,
+    refilled_at: Time,
 }
 
-impl Bucket {
-    fn spend(&mut self, now: Time) -> bool {
-        self.fill(now);
-        if self.saved < WHOLE_RETRY {
+impl TokenBucket {
+    fn try_spend(&mut self, now: Time) -> bool {
+        self.refill(now);
+        if self.units < UNITS_PER_RETRY {
             return false;
         }
-        self.saved -= WHOLE_RETRY;
+        self.units -= UNITS_PER_RETRY;
         true
     }
 
-    fn fill(&mut self, now: Time) {
-        let secs = now.since(self.filled).as_secs();
+    fn refill(&mut self, now: Time) {
+        let secs = now.since(self.refilled_at).as_secs();
         if secs == 0 {
             return;
         }
-        self.filled = self.filled.after(Duration::from_secs(secs));
-        self.saved = self.saved.saturating_add(secs.saturating_mul(PER_SECOND)).min(MOST);
+        self.refilled_at = self.refilled_at.after(Duration::from_secs(secs));
+        self.units = self.units.saturating_add(secs.saturating_mul(UNITS_PER_SECOND)).min(MAX_UNITS);
     }
 }
 
 /// This process's share of a budget that all processes have in common.
 #[derive(Debug)]
-pub(super) struct Share {
+pub(super) struct SharedBudget {
     percent: u32,
     slack: u32,
     window: Duration,
@@ -125,22 +127,22 @@
     retries: VecDeque<Time>,
 }
 
-impl Share {
+impl SharedBudget {
     fn count(&mut self, now: Time, destination: &Destination, of: fn(&mut Usage) -> &mut VecDeque<Time>) {
         let window = self.window;
         let times = of(self.used.entry(destination.clone()).or_default());
-        forget_before(times, now, window);
+        remove_older(times, now, window);
         times.push_back(now);
     }
 
-    fn spend(&mut self, now: Time, destination: &Destination) -> bool {
+    fn try_spend(&mut self, now: Time, destination: &Destination) -> bool {
         let window = self.window;
         let usage = self.used.entry(destination.clone()).or_default();
-        forget_before(&mut usage.requests, now, window);
-        forget_before(&mut usage.retries, now, window);
+        remove_older(&mut usage.requests, now, window);
+        remove_older(&mut usage.retries, now, window);
         let earned = usage.requests.len() as u64 * u64::from(self.percent);
         let slack = u64::from(self.slack) * 100 / self.hosts.get();
-        let allowed = (earned + slack) * USED_OF_SHARED / 10_000;
+        let allowed = (earned + slack) * SHARED_PERCENT_USED / 10_000;
         let has_room = (usage.retries.len() as u64) < allowed;
         if has_room {
             usage.retries.push_back(now);
@@ -149,7 +151,7 @@
     }
 }
 
-fn forget_before(times: &mut VecDeque<Time>, now: Time, window: Duration) {
+fn remove_older(times: &mut VecDeque<Time>, now: Time, window: Duration) {
     while times.front().is_some_and(|time| time.after(window).is_due(now)) {
         times.pop_front();
     }
--- a/crates/skylarkshore-core/src/serving/counters.rs
+++ b/crates/skylarkshore-core/src/serving/counters.rs
@@ -6,7 +6,7 @@
 
 /// Counts since the process started.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct RequestCounters {
     /// Requests that arrived.
     pub(super) arrived: u64,
     /// Attempts that were sent.
@@ -23,10 +23,10 @@
     failed: u64,
 }
 
-impl Tally {
+impl RequestCounters {
     /// Counts a refusal.
     pub(super) fn count_refusal(&mut self, outcome: RefusalOutcome, reason: &RefusalReason) {
-        *self.refused.entry(name_of(reason)).or_default() += 1;
+        *self.refused.entry(refusal_metric(reason)).or_default() += 1;
         match outcome {
             RefusalOutcome::NotRun => self.not_run += 1,
             RefusalOutcome::Unknown => self.unknown += 1,
@@ -57,7 +57,7 @@
     Gauge { name, value: count as f64 }
 }
 
-const fn name_of(reason: &RefusalReason) -> &'static str {
+const fn refusal_metric(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Rule(_) => "refused_rule_total",
         RefusalReason::ColdStartTooLong => "refused_cold_start_too_long_total",
--- a/crates/skylarkshore-core/src/serving/demand/assignment.rs
+++ b/crates/skylarkshore-core/src/serving/demand/assignment.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Supply, Want};
+use super::{Supply, TargetDemand};
 use crate::catalogue::ModelTarget;
 use crate::cx::Cx;
 use crate::id::HostId;
@@ -10,7 +10,7 @@
 /// How long after an assigned owner's estimate the others are asked again.
 const ASSIGNED_GRACE: Duration = Duration::from_millis(500);
 
-impl Want {
+impl TargetDemand {
     /// Asks further owners if those asked so far are busy, and assigns the fastest if all
     /// are.
     ///
@@ -26,20 +26,20 @@
     ) {
         let now = cx.now;
         self.busy.retain(|_, busy| !busy.until.is_due(now));
-        if self.assigned.is_some() && supply == Supply::Nothing && self.assigned_until.is_due(now) {
+        if self.assigned.is_some() && supply == Supply::Unavailable && self.assigned_until.is_due(now) {
             self.assigned = None;
-            self.told_to.clear();
-            self.asked = 1;
+            self.asked_owners.clear();
+            self.owners_asked = 1;
         }
-        if supply != Supply::Nothing || self.assigned.is_some() {
+        if supply != Supply::Unavailable || self.assigned.is_some() {
             return;
         }
         let is_open = |owner: &HostId| !self.busy.contains_key(owner) && !self.refused.contains_key(owner);
-        if owners.iter().take(self.asked).any(is_open) {
+        if owners.iter().take(self.owners_asked).any(is_open) {
             return;
         }
-        if let Some(place) = owners.iter().position(is_open) {
-            self.asked = self.asked.max(place + 1);
+        if let Some(position) = owners.iter().position(is_open) {
+            self.owners_asked = self.owners_asked.max(position + 1);
             return;
         }
         let fastest = self.busy.iter().min_by_key(|(_, busy)| busy.ready_at);
@@ -47,7 +47,7 @@
         let takes = busy.ready_at.remaining(now).as_millis();
         cx.note("load_assigned", target, format!("to={owner} takes_ms={takes} of={}", self.busy.len()));
         // It is sent no soft deadline, so that it takes the target on.
-        self.told_to.insert(owner.clone());
+        self.asked_owners.insert(owner.clone());
         self.assigned = Some(owner.clone());
         self.assigned_until = busy.ready_at.after(ASSIGNED_GRACE);
     }
@@ -58,21 +58,21 @@
     /// left to respond that it is busy, and takes the target on. If it were asked in
     /// addition to the one that is loading, a model from the weight store would be loaded
     /// at each of its homes and keep three engines from all other loads for that time.
-    pub(super) fn is_taken_on_by_others(&self, owner: &HostId) -> bool {
-        !self.told_to.contains(owner) && !self.told_to.is_empty() && self.assigned.as_ref() != Some(owner)
+    pub(super) fn is_assigned_elsewhere(&self, owner: &HostId) -> bool {
+        !self.asked_owners.contains(owner)
+            && !self.asked_owners.is_empty()
+            && self.assigned.as_ref() != Some(owner)
     }
 
     pub(super) fn widen(&mut self, cx: &Cx<'_>, owners: &[HostId], supply: Supply, due: bool) {
-        if !due || self.told.is_none() || self.asked >= owners.len() {
+        if !due || self.last_asked.is_none() || self.owners_asked >= owners.len() {
             return;
         }
-        let all_asked_refuse = owners.iter().take(self.asked).all(|o| self.refused.contains_key(o));
-        let silent = supply == Supply::Nothing
-            && self
-                .unheard_since
-                .is_some_and(|since| since.after(cx.cfg.timings.peer_timeout).is_due(cx.now));
-        if supply == Supply::Full || all_asked_refuse || silent {
-            self.asked += 1;
+        let all_asked_refuse = owners.iter().take(self.owners_asked).all(|o| self.refused.contains_key(o));
+        let silent = supply == Supply::Unavailable
+            && self.silent_since.is_some_and(|since| since.after(cx.cfg.timings.peer_timeout).is_due(cx.now));
+        if supply == Supply::Saturated || all_asked_refuse || silent {
+            self.owners_asked += 1;
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/demand/owners.rs
+++ b/crates/skylarkshore-core/src/serving/demand/owners.rs
@@ -14,7 +14,7 @@
 
 /// The demand for a target that an owner is sent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ask {
+pub(super) struct DemandMessage {
     pub(super) count: u32,
     pub(super) order: ServiceOrder,
     pub(super) patience: Duration,
@@ -22,13 +22,13 @@
 }
 
 /// Sends an owner the demand for a target.
-pub(super) fn tell(cx: &mut Cx<'_>, owner: &HostId, target: &ModelTarget, ask: Ask) {
+pub(super) fn send_demand(cx: &mut Cx<'_>, owner: &HostId, target: &ModelTarget, demand: DemandMessage) {
     let message = PeerMessage::Wanted {
         target: target.clone(),
-        waiting: ask.count,
-        order: ask.order,
-        patience: ask.patience,
-        aim: ask.aim,
+        waiting: demand.count,
+        order: demand.order,
+        patience: demand.patience,
+        aim: demand.aim,
     };
     cx.tell(owner, message);
 }
--- a/crates/skylarkshore-core/src/serving/disposition.rs
+++ b/crates/skylarkshore-core/src/serving/disposition.rs
@@ -58,9 +58,9 @@
         }
         let attempt = cx.next_attempt();
         let waited = cx.now.since(request.arrived).as_millis();
-        let seen = self.routes.seen(cx, &upstream);
+        let load = self.routes.load_summary(cx, &upstream);
         let detail = format!(
-            "upstream={upstream} attempt={attempt} runs={} account={} waited_ms={waited} {seen}",
+            "upstream={upstream} attempt={attempt} runs={} account={} waited_ms={waited} {load}",
             request.runs,
             request.account()
         );
@@ -82,8 +82,8 @@
         request
             .set_state(State::Sent(Run { attempt, upstream, incarnation, isolation, sent: cx.now }), cx.now);
         self.attempts.insert(attempt, id);
-        self.paces.begin(cx.now, &request.arrival.target);
-        self.tally.sent += 1;
+        self.waits.record_sent(cx.now, &request.arrival.target);
+        self.counters.sent += 1;
     }
 
     fn refuse(
@@ -112,10 +112,10 @@
         if let Some(run) = request.run() {
             cx.push(Effect::Cancel { attempt: run.attempt });
             self.attempts.remove(&run.attempt);
-            self.paces.end(cx.now, &request.arrival.target, None);
+            self.waits.record_ended(cx.now, &request.arrival.target, None);
             request.history = RunHistory::MayHaveRun;
         }
-        self.queue.drop_out(id, request);
+        self.queue.remove_if_queued(id, request);
         let Some(key) = request.once_key() else { return self.finish_refused(cx, id, refusal) };
         if refusal.outcome != RefusalOutcome::NotRun {
             self.once.leave_in_doubt(cx, key, id);
@@ -135,7 +135,7 @@
         if request.caller == Caller::Gone {
             return;
         }
-        self.tally.count_refusal(refusal.outcome, &refusal.reason);
+        self.counters.count_refusal(refusal.outcome, &refusal.reason);
         let effect = if request.passed_on {
             Effect::Abort { request: id, refusal }
         } else {
@@ -147,7 +147,7 @@
     /// Sends a recorded answer to the caller and removes the request.
     pub(super) fn finish_with_answer(&mut self, cx: &mut Cx<'_>, id: RequestId, answer: RecordedAnswer) {
         let Some(request) = self.remove_request(cx, id) else { return };
-        self.tally.answered += 1;
+        self.counters.answered += 1;
         if request.caller == Caller::Waiting {
             cx.push(Effect::Answer { request: id, answer });
         }
@@ -156,7 +156,7 @@
     /// Removes a request whose answer was forwarded in full.
     pub(super) fn finish_forwarded(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         if self.remove_request(cx, id).is_some() {
-            self.tally.answered += 1;
+            self.counters.answered += 1;
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/expected_retries.rs
+++ b/crates/skylarkshore-core/src/serving/expected_retries.rs
@@ -8,9 +8,9 @@
 /// Smallest number of refused requests that counts as waiting.
 ///
 /// Single callers often retry at another host, and the load would serve nobody.
-const LEAST_COUNT: u32 = 3;
+const MIN_COUNT: u32 = 3;
 /// How much later than told a caller may retry.
-const GRACE: Duration = Duration::from_secs(1);
+const RETRY_GRACE: Duration = Duration::from_secs(1);
 
 /// Requests for one target that were refused because its model will be ready too late for them.
 ///
@@ -18,20 +18,20 @@
 /// load the model for, and each retry would find it as far from ready as before and be refused
 /// again.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Returning {
+pub(super) struct ExpectedRetries {
     pub(super) count: u32,
     pub(super) order: ServiceOrder,
     /// Until when the retries are expected.
     pub(super) until: Time,
 }
 
-impl Default for Returning {
+impl Default for ExpectedRetries {
     fn default() -> Self {
         Self { count: 0, order: ServiceOrder(u16::MAX), until: Time::START }
     }
 }
 
-impl Returning {
+impl ExpectedRetries {
     /// Adds a request whose caller was told to retry after some time.
     pub(super) fn add(&mut self, now: Time, order: ServiceOrder, after: Duration) {
         if self.until.is_due(now) {
@@ -39,11 +39,11 @@
         }
         self.count = self.count.saturating_add(1);
         self.order = self.order.min(order);
-        self.until = self.until.max(now.after(after.saturating_add(GRACE)));
+        self.until = self.until.max(now.after(after.saturating_add(RETRY_GRACE)));
     }
 
     /// Returns the expected retries, if there are enough of them.
     pub(super) fn at(self, now: Time) -> Option<Self> {
-        (!self.until.is_due(now) && self.count >= LEAST_COUNT).then_some(self)
+        (!self.until.is_due(now) && self.count >= MIN_COUNT).then_some(self)
     }
 }
--- a/crates/skylarkshore-core/src/serving/isolation.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -50,7 +50,10 @@
             self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
             return self.claim_or_send(cx, isolated.request, isolated.upstream, isolation);
         }
-        if isolated.asked.is_none_or(|asked| asked.after(RESERVATION_REQUEST_INTERVAL).is_due(cx.now)) {
+        if isolated
+            .asked_at
+            .is_none_or(|asked_at| asked_at.after(RESERVATION_REQUEST_INTERVAL).is_due(cx.now))
+        {
             self.ask_reservation(cx, &isolated.upstream, patience);
         }
     }
@@ -76,16 +79,16 @@
             };
             upstreams.sort_by_key(|u| (request.tried.contains(u), !self.routes.seems_idle(u)));
             let Some(upstream) = upstreams.into_iter().next() else { continue };
-            self.routes.keep_free(&upstream);
+            self.routes.hold_for_suspect(&upstream);
             let request = urgency.due.request;
-            self.suspects.isolated = Some(IsolatedRun { request, upstream, since: cx.now, asked: None });
+            self.suspects.isolated = Some(IsolatedRun { request, upstream, since: cx.now, asked_at: None });
             return;
         }
     }
 
     fn ask_reservation(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, patience: Duration) {
         if let Some(isolated) = &mut self.suspects.isolated {
-            isolated.asked = Some(cx.now);
+            isolated.asked_at = Some(cx.now);
         }
         if let Some(owner) = owner_of(cx, upstream) {
             cx.tell(&owner, PeerMessage::ReservationWanted { upstream: upstream.clone(), patience });
@@ -94,11 +97,9 @@
 
     /// Releases the upstream held for a suspect, if the request is the isolated one.
     pub(super) fn end_isolation(&mut self, cx: &mut Cx<'_>, id: RequestId) {
-        let Some(isolated) = self.suspects.isolated.take_if(|isolated| isolated.request == id) else {
-            return;
-        };
-        self.routes.open(&isolated.upstream);
-        if isolated.asked.is_none() {
+        let Some(isolated) = self.suspects.isolated.take_if(|run| run.request == id) else { return };
+        self.routes.release_held(&isolated.upstream);
+        if isolated.asked_at.is_none() {
             return;
         }
         if let Some(owner) = owner_of(cx, &isolated.upstream) {
@@ -172,7 +173,7 @@
             if request.state != State::Queued {
                 continue;
             }
-            self.queue.drop_out(id, request);
+            self.queue.remove_if_queued(id, request);
             request.set_state(State::QueuedForIsolation, cx.now);
             self.suspects.waiting.insert(Urgency::of(id, request));
         }
--- a/crates/skylarkshore-core/src/serving/lease.rs
+++ b/crates/skylarkshore-core/src/serving/lease.rs
@@ -9,22 +9,22 @@
 use crate::time::Time;
 
 /// How long a record is stored.
-pub(super) const KEPT: Duration = Duration::from_hours(48);
+pub(super) const RECORD_TTL: Duration = Duration::from_hours(48);
 /// How long a lease is used for new records, so that each is stored for nearly [`RECORD_TTL`].
-const USED: Duration = Duration::from_hours(1);
+const LEASE_USE_TIME: Duration = Duration::from_hours(1);
 /// Mean pause after a failed grant.
-const PAUSE: Duration = Duration::from_millis(500);
+const GRANT_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// How long the answer to a grant is awaited.
-const PATIENCE: Duration = Duration::from_secs(10);
+const GRANT_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
 struct Granted {
     lease: LeaseId,
-    renew_at: Time,
+    replace_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingGrant {
     call: CallId,
     until: Time,
 }
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OnceLease {
     granted: Option<Granted>,
-    asked: Option<Asked>,
+    pending: Option<PendingGrant>,
     pause_until: Time,
 }
 
@@ -47,41 +47,41 @@
     }
 
     /// Requests a lease if there is none or the current one is old.
-    pub(super) fn want(&mut self, cx: &mut Cx<'_>) {
-        let fresh = self.granted.is_some_and(|granted| !granted.renew_at.is_due(cx.now));
-        let asked = self.asked.is_some_and(|asked| !asked.until.is_due(cx.now));
-        if fresh || asked || !self.pause_until.is_due(cx.now) {
+    pub(super) fn request_if_needed(&mut self, cx: &mut Cx<'_>) {
+        let fresh = self.granted.is_some_and(|granted| !granted.replace_at.is_due(cx.now));
+        let pending = self.pending.is_some_and(|pending| !pending.until.is_due(cx.now));
+        if fresh || pending || !self.pause_until.is_due(cx.now) {
             return;
         }
         let call = cx.next_call();
-        self.asked = Some(Asked { call, until: cx.now.after(PATIENCE) });
-        cx.push(Effect::Store { call, request: StoreCall::GrantLease { ttl: KEPT } });
+        self.pending = Some(PendingGrant { call, until: cx.now.after(GRANT_TIMEOUT) });
+        cx.push(Effect::Store { call, request: StoreCall::GrantLease { ttl: RECORD_TTL } });
     }
 
     /// Keeps a lease ready if a service has calls that may run only once.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         let needed = cx.document.catalogue.services.values().any(|service| !service.once_paths.is_empty());
         if needed {
-            self.want(cx);
+            self.request_if_needed(cx);
         }
     }
 
     /// Handles the result of a call; reports whether it concerned the lease.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) -> bool {
-        if self.asked.is_none_or(|asked| asked.call != call) {
+        if self.pending.is_none_or(|pending| pending.call != call) {
             return false;
         }
-        self.asked = None;
+        self.pending = None;
         if let Ok(StoreAnswer::Lease { lease, .. }) = result {
-            self.granted = Some(Granted { lease: *lease, renew_at: cx.now.after(USED) });
+            self.granted = Some(Granted { lease: *lease, replace_at: cx.now.after(LEASE_USE_TIME) });
         } else {
-            self.pause_until = cx.now.after(cx.jitter(PAUSE));
+            self.pause_until = cx.now.after(cx.jitter(GRANT_RETRY_PAUSE));
         }
         true
     }
 
     /// Discards a lease that the store may no longer have.
-    pub(super) fn drop_current(&mut self, lease: LeaseId) {
+    pub(super) fn discard(&mut self, lease: LeaseId) {
         if self.current() == Some(lease) {
             self.granted = None;
         }
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -12,9 +12,9 @@
 use crate::cx::Cx;
 use crate::id::{CallId, Digest, LeaseId, RequestId};
 use crate::serving::lease::OnceLease;
-use crate::serving::once::claim::{Claim, Claimed, Step};
-use crate::serving::once::store_calls::{SETTLE, delete, is_own_claim, once_record, read};
-use crate::serving::once::unknown_outcomes::Unsettled;
+use crate::serving::once::claim::{Claim, ClaimState, HeldClaim};
+use crate::serving::once::store_calls::{SETTLE_TIMEOUT, delete, is_own_claim, once_record, read};
+use crate::serving::once::unknown_outcomes::UnknownOutcomes;
 use crate::store::{
     Expect, Key, OnceRecord, OnceState, Record, RecordedAnswer, StoreAnswer, StoreResult, Versioned,
     WriteOutcome, WriteRequest,
@@ -22,9 +22,10 @@
 use crate::time::Time;
 
 /// Longest time that a claim may take before the request is refused.
-const CLAIM_PATIENCE: Duration = Duration::from_secs(1);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same while calls to the key-value service fail.
-const CLAIM_PATIENCE_FAILING: Duration = Duration::from_millis(200);
+const CLAIM_TIMEOUT_WHILE_FAILING: Duration = Duration::from_millis(200);
+
 /// Progress of a request's claim.
 #[derive(Debug)]
 pub(super) enum ClaimProgress {
@@ -61,7 +62,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Once {
     claims: OrderedMap<Digest, Claim>,
-    unsettled: Unsettled,
+    unknown_outcomes: UnknownOutcomes,
     lease: OnceLease,
     failing: bool,
     /// Number of claims whose request ended with an unknown outcome.
@@ -73,126 +74,135 @@
     pub(super) fn local_use(&self, key: Digest, digest: Digest) -> LocalUse {
         match self.claims.get(&key) {
             None => LocalUse::Unknown,
-            Some(claim) if matches!(claim.step, Step::Doubtful(_)) => LocalUse::Unknown,
+            Some(claim) if matches!(claim.state, ClaimState::Unconfirmed(_)) => LocalUse::Unknown,
             Some(claim) if claim.digest == digest => LocalUse::SameRequest,
             Some(_) => LocalUse::OtherRequest,
         }
     }
 
     /// Registers a request's key, so that no other request of this process uses it.
-    pub(super) fn begin(&mut self, key: Digest, digest: Digest, user: RequestId) {
-        let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
-        self.claims.insert(key, Claim { digest, user: Some(user), step: Step::Queued, leftover });
+    pub(super) fn register(&mut self, key: Digest, digest: Digest, waiter: RequestId) {
+        let may_be_orphaned = self.claims.get(&key).is_some_and(|claim| claim.may_be_orphaned);
+        self.claims
+            .insert(key, Claim { digest, waiter: Some(waiter), state: ClaimState::Queued, may_be_orphaned });
     }
 
     /// Reads a key, so that a request that has run isn't queued.
-    pub(super) fn look_up(&mut self, cx: &mut Cx<'_>, key: Digest) {
-        let until = cx.now.after(self.patience());
+    pub(super) fn start_lookup(&mut self, cx: &mut Cx<'_>, key: Digest) {
+        let until = cx.now.after(self.claim_timeout());
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        claim.step = Step::LookingUp { call: read(cx, key), until };
+        claim.state = ClaimState::LookingUp { call: read(cx, key), until };
     }
 
     /// Claims a key for its request.
     pub(super) fn claim(&mut self, cx: &mut Cx<'_>, key: Digest) {
-        let until = cx.now.after(self.patience());
+        let until = cx.now.after(self.claim_timeout());
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        claim.step = Step::AwaitingLease { until };
-        self.lease.want(cx);
-        self.write_waiting(cx);
+        claim.state = ClaimState::AwaitingLease { until };
+        self.lease.request_if_needed(cx);
+        self.write_claims(cx);
     }
 
     /// Reports whether a key's claim is held, so that its request may be sent.
     pub(super) fn holds(&self, key: Digest) -> bool {
-        matches!(self.claims.get(&key), Some(Claim { step: Step::Held(_), .. }))
+        matches!(self.claims.get(&key), Some(Claim { state: ClaimState::Held(_), .. }))
     }
 
     /// Reports whether no write is pending.
     pub(super) fn is_idle(&self) -> bool {
-        self.claims.values().all(|claim| matches!(claim.step, Step::Queued | Step::Doubtful(_)))
+        self.claims
+            .values()
+            .all(|claim| matches!(claim.state, ClaimState::Queued | ClaimState::Unconfirmed(_)))
     }
 
     /// Records the answer of a request that has run.
     pub(super) fn record(&mut self, cx: &mut Cx<'_>, key: Digest, answer: Option<RecordedAnswer>) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        let Step::Held(held) = claim.step else { return };
+        let ClaimState::Held(held) = claim.state else { return };
         let kept = answer.filter(|answer| answer.body.len() <= cx.cfg.limits.recorded_answer);
         let state = kept.map_or(OnceState::AnswerNotKept, OnceState::Answered);
         let record = Record::Once(once_record(cx, claim.digest, state));
-        claim.step = Step::Recording;
+        claim.state = ClaimState::Recording;
         cx.write(WriteRequest {
             key: Key::Once(key),
             expect: Expect::At(held.revision),
             record: Some(record),
             lease: Some(held.lease),
-            deadline: cx.now.after(SETTLE),
+            deadline: cx.now.after(SETTLE_TIMEOUT),
         });
     }
 
     /// Releases a claim under which nothing ran; reports whether a deletion is pending.
-    pub(super) fn release(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) -> bool {
-        let Some(claim) = self.claims.get_mut(&key).filter(|claim| claim.user == Some(user)) else {
+    pub(super) fn release(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) -> bool {
+        let Some(claim) = self.claims.get_mut(&key).filter(|claim| claim.waiter == Some(waiter)) else {
             return false;
         };
-        match claim.step {
-            Step::Held(held) => {
-                claim.step = Step::Releasing;
+        match claim.state {
+            ClaimState::Held(held) => {
+                claim.state = ClaimState::Releasing;
                 delete(cx, key, held.revision);
                 return true;
             }
             // Its outcome is still unknown; the claim is deleted when the outcome
             // arrives.
-            Step::Writing { .. } => claim.user = None,
-            Step::Queued | Step::LookingUp { .. } | Step::AwaitingLease { .. } if claim.leftover => {
-                claim.user = None;
-                claim.step = Step::doubtful(cx.now);
+            ClaimState::Writing { .. } => claim.waiter = None,
+            ClaimState::Queued | ClaimState::LookingUp { .. } | ClaimState::AwaitingLease { .. }
+                if claim.may_be_orphaned =>
+            {
+                claim.waiter = None;
+                claim.state = ClaimState::unconfirmed(cx.now);
             }
-            Step::Queued | Step::LookingUp { .. } | Step::AwaitingLease { .. } => {
+            ClaimState::Queued | ClaimState::LookingUp { .. } | ClaimState::AwaitingLease { .. } => {
                 self.claims.remove(&key);
             }
-            Step::Recording | Step::Releasing | Step::Doubtful(_) => {}
+            ClaimState::Recording | ClaimState::Releasing | ClaimState::Unconfirmed(_) => {}
         }
         false
     }
 
     /// Leaves a claim in place: its request may have run and must not run again.
-    pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) {
-        if self.claims.get(&key).is_none_or(|claim| claim.user != Some(user)) {
+    pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) {
+        if self.claims.get(&key).is_none_or(|claim| claim.waiter != Some(waiter)) {
             return;
         }
         self.claims.remove(&key);
-        self.unsettled.insert(cx.now, key);
+        self.unknown_outcomes.insert(cx.now, key);
         self.in_doubt += 1;
         cx.note("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
     /// Removes the keys whose records have expired.
-    pub(super) fn forget_old(&mut self, now: Time) {
-        self.unsettled.forget_old(now);
+    pub(super) fn remove_expired(&mut self, now: Time) {
+        self.unknown_outcomes.remove_expired(now);
     }
 
     /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<ClaimProgress> {
         self.lease.on_tick(cx);
-        self.write_waiting(cx);
+        self.write_claims(cx);
         let mut late = Vec::new();
         for (key, claim) in &mut self.claims {
-            match &mut claim.step {
-                Step::LookingUp { until, .. } | Step::AwaitingLease { until } if until.is_due(cx.now) => {
-                    late.extend(claim.user.map(|user| (*key, user)));
+            match &mut claim.state {
+                ClaimState::LookingUp { until, .. } | ClaimState::AwaitingLease { until }
+                    if until.is_due(cx.now) =>
+                {
+                    late.extend(claim.waiter.map(|waiter| (*key, waiter)));
                 }
-                Step::Doubtful(doubt) if doubt.call.is_none() && doubt.look_at.is_due(cx.now) => {
-                    doubt.call = Some(read(cx, *key));
+                ClaimState::Unconfirmed(pending)
+                    if pending.call.is_none() && pending.lookup_at.is_due(cx.now) =>
+                {
+                    pending.call = Some(read(cx, *key));
                 }
                 _ => {}
             }
         }
         let mut progress = Vec::new();
-        for (key, user) in late {
-            self.release(cx, key, user);
-            progress.push(ClaimProgress::Unreachable(user));
+        for (key, waiter) in late {
+            self.release(cx, key, waiter);
+            progress.push(ClaimProgress::Unreachable(waiter));
         }
         self.claims
-            .retain(|_, claim| !matches!(&claim.step, Step::Doubtful(doubt) if doubt.until.is_due(cx.now)));
+            .retain(|_, claim| !matches!(&claim.state, ClaimState::Unconfirmed(pending) if pending.until.is_due(cx.now)));
         progress
     }
 
@@ -205,19 +215,19 @@
     ) -> Option<ClaimProgress> {
         self.failing = result.is_err();
         if self.lease.on_store(cx, call, result) {
-            self.write_waiting(cx);
+            self.write_claims(cx);
             return None;
         }
-        let asked = |claim: &Claim| match &claim.step {
-            Step::LookingUp { call: asked, .. } => *asked == call,
-            Step::Doubtful(doubt) => doubt.call == Some(call),
+        let asked = |claim: &Claim| match &claim.state {
+            ClaimState::LookingUp { call: asked, .. } => *asked == call,
+            ClaimState::Unconfirmed(pending) => pending.call == Some(call),
             _ => false,
         };
         let key = *self.claims.iter().find(|(_, claim)| asked(claim))?.0;
-        if matches!(self.claims.get(&key)?.step, Step::LookingUp { .. }) {
+        if matches!(self.claims.get(&key)?.state, ClaimState::LookingUp { .. }) {
             return self.on_looked_up(cx, key, result);
         }
-        self.on_leftover_read(cx, key, result);
+        self.on_orphan_read(cx, key, result);
         None
     }
 
@@ -228,16 +238,16 @@
         key: Digest,
         outcome: &WriteOutcome,
     ) -> Option<ClaimProgress> {
-        match self.claims.get(&key)?.step {
-            Step::Writing { lease } => self.on_claim_written(cx, key, lease, outcome),
-            Step::Recording => {
+        match self.claims.get(&key)?.state {
+            ClaimState::Writing { lease } => self.on_claim_written(cx, key, lease, outcome),
+            ClaimState::Recording => {
                 if !matches!(outcome, WriteOutcome::Done(_)) {
-                    self.unsettled.insert(cx.now, key);
+                    self.unknown_outcomes.insert(cx.now, key);
                     cx.note("once_answer_not_recorded", key, "the request has run; its key stays claimed");
                 }
-                self.claims.remove(&key)?.user.map(ClaimProgress::Recorded)
+                self.claims.remove(&key)?.waiter.map(ClaimProgress::Recorded)
             }
-            Step::Releasing => self.on_released(cx, key, outcome),
+            ClaimState::Releasing => self.on_released(cx, key, outcome),
             _ => None,
         }
     }
@@ -252,129 +262,129 @@
         let claim = self.claims.get_mut(&key)?;
         match outcome {
             WriteOutcome::Done(written) => {
-                claim.leftover = false;
-                if let Some(user) = claim.user {
-                    claim.step = Step::Held(Claimed { revision: written.revision, lease });
-                    return Some(ClaimProgress::Claimed(user));
+                claim.may_be_orphaned = false;
+                if let Some(waiter) = claim.waiter {
+                    claim.state = ClaimState::Held(HeldClaim { revision: written.revision, lease });
+                    return Some(ClaimProgress::Claimed(waiter));
                 }
-                claim.step = Step::Releasing;
+                claim.state = ClaimState::Releasing;
                 delete(cx, key, written.revision);
                 None
             }
-            WriteOutcome::Conflict(found) => self.on_taken(cx, key, found),
+            WriteOutcome::Conflict(found) => self.on_conflict(cx, key, found),
             WriteOutcome::NotDone => {
                 // The store may no longer have the lease.
-                self.lease.drop_current(lease);
-                claim.step = Step::Queued;
-                let Some(user) = claim.user else {
-                    claim.step = Step::doubtful(cx.now);
+                self.lease.discard(lease);
+                claim.state = ClaimState::Queued;
+                let Some(waiter) = claim.waiter else {
+                    claim.state = ClaimState::unconfirmed(cx.now);
                     return None;
                 };
-                self.release(cx, key, user);
-                Some(ClaimProgress::Unreachable(user))
+                self.release(cx, key, waiter);
+                Some(ClaimProgress::Unreachable(waiter))
             }
             WriteOutcome::Unknown => {
-                claim.step = Step::doubtful(cx.now);
-                claim.leftover = true;
-                claim.user.take().map(ClaimProgress::Unreachable)
+                claim.state = ClaimState::unconfirmed(cx.now);
+                claim.may_be_orphaned = true;
+                claim.waiter.take().map(ClaimProgress::Unreachable)
             }
         }
     }
 
     fn on_released(&mut self, cx: &Cx<'_>, key: Digest, outcome: &WriteOutcome) -> Option<ClaimProgress> {
         let claim = self.claims.get_mut(&key)?;
-        let user = claim.user.take();
+        let waiter = claim.waiter.take();
         if matches!(outcome, WriteOutcome::NotDone | WriteOutcome::Unknown) {
-            claim.leftover = true;
-            claim.step = Step::doubtful(cx.now);
+            claim.may_be_orphaned = true;
+            claim.state = ClaimState::unconfirmed(cx.now);
         } else {
             self.claims.remove(&key);
         }
-        user.map(ClaimProgress::Released)
+        waiter.map(ClaimProgress::Released)
     }
 
     /// Reports whether a record is an orphaned claim of this process, under which nothing
     /// ran.
-    fn is_leftover(&self, cx: &Cx<'_>, key: Digest, record: &OnceRecord) -> bool {
-        let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
-        leftover && is_own_claim(cx, record) && !self.unsettled.may_contain(key)
+    fn is_orphan(&self, cx: &Cx<'_>, key: Digest, record: &OnceRecord) -> bool {
+        let may_be_orphaned = self.claims.get(&key).is_some_and(|claim| claim.may_be_orphaned);
+        may_be_orphaned && is_own_claim(cx, record) && !self.unknown_outcomes.may_contain(key)
     }
 
     /// Handles a conflict with an existing record under a key that was to be claimed.
-    fn on_taken(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<ClaimProgress> {
+    fn on_conflict(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<ClaimProgress> {
         let Some(Record::Once(record)) = &found.record else {
-            return self.claims.remove(&key)?.user.map(ClaimProgress::Unreachable);
+            return self.claims.remove(&key)?.waiter.map(ClaimProgress::Unreachable);
         };
-        if self.is_leftover(cx, key, record) {
+        if self.is_orphan(cx, key, record) {
             let claim = self.claims.get_mut(&key)?;
             // The claim of an earlier try took effect after it was released.
             // Nothing ran under it; if it stayed, it would block the key until its
             // lease expires.
-            claim.step = Step::Releasing;
+            claim.state = ClaimState::Releasing;
             delete(cx, key, found.revision);
-            return claim.user.take().map(ClaimProgress::Unreachable);
+            return claim.waiter.take().map(ClaimProgress::Unreachable);
         }
-        let request = self.claims.remove(&key)?.user?;
+        let request = self.claims.remove(&key)?.waiter?;
         Some(ClaimProgress::Used { request, found: record.clone() })
     }
 
     fn on_looked_up(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) -> Option<ClaimProgress> {
-        let request = self.claims.get(&key)?.user?;
+        let request = self.claims.get(&key)?.waiter?;
         let Ok(StoreAnswer::One(found)) = result else {
             self.release(cx, key, request);
             return Some(ClaimProgress::Unreachable(request));
         };
         match &found.record {
-            Some(Record::Once(record)) if !self.is_leftover(cx, key, record) => {
+            Some(Record::Once(record)) if !self.is_orphan(cx, key, record) => {
                 self.claims.remove(&key);
                 Some(ClaimProgress::Used { request, found: record.clone() })
             }
             _ => {
-                self.claims.get_mut(&key)?.step = Step::Queued;
+                self.claims.get_mut(&key)?.state = ClaimState::Queued;
                 Some(ClaimProgress::Unused(request))
             }
         }
     }
 
     /// Deletes an orphaned claim that was found, or schedules the next check.
-    fn on_leftover_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
+    fn on_orphan_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        let Step::Doubtful(doubt) = &mut claim.step else { return };
-        doubt.call = None;
-        doubt.pause *= 2;
-        doubt.look_at = cx.now.after(doubt.pause);
+        let ClaimState::Unconfirmed(pending) = &mut claim.state else { return };
+        pending.call = None;
+        pending.pause *= 2;
+        pending.lookup_at = cx.now.after(pending.pause);
         let Ok(StoreAnswer::One(found)) = result else { return };
         let Some(Record::Once(record)) = &found.record else { return };
-        if !self.is_leftover(cx, key, record) {
+        if !self.is_orphan(cx, key, record) {
             self.claims.remove(&key);
             return;
         }
         if let Some(claim) = self.claims.get_mut(&key) {
-            claim.step = Step::Releasing;
+            claim.state = ClaimState::Releasing;
         }
         delete(cx, key, found.revision);
     }
 
-    fn write_waiting(&mut self, cx: &mut Cx<'_>) {
+    fn write_claims(&mut self, cx: &mut Cx<'_>) {
         let Some(lease) = self.lease.current() else { return };
-        let patience = self.patience();
+        let claim_timeout = self.claim_timeout();
         for (key, claim) in &mut self.claims {
-            if !matches!(claim.step, Step::AwaitingLease { .. }) {
+            if !matches!(claim.state, ClaimState::AwaitingLease { .. }) {
                 continue;
             }
-            claim.step = Step::Writing { lease };
+            claim.state = ClaimState::Writing { lease };
             let record = Record::Once(once_record(cx, claim.digest, OnceState::Claimed));
             cx.write(WriteRequest {
                 key: Key::Once(*key),
                 expect: Expect::Absent,
                 record: Some(record),
                 lease: Some(lease),
-                deadline: cx.now.after(patience),
+                deadline: cx.now.after(claim_timeout),
             });
         }
     }
 
-    const fn patience(&self) -> Duration {
-        if self.failing { CLAIM_PATIENCE_FAILING } else { CLAIM_PATIENCE }
+    const fn claim_timeout(&self) -> Duration {
+        if self.failing { CLAIM_TIMEOUT_WHILE_FAILING } else { CLAIM_TIMEOUT }
     }
 }
--- a/crates/skylarkshore-core/src/serving/once/claim.rs
+++ b/crates/skylarkshore-core/src/serving/once/claim.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use crate::id::{CallId, Digest, LeaseId, RequestId, StoreRevision};
-use crate::serving::once::store_calls::SETTLE;
+use crate::serving::once::store_calls::SETTLE_TIMEOUT;
 use crate::time::Time;
 
 /// First pause before an unconfirmed claim is looked up.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
+const MIN_LOOKUP_PAUSE: Duration = Duration::from_millis(500);
 
 /// The state of a claim.
 #[derive(Debug)]
-pub(super) enum Step {
+pub(super) enum ClaimState {
     /// The request waits for an upstream, and nothing has been written.
     Queued,
     /// The key is being read before the request is queued.
@@ -21,21 +21,21 @@
     /// The claim is being written.
     Writing { lease: LeaseId },
     /// The claim is held, and its request may be sent.
-    Held(Claimed),
+    Held(HeldClaim),
     /// The answer is being recorded.
     Recording,
     /// The claim is being deleted: nothing ran under it.
     Releasing,
     /// The outcome of the write is unknown; nothing ran under the claim, and it is deleted
     /// if it is found.
-    Doubtful(Doubt),
+    Unconfirmed(UnconfirmedClaim),
 }
 
 /// A claim that may take effect after it was released.
 #[derive(Debug)]
-pub(super) struct Doubt {
+pub(super) struct UnconfirmedClaim {
     /// When to look it up next.
-    pub(super) look_at: Time,
+    pub(super) lookup_at: Time,
     /// Pause before the next lookup.
     pub(super) pause: Duration,
     /// When to stop looking it up.
@@ -46,7 +46,7 @@
 
 /// A claim that is held.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Claimed {
+pub(super) struct HeldClaim {
     /// The revision at which it was written.
     pub(super) revision: StoreRevision,
     /// The lease that it was written with.
@@ -59,16 +59,21 @@
     /// The digest of the request.
     pub(super) digest: Digest,
     /// The request that waits for the claim, unless the claim was released.
-    pub(super) user: Option<RequestId>,
-    pub(super) step: Step,
+    pub(super) waiter: Option<RequestId>,
+    pub(super) state: ClaimState,
     /// Whether an orphaned claim of this process, under which nothing ran, may be found.
-    pub(super) leftover: bool,
+    pub(super) may_be_orphaned: bool,
 }
 
-impl Step {
+impl ClaimState {
     /// Starts looking up a claim whose write has an unknown outcome.
-    pub(super) fn doubtful(now: Time) -> Self {
-        let look_at = now.after(FIRST_LOOK);
-        Self::Doubtful(Doubt { look_at, pause: FIRST_LOOK, until: now.after(SETTLE), call: None })
+    pub(super) fn unconfirmed(now: Time) -> Self {
+        let lookup_at = now.after(MIN_LOOKUP_PAUSE);
+        Self::Unconfirmed(UnconfirmedClaim {
+            lookup_at,
+            pause: MIN_LOOKUP_PAUSE,
+            until: now.after(SETTLE_TIMEOUT),
+            call: None,
+        })
     }
 }
--- a/crates/skylarkshore-core/src/serving/once/store_calls.rs
+++ b/crates/skylarkshore-core/src/serving/once/store_calls.rs
@@ -8,7 +8,7 @@
 use crate::store::{Expect, Key, OnceRecord, OnceState, StoreCall, WriteRequest};
 
 /// How long recording an answer or releasing a claim is retried.
-pub(super) const SETTLE: Duration = Duration::from_mins(1);
+pub(super) const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Reads a key.
 pub(super) fn read(cx: &mut Cx<'_>, key: Digest) -> CallId {
@@ -24,7 +24,7 @@
         expect: Expect::At(revision),
         record: None,
         lease: None,
-        deadline: cx.now.after(SETTLE),
+        deadline: cx.now.after(SETTLE_TIMEOUT),
     });
 }
 
--- a/crates/skylarkshore-core/src/serving/once/unknown_outcomes.rs
+++ b/crates/skylarkshore-core/src/serving/once/unknown_outcomes.rs
@@ -2,11 +2,11 @@
 
 use crate::collections::OrderedMap;
 use crate::id::Digest;
-use crate::serving::lease::KEPT;
+use crate::serving::lease::RECORD_TTL;
 use crate::time::Time;
 
 /// Maximum number of keys that are kept.
-const MOST_UNSETTLED: usize = 65_536;
+const MAX_KEYS: usize = 65_536;
 
 /// The keys whose claims must stay because a request may have run under them.
 ///
@@ -14,25 +14,25 @@
 /// claim under which a request was lost looks the same but must stay, or the same booking would
 /// be made twice.
 #[derive(Debug, Default)]
-pub(super) struct Unsettled {
+pub(super) struct UnknownOutcomes {
     until: OrderedMap<Digest, Time>,
     /// Whether there were more keys than are kept.
     overflowed: bool,
 }
 
-impl Unsettled {
+impl UnknownOutcomes {
     /// Removes the keys whose records have expired with their lease.
-    pub(super) fn forget_old(&mut self, now: Time) {
+    pub(super) fn remove_expired(&mut self, now: Time) {
         self.until.retain(|_, until| !until.is_due(now));
     }
 
     /// Adds a key.
     pub(super) fn insert(&mut self, now: Time, key: Digest) {
-        if self.until.len() >= MOST_UNSETTLED {
+        if self.until.len() >= MAX_KEYS {
             self.overflowed = true;
             return;
         }
-        self.until.insert(key, now.after(KEPT));
+        self.until.insert(key, now.after(RECORD_TTL));
     }
 
     /// Reports whether a request may have run under a key of this process.
--- a/crates/skylarkshore-core/src/serving/others_load.rs
+++ b/crates/skylarkshore-core/src/serving/others_load.rs
@@ -5,24 +5,24 @@
 use crate::time::Time;
 
 /// Time constant of the moving mean.
-const MEMORY: Duration = Duration::from_secs(8);
+const MEAN_TIME_CONSTANT: Duration = Duration::from_secs(8);
 /// How long the mean is valid after the last report.
 ///
 /// An owner that died leaves its last view behind. If its figures never expired, a full engine
 /// would look full until another owner publishes a view, and requests would wait although the
 /// engine is idle. The engine itself rejects what is too much.
-const BELIEVED: Duration = Duration::from_secs(10);
+const REPORT_TTL: Duration = Duration::from_secs(10);
 
 /// How long the mean keeps requests away from an upstream that seems full.
 ///
 /// A router that sends nothing to an upstream receives no reports from it either.
-const FULL_BELIEVED: Duration = Duration::from_secs(1);
+const FULL_TTL: Duration = Duration::from_secs(1);
 
 /// Load in thousandths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Millis(pub(super) u64);
+pub(super) struct MilliRequests(pub(super) u64);
 
-impl Millis {
+impl MilliRequests {
     pub(super) fn of(requests: u32) -> Self {
         Self(u64::from(requests) * 1000)
     }
@@ -36,7 +36,7 @@
 /// an idle one, and a router knows its own load exactly.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OthersLoad {
-    mean: Millis,
+    mean: MilliRequests,
     reports: u64,
     at: Time,
 }
@@ -44,32 +44,32 @@
 impl OthersLoad {
     /// Starts with a first report.
     pub(super) fn new(now: Time, others: u32) -> Self {
-        Self { mean: Millis::of(others), reports: 1, at: now }
+        Self { mean: MilliRequests::of(others), reports: 1, at: now }
     }
 
     /// Adds a report. The first few have equal weight, so that a new mean converges fast.
     #[must_use]
-    pub(super) fn with(self, now: Time, others: u32) -> Self {
+    pub(super) fn updated(self, now: Time, others: u32) -> Self {
         let reports = self.reports + 1;
         let since = u64::try_from(now.since(self.at).as_millis()).unwrap_or(u64::MAX);
-        let memory = u64::try_from(MEMORY.as_millis()).unwrap_or(u64::MAX);
-        let by_time = since.saturating_mul(1000) / since.saturating_add(memory);
+        let time_constant = u64::try_from(MEAN_TIME_CONSTANT.as_millis()).unwrap_or(u64::MAX);
+        let by_time = since.saturating_mul(1000) / since.saturating_add(time_constant);
         let weight = by_time.max(1000 / reports);
-        let mean = (self.mean.0 * (1000 - weight) + Millis::of(others).0 * weight) / 1000;
-        Self { mean: Millis(mean), reports, at: now }
+        let mean = (self.mean.0 * (1000 - weight) + MilliRequests::of(others).0 * weight) / 1000;
+        Self { mean: MilliRequests(mean), reports, at: now }
     }
 
     /// Returns the part of the mean that may remain, since upstreams complete their
     /// requests.
-    pub(super) fn left(self, now: Time) -> Millis {
-        let age = now.since(self.at).min(FULL_BELIEVED);
-        let left = FULL_BELIEVED.saturating_sub(age).as_millis();
-        let mean = u128::from(self.mean.0) * left / FULL_BELIEVED.as_millis();
-        Millis(u64::try_from(mean).unwrap_or(self.mean.0))
+    pub(super) fn decayed(self, now: Time) -> MilliRequests {
+        let age = now.since(self.at).min(FULL_TTL);
+        let decayed = FULL_TTL.saturating_sub(age).as_millis();
+        let mean = u128::from(self.mean.0) * decayed / FULL_TTL.as_millis();
+        MilliRequests(u64::try_from(mean).unwrap_or(self.mean.0))
     }
 
     /// Returns the mean, or zero when it has expired.
-    pub(super) fn mean(self, now: Time) -> Millis {
-        if self.at.after(BELIEVED).is_due(now) { Millis::default() } else { self.mean }
+    pub(super) fn mean(self, now: Time) -> MilliRequests {
+        if self.at.after(REPORT_TTL).is_due(now) { MilliRequests::default() } else { self.mean }
     }
 }
--- a/crates/skylarkshore-core/src/serving/published_views.rs
+++ b/crates/skylarkshore-core/src/serving/published_views.rs
@@ -17,19 +17,19 @@
 ///
 /// An owner that dies during a load leaves a view that promises the model. Without a limit,
 /// requests would wait for it instead of for the next owner's view.
-const OVERDUE: Duration = Duration::from_secs(10);
+const OVERDUE_LOAD_TTL: Duration = Duration::from_secs(10);
 
 /// Delay after which the host list reflects what an engine has loaded.
 ///
 /// Engines register about once a second, and the list is read every two seconds.
-const LISTED_WITHIN: Duration = Duration::from_secs(4);
+const LISTING_DELAY: Duration = Duration::from_secs(4);
 
 /// A view of an engine, with when and from what it was derived.
 #[derive(Clone, Debug)]
-pub(super) struct KnownView {
+pub(super) struct ReceivedView {
     pub(super) view: EngineView,
     /// When the view arrived.
-    pub(super) taken: Time,
+    pub(super) received: Time,
     /// The load of other processes on the engine.
     pub(super) others: OthersLoad,
     /// Since when the engine has been reserved for the same host.
@@ -38,16 +38,16 @@
 
 /// How a view compares with the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum News {
+pub(super) enum Freshness {
     /// Older than the stored one.
-    Late,
+    Stale,
     /// The stored one again; its figures remain valid for longer.
-    Again,
+    Unchanged,
     /// Newer than the stored one.
     Newer,
 }
 
-impl KnownView {
+impl ReceivedView {
     /// Reports whether the engine has been reserved for this host, and idle, for long
     /// enough.
     ///
@@ -55,20 +55,20 @@
     /// figures are older still. A suspect sent immediately could run next to an innocent
     /// request, or be convicted of the crash that the other one caused.
     pub(super) fn is_reserved_and_idle(&self, cx: &Cx<'_>) -> bool {
-        let settled = self.reserved_since.after(cx.cfg.timings.report_every * 2);
+        let settled_at = self.reserved_since.after(cx.cfg.timings.report_every * 2);
         self.view.reserved_for.as_ref() == Some(&cx.cfg.host)
             && self.view.running == 0
-            && settled <= self.taken
+            && settled_at <= self.received
     }
 
     /// Reports whether the view takes precedence over the host list.
-    fn outranks(&self, cx: &Cx<'_>, listed: &Upstream) -> bool {
-        let life = self.view.incarnation;
-        if life != listed.incarnation {
-            return life > listed.incarnation;
+    fn takes_precedence_over(&self, cx: &Cx<'_>, listed: &Upstream) -> bool {
+        let incarnation = self.view.incarnation;
+        if incarnation != listed.incarnation {
+            return incarnation > listed.incarnation;
         }
         let is_owners = self.view.version != ViewVersion::default();
-        is_owners && (!self.taken.after(LISTED_WITHIN).is_due(cx.now) || self.agrees_with(listed))
+        is_owners && (!self.received.after(LISTING_DELAY).is_due(cx.now) || self.agrees_with(listed))
     }
 
     /// Reports whether the host list names exactly the models that are ready in the view.
@@ -89,8 +89,8 @@
         if listed.incarnation > self.view.incarnation {
             return None;
         }
-        let wanted = &cx.document.catalogue.models.get(&target.model)?.version;
-        self.view.models.iter().find(|m| m.model == target.model && m.version == *wanted)
+        let catalogued = &cx.document.catalogue.models.get(&target.model)?.version;
+        self.view.models.iter().find(|m| m.model == target.model && m.version == *catalogued)
     }
 
     fn is_ready(&self, cx: &Cx<'_>, target: &ModelTarget) -> bool {
@@ -101,49 +101,49 @@
 
     fn ready_at(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<Time> {
         let Readiness::Loading { remaining } = self.model(cx, target)?.readiness else { return None };
-        let ready_at = self.taken.after(remaining);
-        let counted_on = !self.view.leaving && !ready_at.after(OVERDUE).is_due(cx.now);
-        counted_on.then_some(ready_at)
+        let ready_at = self.received.after(remaining);
+        let still_expected = !self.view.leaving && !ready_at.after(OVERDUE_LOAD_TTL).is_due(cx.now);
+        still_expected.then_some(ready_at)
     }
 }
 
 /// The latest view of each engine.
 #[derive(Debug, Default)]
-pub(super) struct Views {
-    known: OrderedMap<UpstreamId, KnownView>,
+pub(super) struct PublishedViews {
+    known: OrderedMap<UpstreamId, ReceivedView>,
     /// Index of the engines whose views contain a model.
     by_model: HashMap<ModelName, OrderedSet<UpstreamId>>,
     /// Engines whose owner's view and host list entry may differ.
-    disputed: OrderedSet<UpstreamId>,
+    conflicting: OrderedSet<UpstreamId>,
     /// The catalogue's models and versions at the last full pass over the host list.
     catalogue: OrderedMap<ModelName, ModelVersion>,
     /// Number of views that were older than the stored ones.
-    pub(super) late: u64,
+    pub(super) stale: u64,
 }
 
-impl Views {
+impl PublishedViews {
     /// Stores a view unless it is older than the stored one.
-    pub(super) fn take(&mut self, now: Time, view: EngineView, own: u32) -> News {
+    pub(super) fn apply(&mut self, now: Time, view: EngineView, own: u32) -> Freshness {
         let known = self.known.get(&view.upstream);
         let version = known.map(|known| known.view.version);
         if version > Some(view.version) {
-            self.late += 1;
-            return News::Late;
+            self.stale += 1;
+            return Freshness::Stale;
         }
-        let news = if version == Some(view.version) { News::Again } else { News::Newer };
+        let freshness = if version == Some(view.version) { Freshness::Unchanged } else { Freshness::Newer };
         let same_holder = known.filter(|known| known.view.reserved_for == view.reserved_for);
         let reserved_since = same_holder.map_or(now, |known| known.reserved_since);
         // The view includes this process's own requests, whose number is known exactly.
         let reported = view.running.saturating_sub(own);
-        let same_models = known.filter(|known| holds_the_same(&known.view, &view));
-        self.disputed.insert(view.upstream.clone());
+        let same_models = known.filter(|known| has_same_ready_models(&known.view, &view));
+        self.conflicting.insert(view.upstream.clone());
         let others = same_models
-            .map_or_else(|| OthersLoad::new(now, reported), |known| known.others.with(now, reported));
-        self.insert(KnownView { view, taken: now, others, reserved_since });
-        news
+            .map_or_else(|| OthersLoad::new(now, reported), |known| known.others.updated(now, reported));
+        self.insert(ReceivedView { view, received: now, others, reserved_since });
+        freshness
     }
 
-    fn insert(&mut self, known: KnownView) {
+    fn insert(&mut self, known: ReceivedView) {
         let upstream = known.view.upstream.clone();
         self.remove(&upstream);
         for model in &known.view.models {
@@ -164,7 +164,7 @@
     }
 
     /// Returns the views that contain a model.
-    fn mentioning<'a>(&'a self, model: &ModelName) -> impl Iterator<Item = &'a KnownView> + use<'a> {
+    fn with_model<'a>(&'a self, model: &ModelName) -> impl Iterator<Item = &'a ReceivedView> + use<'a> {
         let engines = self.by_model.get(model).into_iter().flatten();
         engines.filter_map(|engine| self.known.get(engine))
     }
@@ -173,7 +173,7 @@
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         for id in touched {
             match cx.upstreams.get(id) {
-                Some(upstream) => self.take_listed(cx, upstream),
+                Some(upstream) => self.apply_listed(cx, upstream),
                 None => self.remove(id),
             }
         }
@@ -182,16 +182,16 @@
     /// Applies the host list again to engines whose owner's view differs from it.
     ///
     /// The owner's view takes precedence for a while, then the list.
-    pub(super) fn review_listed(&mut self, cx: &Cx<'_>) {
+    pub(super) fn reapply_host_list(&mut self, cx: &Cx<'_>) {
         let catalogue = cx.document.catalogue.models.iter();
         if !catalogue.clone().map(|(name, model)| (name, &model.version)).eq(self.catalogue.iter()) {
             self.catalogue = catalogue.map(|(name, model)| (name.clone(), model.version.clone())).collect();
-            cx.upstreams.iter().for_each(|upstream| self.take_listed(cx, upstream));
+            cx.upstreams.iter().for_each(|upstream| self.apply_listed(cx, upstream));
             return;
         }
-        for id in std::mem::take(&mut self.disputed) {
+        for id in std::mem::take(&mut self.conflicting) {
             if let Some(upstream) = cx.upstreams.get(&id) {
-                self.take_listed(cx, upstream);
+                self.apply_listed(cx, upstream);
             }
         }
     }
@@ -203,7 +203,7 @@
     /// if an owner is down, for its successor's. Owners publish changes only to hosts that
     /// use a model, so a host that last asked long ago would keep sending requests to where
     /// the model was then.
-    fn take_listed(&mut self, cx: &Cx<'_>, upstream: &Upstream) {
+    fn apply_listed(&mut self, cx: &Cx<'_>, upstream: &Upstream) {
         let Some(spec) = upstream.engine() else { return };
         let known = self.known.get(&upstream.id);
         if upstream.holds.is_empty() {
@@ -212,9 +212,9 @@
             }
             return;
         }
-        if let Some(known) = known.filter(|known| known.outranks(cx, upstream)) {
+        if let Some(known) = known.filter(|known| known.takes_precedence_over(cx, upstream)) {
             if !known.agrees_with(upstream) {
-                self.disputed.insert(upstream.id.clone());
+                self.conflicting.insert(upstream.id.clone());
             }
             return;
         }
@@ -223,11 +223,11 @@
             keep_adapters(&mut view, &known.view);
         }
         let others = OthersLoad::new(cx.now, 0);
-        self.insert(KnownView { view, taken: cx.now, others, reserved_since: cx.now });
+        self.insert(ReceivedView { view, received: cx.now, others, reserved_since: cx.now });
     }
 
     /// Returns the latest view of an engine.
-    pub(super) fn get(&self, upstream: &UpstreamId) -> Option<&KnownView> {
+    pub(super) fn get(&self, upstream: &UpstreamId) -> Option<&ReceivedView> {
         self.known.get(upstream)
     }
 
@@ -236,9 +236,9 @@
         &'a self,
         cx: &'a Cx<'_>,
         target: &ModelTarget,
-    ) -> impl Iterator<Item = &'a KnownView> + use<'a> {
+    ) -> impl Iterator<Item = &'a ReceivedView> + use<'a> {
         let target = target.clone();
-        self.mentioning(&target.model).filter(move |known| known.is_ready(cx, &target))
+        self.with_model(&target.model).filter(move |known| known.is_ready(cx, &target))
     }
 
     /// Returns when each engine that is loading the target's model is expected to be ready.
@@ -248,19 +248,19 @@
         target: &ModelTarget,
     ) -> impl Iterator<Item = Time> + use<'a> {
         let target = target.clone();
-        self.mentioning(&target.model).filter_map(move |known| known.ready_at(cx, &target))
+        self.with_model(&target.model).filter_map(move |known| known.ready_at(cx, &target))
     }
 
     /// Returns the engine, of those loading the target, that is expected to be ready first.
     pub(super) fn first_loading(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<&UpstreamId> {
         let loading = self
-            .mentioning(&target.model)
+            .with_model(&target.model)
             .filter_map(|known| Some((known.ready_at(cx, target)?, &known.view.upstream)));
         loading.min().map(|(_, engine)| engine)
     }
 
     /// Reports whether a view lists the model on an engine, in any state.
-    pub(super) fn mentions(&self, upstream: &UpstreamId, target: &ModelTarget) -> bool {
+    pub(super) fn lists_model(&self, upstream: &UpstreamId, target: &ModelTarget) -> bool {
         let known = self.known.get(upstream);
         known.is_some_and(|known| known.view.models.iter().any(|m| m.model == target.model))
     }
@@ -301,7 +301,7 @@
 
 /// Reports whether two views have the same models ready, so that earlier load reports still
 /// apply.
-fn holds_the_same(a: &EngineView, b: &EngineView) -> bool {
+fn has_same_ready_models(a: &EngineView, b: &EngineView) -> bool {
     let usable = |view: &EngineView| -> Vec<ModelName> {
         let ready = view.models.iter().filter(|m| m.readiness == Readiness::Ready);
         ready.map(|m| m.model.clone()).collect()
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -30,29 +30,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Exit {
     /// It is dispatched, so its caller's next turn comes after the other callers'.
-    Served,
+    Dispatched,
     /// It was refused or its caller disconnected.
-    DroppedOut,
+    Withdrawn,
 }
 
 /// The waiting requests of one order of service, with callers in round-robin order.
 #[derive(Debug, Default)]
-struct Class {
+struct PriorityClass {
     callers: OrderedMap<CallerId, OrderedSet<Due>>,
-    turns: VecDeque<CallerId>,
+    round_robin: VecDeque<CallerId>,
 }
 
-impl Class {
+impl PriorityClass {
     fn push(&mut self, caller: &CallerId, due: Due) {
         let waiting = self.callers.entry(caller.clone()).or_default();
         if waiting.is_empty() {
-            self.turns.push_back(caller.clone());
+            self.round_robin.push_back(caller.clone());
         }
         waiting.insert(due);
     }
 
     fn first(&self) -> Option<Due> {
-        self.callers.get(self.turns.front()?)?.first().copied()
+        self.callers.get(self.round_robin.front()?)?.first().copied()
     }
 
     fn remove(&mut self, caller: &CallerId, due: Due, exit: Exit) {
@@ -62,49 +62,49 @@
         if !more {
             self.callers.remove(caller);
         }
-        if !more || exit == Exit::Served {
-            self.turns.retain(|c| c != caller);
+        if !more || exit == Exit::Dispatched {
+            self.round_robin.retain(|c| c != caller);
         }
-        if more && exit == Exit::Served {
-            self.turns.push_back(caller.clone());
+        if more && exit == Exit::Dispatched {
+            self.round_robin.push_back(caller.clone());
         }
     }
 }
 
 /// Number of requests that are searched for one that fits the free upstream better.
-const LOOK_AHEAD: usize = 16;
+const MAX_LOOKAHEAD: usize = 16;
 /// Maximum number of times that the next request may be skipped for one that fits better.
-const MOST_PASSED_OVER: u32 = 8;
+const MAX_SKIPS: u32 = 8;
 
 /// The waiting requests for one model, adapter or service.
 #[derive(Debug, Default)]
-struct Lane {
-    classes: OrderedMap<ServiceOrder, Class>,
-    members: OrderedSet<Urgency>,
+struct TargetQueue {
+    classes: OrderedMap<ServiceOrder, PriorityClass>,
+    entries: OrderedSet<Urgency>,
     deadlines: OrderedSet<Due>,
     aims: OrderedSet<Due>,
     /// Times that the next request has been skipped.
-    passed_over: u32,
+    skips: u32,
 }
 
 /// A summary of the requests that wait for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Waiting {
+pub(super) struct WaitingSummary {
     /// Number of requests.
     pub(super) count: u32,
     pub(super) order: ServiceOrder,
-    pub(super) patient_until: Time,
+    pub(super) latest_deadline: Time,
     /// The earliest future time after which an answer to one of them has reduced value.
     pub(super) aim: Option<Time>,
 }
 
-impl Waiting {
+impl WaitingSummary {
     /// Adds requests that aren't in the queue.
     pub(super) fn add(this: &mut Option<Self>, count: u32, order: ServiceOrder, until: Time) {
-        let sum = this.get_or_insert(Self { count: 0, order, patient_until: until, aim: None });
+        let sum = this.get_or_insert(Self { count: 0, order, latest_deadline: until, aim: None });
         sum.count = sum.count.saturating_add(count);
         sum.order = sum.order.min(order);
-        sum.patient_until = sum.patient_until.max(until);
+        sum.latest_deadline = sum.latest_deadline.max(until);
     }
 }
 
@@ -114,13 +114,13 @@
     /// Another request, which is less urgent and is shed.
     Shed(RequestId),
     /// The new request, which is the least urgent.
-    Itself,
+    Rejected,
 }
 
 /// All waiting requests of a process.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    lanes: OrderedMap<Target, Lane>,
+    by_target: OrderedMap<Target, TargetQueue>,
     callers: OrderedMap<CallerId, OrderedSet<Urgency>>,
     all: OrderedSet<Urgency>,
 }
@@ -133,28 +133,28 @@
 
     /// Returns how many requests wait for a target.
     pub(super) fn len_of(&self, target: &Target) -> u32 {
-        self.lanes.get(target).map_or(0, |lane| u32::try_from(lane.members.len()).unwrap_or(u32::MAX))
+        self.by_target.get(target).map_or(0, |queue| u32::try_from(queue.entries.len()).unwrap_or(u32::MAX))
     }
 
     /// Returns how many requests for the same target precede one.
     pub(super) fn ahead_of(&self, target: &Target, urgency: Urgency) -> u32 {
-        let Some(lane) = self.lanes.get(target) else { return 0 };
-        u32::try_from(lane.members.range(..urgency).count()).unwrap_or(u32::MAX)
+        let Some(queue) = self.by_target.get(target) else { return 0 };
+        u32::try_from(queue.entries.range(..urgency).count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the request to shed or reject if the queue has no room for one more.
     pub(super) fn overflow(&self, limits: &Limits, caller: &CallerId, urgency: Urgency) -> Option<Overflow> {
         let own = self.callers.get(caller);
-        let crowded = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
+        let full_set = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
             own?
         } else if self.all.len() >= limits.queue_total {
             &self.all
         } else {
             return None;
         };
-        match crowded.last() {
+        match full_set.last() {
             Some(last) if *last > urgency => Some(Overflow::Shed(last.due.request)),
-            _ => Some(Overflow::Itself),
+            _ => Some(Overflow::Rejected),
         }
     }
 
@@ -162,11 +162,11 @@
     pub(super) fn push(&mut self, id: RequestId, request: &Request) {
         let urgency = Urgency::of(id, request);
         let caller = &request.arrival.caller;
-        let lane = self.lanes.entry(request.arrival.target.clone()).or_default();
-        lane.classes.entry(urgency.order).or_default().push(caller, urgency.due);
-        lane.members.insert(urgency);
-        lane.deadlines.insert(urgency.due);
-        lane.aims.insert(Due { at: request.arrival.terms.aim, request: id });
+        let queue = self.by_target.entry(request.arrival.target.clone()).or_default();
+        queue.classes.entry(urgency.order).or_default().push(caller, urgency.due);
+        queue.entries.insert(urgency);
+        queue.deadlines.insert(urgency.due);
+        queue.aims.insert(Due { at: request.arrival.terms.aim, request: id });
         self.callers.entry(caller.clone()).or_default().insert(urgency);
         self.all.insert(urgency);
     }
@@ -175,62 +175,62 @@
     ///
     /// They have the same order of service, and the next one is skipped only a limited
     /// number of times.
-    pub(super) fn may_go_first(&self, target: &Target) -> Vec<RequestId> {
-        let Some(lane) = self.lanes.get(target) else { return Vec::new() };
-        let Some(first) = lane.members.first().filter(|_| lane.passed_over < MOST_PASSED_OVER) else {
+    pub(super) fn lookahead(&self, target: &Target) -> Vec<RequestId> {
+        let Some(queue) = self.by_target.get(target) else { return Vec::new() };
+        let Some(first) = queue.entries.first().filter(|_| queue.skips < MAX_SKIPS) else {
             return Vec::new();
         };
-        let alike = lane.members.iter().take_while(|member| member.order == first.order);
-        alike.take(LOOK_AHEAD).map(|member| member.due.request).collect()
+        let alike = queue.entries.iter().take_while(|entry| entry.order == first.order);
+        alike.take(MAX_LOOKAHEAD).map(|entry| entry.due.request).collect()
     }
 
     /// Removes a request that is dispatched.
     pub(super) fn take(&mut self, id: RequestId, request: &Request) {
         let target = &request.arrival.target;
         let is_first = self.first(target) == Some(id);
-        if let Some(lane) = self.lanes.get_mut(target) {
-            lane.passed_over = if is_first { 0 } else { lane.passed_over + 1 };
+        if let Some(queue) = self.by_target.get_mut(target) {
+            queue.skips = if is_first { 0 } else { queue.skips + 1 };
         }
-        self.remove(id, request, Exit::Served);
+        self.remove(id, request, Exit::Dispatched);
     }
 
     /// Removes a request that is no longer to be dispatched, if it is queued.
-    pub(super) fn drop_out(&mut self, id: RequestId, request: &Request) {
-        self.remove(id, request, Exit::DroppedOut);
+    pub(super) fn remove_if_queued(&mut self, id: RequestId, request: &Request) {
+        self.remove(id, request, Exit::Withdrawn);
     }
 
     /// Returns the next request for a target.
     pub(super) fn first(&self, target: &Target) -> Option<RequestId> {
-        let lane = self.lanes.get(target)?;
-        lane.classes.values().find_map(Class::first).map(|due| due.request)
+        let queue = self.by_target.get(target)?;
+        queue.classes.values().find_map(PriorityClass::first).map(|due| due.request)
     }
 
     /// Returns the targets of waiting requests, the one with the most urgent request first.
     pub(super) fn targets(&self) -> Vec<Target> {
         let mut targets: Vec<_> = self
-            .lanes
+            .by_target
             .iter()
-            .filter_map(|(target, lane)| lane.members.first().map(|first| (*first, target)))
+            .filter_map(|(target, queue)| queue.entries.first().map(|first| (*first, target)))
             .collect();
         targets.sort_unstable();
         targets.into_iter().map(|(_, target)| target.clone()).collect()
     }
 
     /// Summarizes the requests that wait for a target.
-    pub(super) fn waiting(&self, now: Time, target: &Target) -> Option<Waiting> {
-        let lane = self.lanes.get(target)?;
-        Some(Waiting {
-            count: u32::try_from(lane.members.len()).unwrap_or(u32::MAX),
-            order: lane.members.first()?.order,
-            patient_until: lane.deadlines.last()?.at,
-            aim: lane.aims.iter().map(|due| due.at).find(|at| !at.is_due(now)),
+    pub(super) fn waiting(&self, now: Time, target: &Target) -> Option<WaitingSummary> {
+        let queue = self.by_target.get(target)?;
+        Some(WaitingSummary {
+            count: u32::try_from(queue.entries.len()).unwrap_or(u32::MAX),
+            order: queue.entries.first()?.order,
+            latest_deadline: queue.deadlines.last()?.at,
+            aim: queue.aims.iter().map(|due| due.at).find(|at| !at.is_due(now)),
         })
     }
 
     /// Returns the requests that wait for a target.
     pub(super) fn requests(&self, target: &Target) -> Vec<RequestId> {
-        let lane = self.lanes.get(target);
-        lane.into_iter().flat_map(|lane| lane.members.iter().map(|m| m.due.request)).collect()
+        let queue = self.by_target.get(target);
+        queue.into_iter().flat_map(|queue| queue.entries.iter().map(|m| m.due.request)).collect()
     }
 
     fn remove(&mut self, id: RequestId, request: &Request, exit: Exit) {
@@ -246,18 +246,18 @@
             }
         }
         let target = &request.arrival.target;
-        let Some(lane) = self.lanes.get_mut(target) else { return };
-        lane.members.remove(&urgency);
-        lane.deadlines.remove(&urgency.due);
-        lane.aims.remove(&Due { at: request.arrival.terms.aim, request: id });
-        if let Some(class) = lane.classes.get_mut(&urgency.order) {
+        let Some(queue) = self.by_target.get_mut(target) else { return };
+        queue.entries.remove(&urgency);
+        queue.deadlines.remove(&urgency.due);
+        queue.aims.remove(&Due { at: request.arrival.terms.aim, request: id });
+        if let Some(class) = queue.classes.get_mut(&urgency.order) {
             class.remove(caller, urgency.due, exit);
             if class.callers.is_empty() {
-                lane.classes.remove(&urgency.order);
+                queue.classes.remove(&urgency.order);
             }
         }
-        if lane.members.is_empty() {
-            self.lanes.remove(target);
+        if queue.entries.is_empty() {
+            self.by_target.remove(target);
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -13,43 +13,43 @@
 use crate::cx::Cx;
 use crate::event::{LoadTold, Target};
 use crate::id::{Digest, ServiceName, UpstreamId};
-use crate::serving::others_load::{Millis, OthersLoad};
-use crate::serving::published_views::{News, Views};
+use crate::serving::others_load::{MilliRequests, OthersLoad};
+use crate::serving::published_views::{Freshness, PublishedViews};
 use crate::time::Time;
 use crate::upstream::{Standing, Upstream};
 use crate::view::EngineView;
 
 /// Load above the emptiest upstream, in thousandths, at which a prompt's prefix still decides.
-const PREFIX_SLACK: u64 = 400;
+const PREFIX_LOAD_SLACK: u64 = 400;
 /// The same limit as a number of requests.
 ///
 /// An engine that batches requests reads their prompts one after the other between the steps of
 /// all; a few more requests than elsewhere slow every stream on it.
-const PREFIX_SLACK_REQUESTS: u64 = 6;
+const PREFIX_REQUEST_SLACK: u64 = 6;
 /// Load, in thousandths of its concurrency, up to which an engine takes requests with a prompt
 /// prefix.
 ///
 /// When every engine is full, a request that takes the next free slot rarely finds its prompt
 /// cached, just when the saved time is needed most.
-const CROWDED: u64 = 1400;
+const MAX_CROWDED_LOAD: u64 = 1400;
 /// Cost of an upstream in another data centre, in thousandths of its load.
-const FAR: u64 = 60;
+const REMOTE_COST: u64 = 60;
 /// How long an upstream gets no requests after it announced that it is leaving.
-const LEAVING: Duration = Duration::from_mins(5);
+const LEAVING_TTL: Duration = Duration::from_mins(5);
 /// First backoff of an upstream that is busy or can't be reached.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Keeps requests away from an upstream until a time.
 #[derive(Clone, Copy, Debug)]
-struct Pause {
+struct Backoff {
     until: Time,
     failures: u32,
 }
 
 /// A model or adapter on one engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct EngineTarget {
     upstream: UpstreamId,
     target: ModelTarget,
 }
@@ -67,7 +67,7 @@
 
 impl Candidate {
     /// Returns the load of some requests in thousandths of the concurrency.
-    fn of_requests(&self, requests: u64) -> u64 {
+    fn load_of(&self, requests: u64) -> u64 {
         requests * 1000 / u64::from(self.concurrency.max(1))
     }
 }
@@ -123,58 +123,58 @@
 #[derive(Debug, Default)]
 pub(super) struct Routes {
     /// The engine views that owners have published.
-    pub(super) views: Views,
+    pub(super) views: PublishedViews,
     in_flight: OrderedMap<UpstreamId, u32>,
     leaving: OrderedMap<UpstreamId, Time>,
-    paused: OrderedMap<UpstreamId, Pause>,
-    missing: OrderedMap<Place, Time>,
+    backoffs: OrderedMap<UpstreamId, Backoff>,
+    missing: OrderedMap<EngineTarget, Time>,
     /// The load of other processes, from the upstreams' own reports.
-    told: OrderedMap<UpstreamId, OthersLoad>,
+    reported_loads: OrderedMap<UpstreamId, OthersLoad>,
     /// Engines on which a suspect of this process runs, or will run, in isolation.
-    kept_free: OrderedSet<UpstreamId>,
+    held_for_suspect: OrderedSet<UpstreamId>,
 }
 
 impl Routes {
     /// Reports whether requests for the target may run at the upstream.
-    pub(super) fn concerns(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
+    pub(super) fn may_run(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
         match target {
-            Target::Model(model) => self.views.mentions(upstream, model),
+            Target::Model(model) => self.views.lists_model(upstream, model),
             Target::Service(name) => cx.upstreams.get(upstream).and_then(Upstream::service) == Some(name),
         }
     }
 
     /// Stores an owner's view of an engine; reports whether it is current.
-    pub(super) fn take_view(&mut self, now: Time, view: EngineView) -> bool {
+    pub(super) fn apply_view(&mut self, now: Time, view: EngineView) -> bool {
         let upstream = view.upstream.clone();
         let own = self.in_flight(&upstream);
-        let news = self.views.take(now, view, own);
-        if news == News::Newer {
+        let freshness = self.views.apply(now, view, own);
+        if freshness == Freshness::Newer {
             // A newer view corrects what an older one got wrong.
-            self.missing.retain(|place, _| place.upstream != upstream);
+            self.missing.retain(|target_on_engine, _| target_on_engine.upstream != upstream);
         }
-        news != News::Late
+        freshness != Freshness::Stale
     }
 
     /// Applies changes of the host list and removes the state of upstreams that left it.
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         self.views.on_host_list(cx, touched);
         for id in touched.iter().filter(|id| !cx.upstreams.contains(id)) {
-            self.told.remove(id);
+            self.reported_loads.remove(id);
             self.leaving.remove(id);
-            self.paused.remove(id);
+            self.backoffs.remove(id);
         }
     }
 
     /// Applies what the host list shows of engines where that depends on time or the
     /// catalogue.
-    pub(super) fn review_listed(&mut self, cx: &Cx<'_>) {
-        self.views.review_listed(cx);
+    pub(super) fn reapply_host_list(&mut self, cx: &Cx<'_>) {
+        self.views.reapply_host_list(cx);
     }
 
     /// Removes entries that have expired.
-    pub(super) fn forget_old(&mut self, now: Time) {
+    pub(super) fn remove_expired(&mut self, now: Time) {
         self.leaving.retain(|_, until| !until.is_due(now));
-        self.paused.retain(|_, pause| !pause.until.after(LONGEST_PAUSE).is_due(now));
+        self.backoffs.retain(|_, backoff| !backoff.until.after(MAX_BACKOFF).is_due(now));
         self.missing.retain(|_, until| !until.is_due(now));
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Returns the upstreams with requests of this process, and how many.
-    pub(super) fn used(&self) -> impl Iterator<Item = (&UpstreamId, u32)> {
+    pub(super) fn upstreams_in_use(&self) -> impl Iterator<Item = (&UpstreamId, u32)> {
         self.in_flight.iter().map(|(upstream, n)| (upstream, *n))
     }
 
@@ -203,59 +203,59 @@
     }
 
     /// Records the load that an upstream reported.
-    pub(super) fn note_load(&mut self, now: Time, upstream: &UpstreamId, load: LoadTold) {
+    pub(super) fn record_load(&mut self, now: Time, upstream: &UpstreamId, load: LoadTold) {
         let others = (load.running + load.waiting).saturating_sub(self.in_flight(upstream));
-        let told = self
-            .told
+        let load = self
+            .reported_loads
             .get(upstream)
-            .map_or_else(|| OthersLoad::new(now, others), |told| told.with(now, others));
-        self.told.insert(upstream.clone(), told);
+            .map_or_else(|| OthersLoad::new(now, others), |estimate| estimate.updated(now, others));
+        self.reported_loads.insert(upstream.clone(), load);
     }
 
     /// Records that an upstream is leaving; reports whether that was new.
-    pub(super) fn note_leaving(&mut self, now: Time, upstream: &UpstreamId) -> bool {
-        self.leaving.insert(upstream.clone(), now.after(LEAVING)).is_none()
+    pub(super) fn record_leaving(&mut self, now: Time, upstream: &UpstreamId) -> bool {
+        self.leaving.insert(upstream.clone(), now.after(LEAVING_TTL)).is_none()
     }
 
     /// Backs off from an upstream that is busy, died or can't be reached.
-    pub(super) fn note_trouble(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
-        let failures = self.paused.get(upstream).map_or(0, |pause| pause.failures);
-        let pause = FIRST_PAUSE.saturating_mul(1 << failures.min(6)).min(LONGEST_PAUSE);
-        let until = cx.now.after(cx.jitter(pause));
-        self.paused.insert(upstream.clone(), Pause { until, failures: failures + 1 });
+    pub(super) fn back_off(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
+        let failures = self.backoffs.get(upstream).map_or(0, |backoff| backoff.failures);
+        let backoff = MIN_BACKOFF.saturating_mul(1 << failures.min(6)).min(MAX_BACKOFF);
+        let until = cx.now.after(cx.jitter(backoff));
+        self.backoffs.insert(upstream.clone(), Backoff { until, failures: failures + 1 });
     }
 
     /// Ends the backoff of an upstream that answered.
-    pub(super) fn note_health(&mut self, upstream: &UpstreamId) {
-        self.paused.remove(upstream);
+    pub(super) fn clear_backoff(&mut self, upstream: &UpstreamId) {
+        self.backoffs.remove(upstream);
     }
 
     /// Records that a model isn't on the engine that its owner's last view named.
-    pub(super) fn note_missing(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) {
-        let until = cx.now.after(cx.jitter(LONGEST_PAUSE));
-        self.missing.insert(Place { upstream: upstream.clone(), target: target.clone() }, until);
+    pub(super) fn record_missing(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) {
+        let until = cx.now.after(cx.jitter(MAX_BACKOFF));
+        self.missing.insert(EngineTarget { upstream: upstream.clone(), target: target.clone() }, until);
     }
 
     /// Holds an engine for an isolated suspect.
-    pub(super) fn keep_free(&mut self, upstream: &UpstreamId) {
-        self.kept_free.insert(upstream.clone());
+    pub(super) fn hold_for_suspect(&mut self, upstream: &UpstreamId) {
+        self.held_for_suspect.insert(upstream.clone());
     }
 
     /// Releases an engine that was held for a suspect.
-    pub(super) fn open(&mut self, upstream: &UpstreamId) {
-        self.kept_free.remove(upstream);
+    pub(super) fn release_held(&mut self, upstream: &UpstreamId) {
+        self.held_for_suspect.remove(upstream);
     }
 
     /// Chooses an upstream with room for a request.
-    pub(super) fn choose(&self, cx: &mut Cx<'_>, route_query: RouteQuery<'_>) -> Option<UpstreamId> {
-        let mut free: Vec<Candidate> = self.candidates(cx, route_query.target);
-        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && route_query.prefix.is_some()));
-        if free.iter().any(|c| !route_query.tried.contains(&c.upstream)) {
-            free.retain(|c| !route_query.tried.contains(&c.upstream));
+    pub(super) fn choose(&self, cx: &mut Cx<'_>, query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let mut free: Vec<Candidate> = self.candidates(cx, query.target);
+        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && query.prefix.is_some()));
+        if free.iter().any(|c| !query.tried.contains(&c.upstream)) {
+            free.retain(|c| !query.tried.contains(&c.upstream));
         }
         let least = free.iter().map(|c| c.cost).min()?;
-        if let Some(prefix) = route_query.prefix {
-            free.retain(|c| c.cost <= least + PREFIX_SLACK.min(c.of_requests(PREFIX_SLACK_REQUESTS)));
+        if let Some(prefix) = query.prefix {
+            free.retain(|c| c.cost <= least + PREFIX_LOAD_SLACK.min(c.load_of(PREFIX_REQUEST_SLACK)));
             return free.iter().max_by_key(|c| affinity(prefix, &c.upstream)).map(|c| c.upstream.clone());
         }
         free.retain(|c| c.cost == least);
@@ -265,9 +265,9 @@
 
     /// Returns the upstream that most probably has a prompt prefix cached, even if it is
     /// full.
-    pub(super) fn preferred(&self, cx: &Cx<'_>, route_query: RouteQuery<'_>) -> Option<UpstreamId> {
-        let prefix = route_query.prefix?;
-        let candidates = self.candidates(cx, route_query.target);
+    pub(super) fn preferred(&self, cx: &Cx<'_>, query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let prefix = query.prefix?;
+        let candidates = self.candidates(cx, query.target);
         candidates.into_iter().map(|c| c.upstream).max_by_key(|upstream| affinity(prefix, upstream))
     }
 
@@ -315,28 +315,28 @@
     }
 
     /// Reports whether an upstream is known to be leaving.
-    pub(super) fn is_going(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
+    pub(super) fn is_leaving(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let listed = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
-        let says_so = self.views.get(upstream).is_some_and(|known| known.view.leaving);
-        !listed || says_so || self.leaving.contains_key(upstream)
+        let view_leaving = self.views.get(upstream).is_some_and(|known| known.view.leaving);
+        !listed || view_leaving || self.leaving.contains_key(upstream)
     }
 
     /// Summarizes what is known of an upstream's load, for the log.
-    pub(super) fn seen(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> String {
+    pub(super) fn load_summary(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> String {
         let own = self.in_flight(upstream);
         let view = self.views.get(upstream);
-        let others = self.told.get(upstream).or(view.map(|known| &known.others));
+        let others = self.reported_loads.get(upstream).or(view.map(|known| &known.others));
         let others = others.map_or(0, |others| others.mean(cx.now).0 / 1000);
-        let age = view.map(|known| cx.now.since(known.taken).as_millis());
+        let age = view.map(|known| cx.now.since(known.received).as_millis());
         let age = age.map_or_else(|| "none".to_owned(), |age| age.to_string());
         format!("own={own} others={others} view_age_ms={age}")
     }
 
     /// Describes how an upstream is used, for the state dump.
     pub(super) fn describe(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> &'static str {
-        if self.is_going(cx, upstream) {
+        if self.is_leaving(cx, upstream) {
             "about to go"
-        } else if self.kept_free.contains(upstream) {
+        } else if self.held_for_suspect.contains(upstream) {
             "kept for a suspect"
         } else if self.usable(cx, upstream) {
             "in use"
@@ -387,11 +387,11 @@
         self.views
             .ready(cx, target)
             .filter(|known| known.view.reserved_for.is_none())
-            .filter(|known| !self.kept_free.contains(&known.view.upstream))
+            .filter(|known| !self.held_for_suspect.contains(&known.view.upstream))
             .filter(|known| self.usable(cx, &known.view.upstream))
             .filter(|known| !self.is_missing(cx, &known.view.upstream, target))
             .map(|known| {
-                let others = self.told.get(&known.view.upstream).unwrap_or(&known.others);
+                let others = self.reported_loads.get(&known.view.upstream).unwrap_or(&known.others);
                 self.candidate(cx, &known.view.upstream, Some(others), known.view.concurrency)
             })
             .collect()
@@ -401,7 +401,7 @@
         let concurrency = cx.document.catalogue.services.get(service).map_or(0, |s| s.concurrency);
         let candidate = |id: &UpstreamId| {
             let own = cx.upstreams.get(id).and_then(|upstream| upstream.concurrency);
-            self.candidate(cx, id, self.told.get(id), own.unwrap_or(concurrency))
+            self.candidate(cx, id, self.reported_loads.get(id), own.unwrap_or(concurrency))
         };
         self.replicas(cx, service).map(candidate).collect()
     }
@@ -412,13 +412,13 @@
         service: &ServiceName,
     ) -> impl Iterator<Item = &'a UpstreamId> + use<'a> {
         let ids = cx.upstreams.replicas(service).map(|u| &u.id);
-        ids.filter(|id| self.usable(cx, id) && !self.kept_free.contains(*id))
+        ids.filter(|id| self.usable(cx, id) && !self.held_for_suspect.contains(*id))
     }
 
     fn usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let live = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
-        let paused = self.paused.get(upstream).is_some_and(|pause| !pause.until.is_due(cx.now));
-        live && !paused && !self.leaving.contains_key(upstream)
+        let backed_off = self.backoffs.get(upstream).is_some_and(|backoff| !backoff.until.is_due(cx.now));
+        live && !backed_off && !self.leaving.contains_key(upstream)
     }
 
     fn candidate(
@@ -429,23 +429,24 @@
         concurrency: u32,
     ) -> Candidate {
         let near = cx.upstreams.get(upstream).is_some_and(|u| u.data_centre == cx.cfg.data_centre);
-        let distance = if near { 0 } else { FAR };
+        let distance = if near { 0 } else { REMOTE_COST };
         let own = self.in_flight(upstream);
-        let share = |others: Millis| (Millis::of(own).0 + others.0) / u64::from(concurrency.max(1));
-        let others_mean = others.map_or(Millis::default(), |others| others.mean(cx.now));
-        let others_left = others.map_or(Millis::default(), |others| others.left(cx.now));
-        let room = match share(others_left) {
+        let share =
+            |others: MilliRequests| (MilliRequests::of(own).0 + others.0) / u64::from(concurrency.max(1));
+        let others_mean = others.map_or(MilliRequests::default(), |others| others.mean(cx.now));
+        let others_decayed = others.map_or(MilliRequests::default(), |others| others.decayed(cx.now));
+        let room = match share(others_decayed) {
             _ if own >= concurrency => Room::Full,
             0..1000 => Room::Free,
-            1000..CROWDED => Room::Crowded,
+            1000..MAX_CROWDED_LOAD => Room::Crowded,
             _ => Room::Full,
         };
         Candidate { upstream: upstream.clone(), cost: share(others_mean) + distance, room, concurrency }
     }
 
     fn is_missing(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) -> bool {
-        let place = Place { upstream: upstream.clone(), target: target.clone() };
-        self.missing.get(&place).is_some_and(|until| !until.is_due(cx.now))
+        let target_on_engine = EngineTarget { upstream: upstream.clone(), target: target.clone() };
+        self.missing.get(&target_on_engine).is_some_and(|until| !until.is_due(cx.now))
     }
 }
 
--- a/crates/skylarkshore-core/src/serving/state_dump.rs
+++ b/crates/skylarkshore-core/src/serving/state_dump.rs
@@ -8,18 +8,18 @@
 
 impl Serving {
     /// Returns an entry for each request, each upstream in use and each suspect.
-    pub(super) fn beliefs(&self, cx: &Cx<'_>) -> Vec<Belief> {
+    pub(super) fn dump_entries(&self, cx: &Cx<'_>) -> Vec<Belief> {
         let requests = self.requests.iter().map(|(id, request)| Belief {
             kind: "request",
             subject: id.to_string(),
             state: request.describe(),
             since: Some(request.since),
         });
-        let routes = self.routes.used().map(|(upstream, n)| Belief {
+        let routes = self.routes.upstreams_in_use().map(|(upstream, n)| Belief {
             kind: "route",
             subject: upstream.to_string(),
             state: format!("{n} requests from here, {}", self.routes.describe(cx, upstream)),
-            since: self.routes.views.get(upstream).map(|known| known.taken),
+            since: self.routes.views.get(upstream).map(|known| known.received),
         });
         let suspects = self.suspects.digests().map(|digest| {
             let state = match self.suspects.status(digest) {
@@ -34,7 +34,7 @@
     }
 
     /// Returns the gauges for the metrics.
-    pub(super) fn numbers(&self) -> Vec<Gauge> {
+    pub(super) fn collect_gauges(&self) -> Vec<Gauge> {
         let mut gauges = vec![
             gauge("requests_queued", self.queue.len() as u64),
             gauge("requests_queued_alone", self.suspects.waiting.len() as u64),
@@ -43,9 +43,9 @@
             gauge("suspect_requests", self.suspects.count(SuspectStatus::Suspect) as u64),
             gauge("convicted_requests", self.suspects.count(SuspectStatus::Convicted) as u64),
             gauge("once_in_doubt_total", self.once.in_doubt),
-            gauge("late_views_total", self.routes.views.late),
+            gauge("late_views_total", self.routes.views.stale),
         ];
-        gauges.extend(self.tally.gauges());
+        gauges.extend(self.counters.gauges());
         gauges
     }
 }
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -11,9 +11,9 @@
 use crate::id::{HostId, RequestId, UpstreamId};
 use crate::peer::CannotLoad;
 use crate::serving::Serving;
-use crate::serving::demand::{Pace, Refused, Supply};
+use crate::serving::demand::{AskTiming, OwnerRefusal, Supply};
 use crate::serving::disposition::Disposition;
-use crate::serving::queue::Waiting;
+use crate::serving::queue::WaitingSummary;
 use crate::serving::request::State;
 use crate::serving::routing::Availability;
 use crate::store::Key;
@@ -21,7 +21,7 @@
 use crate::view::EngineView;
 
 /// How long requests wait while no owner responds.
-const UNHEARD_PATIENCE: Duration = Duration::from_secs(25);
+const OWNER_SILENCE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Retry delay when no upstream could take a request.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
@@ -30,21 +30,21 @@
 struct Shortage {
     reason: RefusalReason,
     /// Requests whose deadline is at or before this time can't be served.
-    bar: Time,
+    unservable_until: Time,
     retry_after: Duration,
 }
 
 impl Serving {
     /// Handles an owner's view of an engine.
     pub(super) fn on_view(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
-        if !self.routes.take_view(cx.now, view.clone()) {
+        if !self.routes.apply_view(cx.now, view.clone()) {
             return;
         }
         self.return_stray_reservation(cx, view);
         for model in self.waiting_models(cx) {
-            if self.routes.views.mentions(&view.upstream, &model) {
-                self.wants.heard(&model);
-                self.review(cx, &Target::Model(model));
+            if self.routes.views.lists_model(&view.upstream, &model) {
+                self.demand.record_response(&model);
+                self.refuse_unservable(cx, &Target::Model(model));
             }
         }
         self.dispatch_for_upstream(cx, &view.upstream);
@@ -65,26 +65,26 @@
             return;
         }
         if *reason == CannotLoad::Busy {
-            self.wants.busy(cx.now, from, target, retry_after);
-            return self.ask(cx, &Target::Model(target.clone()), Pace::Now);
+            self.demand.record_busy(cx.now, from, target, retry_after);
+            return self.ask(cx, &Target::Model(target.clone()), AskTiming::Now);
         }
         let loaded = self.loaded(cx, target);
-        let next = self.wants.refused(cx, from, target, reason.clone(), retry_after, &loaded);
+        let next = self.demand.record_refusal(cx, from, target, reason.clone(), retry_after, &loaded);
         let target = Target::Model(target.clone());
-        self.review(cx, &target);
+        self.refuse_unservable(cx, &target);
         if next {
-            self.ask(cx, &target, Pace::Now);
+            self.ask(cx, &target, AskTiming::Now);
         }
     }
 
     /// Refuses the requests that can't be served in time, for every target.
-    pub(super) fn review_all(&mut self, cx: &mut Cx<'_>) {
+    pub(super) fn refuse_all_unservable(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
         targets.extend(self.waiting_models(cx).into_iter().map(Target::Model));
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
-            self.review(cx, &target);
+            self.refuse_unservable(cx, &target);
         }
     }
 
@@ -92,12 +92,13 @@
     ///
     /// A caller that is refused immediately can ask another host; one that waits until its
     /// deadline has lost that time.
-    pub(super) fn review(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    pub(super) fn refuse_unservable(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Some(shortage) = self.shortage(cx, target) else { return };
         for id in self.waiting_for(target) {
-            let late = self.requests.get(&id).is_some_and(|r| r.queue_deadline() <= shortage.bar);
+            let late =
+                self.requests.get(&id).is_some_and(|r| r.queue_deadline() <= shortage.unservable_until);
             if late {
-                self.expect_back(cx.now, id, shortage.retry_after);
+                self.expect_retry(cx.now, id, shortage.retry_after);
                 let reason = shortage.reason.clone();
                 self.send_or_refuse(
                     cx,
@@ -126,18 +127,21 @@
         }
     }
 
-    fn expect_back(&mut self, now: Time, id: RequestId, retry_after: Duration) {
+    fn expect_retry(&mut self, now: Time, id: RequestId, retry_after: Duration) {
         let Some(request) = self.requests.get(&id) else { return };
         let Target::Model(target) = &request.arrival.target else { return };
-        self.wants.told_to_return(now, target, request.order, retry_after);
+        self.demand.expect_retry(now, target, request.order, retry_after);
     }
 
     fn shortage(&self, cx: &Cx<'_>, target: &Target) -> Option<Shortage> {
-        let everyone =
-            |retry_after| Shortage { reason: RefusalReason::NoUpstream, bar: Time::NEVER, retry_after };
+        let all_unservable = |retry_after| Shortage {
+            reason: RefusalReason::NoUpstream,
+            unservable_until: Time::NEVER,
+            retry_after,
+        };
         let model = match target {
             Target::Service(service) => {
-                return (!self.routes.has_replica(cx, service)).then(|| everyone(RETRY_AFTER));
+                return (!self.routes.has_replica(cx, service)).then(|| all_unservable(RETRY_AFTER));
             }
             Target::Model(target) => target,
         };
@@ -145,40 +149,48 @@
             Availability::Ready => return None,
             Availability::Loading { ready_at } => {
                 let reason = RefusalReason::ColdStartTooLong;
-                return Some(Shortage { reason, bar: ready_at, retry_after: ready_at.remaining(cx.now) });
+                return Some(Shortage {
+                    reason,
+                    unservable_until: ready_at,
+                    retry_after: ready_at.remaining(cx.now),
+                });
             }
             Availability::None => {}
         }
         if !cx.document.catalogue.models.contains_key(&model.model) {
-            return Some(everyone(RETRY_AFTER));
+            return Some(all_unservable(RETRY_AFTER));
         }
-        if let Some(refused) = self.wants.hopeless(cx, model) {
+        if let Some(refused) = self.demand.all_owners_refusal(cx, model) {
             let retry_after = refused.until.remaining(cx.now);
-            return Some(Shortage { reason: reason_of(&refused.reason), bar: bar_of(refused), retry_after });
+            return Some(Shortage {
+                reason: reason_of(&refused.reason),
+                unservable_until: latest_unservable_deadline(refused),
+                retry_after,
+            });
         }
-        let unheard = self.wants.unheard_since(model)?;
-        unheard.after(UNHEARD_PATIENCE).is_due(cx.now).then(|| everyone(RETRY_AFTER))
+        let silent_since = self.demand.silent_since(model)?;
+        silent_since.after(OWNER_SILENCE_TIMEOUT).is_due(cx.now).then(|| all_unservable(RETRY_AFTER))
     }
 
     /// Asks the owners for a target if requests wait for it.
-    pub(super) fn ask_for(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    pub(super) fn ask_owners_for(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Target::Model(model) = target else { return };
         if self.waiting(cx, target).is_none() {
-            return self.wants.satisfied(model);
+            return self.demand.reset(model);
         }
         // Only the first waiting request may ask before the interval has passed. Each
         // answer of an owner leads back here. If each answer triggered another question
         // while an engine is unreachable, a host that owns the home itself would loop
         // forever, and two hosts would flood each other.
-        let first = !self.wants.is_waited_for(model);
+        let first = !self.demand.has_waiting_requests(model);
         let cold = first && self.routes.availability(cx, target) == Availability::None;
-        self.ask(cx, target, if cold { Pace::Now } else { Pace::WhenDue });
+        self.ask(cx, target, if cold { AskTiming::Now } else { AskTiming::WhenDue });
     }
 
     /// Asks the new owners for the targets whose homes or owners have changed.
-    pub(super) fn ask_again(&mut self, cx: &mut Cx<'_>, key: &Key) {
+    pub(super) fn ask_new_owners(&mut self, cx: &mut Cx<'_>, key: &Key) {
         for model in self.waiting_models(cx) {
-            let concerned = match key {
+            let affected = match key {
                 Key::Homes(changed) => *changed == model.model,
                 Key::Owner(engine) => {
                     cx.cache.homes(&model.model).is_some_and(|(_, homes)| homes.engines.contains(engine))
@@ -186,30 +198,30 @@
                 _ => false,
             };
             let target = Target::Model(model);
-            if concerned && self.routes.availability(cx, &target) == Availability::None {
-                self.ask(cx, &target, Pace::Now);
+            if affected && self.routes.availability(cx, &target) == Availability::None {
+                self.ask(cx, &target, AskTiming::Now);
             }
         }
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, target: &Target, pace: Pace) {
+    fn ask(&mut self, cx: &mut Cx<'_>, target: &Target, timing: AskTiming) {
         let Target::Model(model) = target else { return };
         let Some(waiting) = self.waiting(cx, target) else { return };
         let supply = match self.routes.availability(cx, target) {
-            Availability::Ready => Supply::Full,
+            Availability::Ready => Supply::Saturated,
             // A load that finishes after every waiting request has timed out is of
             // no use to them.
-            Availability::Loading { ready_at } if ready_at >= waiting.patient_until => Supply::Nothing,
-            Availability::Loading { .. } => Supply::Coming,
-            Availability::None => Supply::Nothing,
+            Availability::Loading { ready_at } if ready_at >= waiting.latest_deadline => Supply::Unavailable,
+            Availability::Loading { .. } => Supply::InProgress,
+            Availability::None => Supply::Unavailable,
         };
-        if supply == Supply::Coming
+        if supply == Supply::InProgress
             && let Some(loader) = self.loader(cx, model)
         {
-            self.wants.taken_on(cx, model, loader);
+            self.demand.assign_loader(cx, model, loader);
         }
         let loaded = self.loaded(cx, model);
-        self.wants.ask(cx, model, waiting, supply, pace, &loaded);
+        self.demand.ask(cx, model, waiting, supply, timing, &loaded);
     }
 
     /// Returns the owner of the engine that is expected to be ready with a target first.
@@ -226,19 +238,24 @@
 
     /// Summarizes the requests that wait for a target, including suspects and expected
     /// retries.
-    fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<Waiting> {
+    fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<WaitingSummary> {
         let mut waiting = self.queue.waiting(cx.now, target);
         for urgency in &self.suspects.waiting {
             let Some(request) = self.requests.get(&urgency.due.request) else { continue };
             if request.arrival.target == *target {
-                Waiting::add(&mut waiting, 1, urgency.order, urgency.due.at);
+                WaitingSummary::add(&mut waiting, 1, urgency.order, urgency.due.at);
             }
         }
         if let Target::Model(model) = target
-            && let Some(returning) = self.wants.returning(cx, model)
+            && let Some(expected_retries) = self.demand.expected_retries(cx, model)
             && self.routes.availability(cx, target) != Availability::Ready
         {
-            Waiting::add(&mut waiting, returning.count, returning.order, returning.until);
+            WaitingSummary::add(
+                &mut waiting,
+                expected_retries.count,
+                expected_retries.order,
+                expected_retries.until,
+            );
         }
         waiting
     }
@@ -251,14 +268,14 @@
     }
 
     /// Returns the targets for which retries are expected and no request is queued.
-    pub(super) fn returning_targets(&self, cx: &Cx<'_>) -> Vec<Target> {
-        let targets = self.wants.returning_targets(cx).cloned().map(Target::Model);
+    pub(super) fn targets_expecting_retries(&self, cx: &Cx<'_>) -> Vec<Target> {
+        let targets = self.demand.targets_expecting_retries(cx).cloned().map(Target::Model);
         targets.filter(|target| self.queue.len_of(target) == 0).collect()
     }
 
     pub(super) fn waiting_models(&self, cx: &Cx<'_>) -> Vec<ModelTarget> {
         let mut targets = self.queue.targets();
-        targets.extend(self.wants.returning_targets(cx).cloned().map(Target::Model));
+        targets.extend(self.demand.targets_expecting_retries(cx).cloned().map(Target::Model));
         targets.extend(self.suspect_targets());
         targets.sort_unstable();
         targets.dedup();
@@ -284,10 +301,10 @@
 /// An owner that compared the load with the requests' remaining time has considered every
 /// deadline that it was sent. An owner that was unable to act may be able to when it is asked
 /// again.
-fn bar_of(refused: &Refused) -> Time {
+fn latest_unservable_deadline(refused: &OwnerRefusal) -> Time {
     match refused.reason {
         CannotLoad::Memory | CannotLoad::Power | CannotLoad::EngineRefuses | CannotLoad::TooSlow => {
-            refused.until.max(refused.patient_until)
+            refused.until.max(refused.latest_deadline)
         }
         CannotLoad::NotOwner
         | CannotLoad::OwnershipInDoubt
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -41,7 +41,7 @@
 
 impl UpstreamIncarnation {
     /// Reports whether the host list shows that this incarnation has terminated.
-    fn has_ended(&self, cx: &Cx<'_>) -> bool {
+    fn has_terminated(&self, cx: &Cx<'_>) -> bool {
         let listed = cx.upstreams.get(&self.upstream);
         listed.is_none_or(|listed| self.incarnation.is_some_and(|own| own < listed.incarnation))
     }
@@ -86,7 +86,7 @@
     /// Since when the upstream has been held for it.
     pub(super) since: Time,
     /// When the upstream's owner was last asked for a reservation.
-    pub(super) asked: Option<Time>,
+    pub(super) asked_at: Option<Time>,
 }
 
 /// Whether a request with this digest may run.
@@ -202,9 +202,9 @@
             let convicted =
                 isolation == Isolation::Exclusive || suspicion.crashes.len() >= CONVICTION_THRESHOLD;
             if convicted && !suspicion.convicted {
-                cx.note("request_convicted", digest, format!("it crashed {upstream}"));
+                cx.note("request_convicted", digest, format!("crashed {upstream}"));
             } else if !convicted {
-                cx.note("request_suspected", digest, format!("it was in progress when {upstream} died"));
+                cx.note("request_suspected", digest, format!("in progress when {upstream} died"));
             }
             suspicion.convicted |= convicted;
             let kept = if suspicion.convicted { CONVICTION_TTL } else { SUSPICION_TTL };
@@ -247,7 +247,7 @@
             return false;
         }
         let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashes);
-        lives.filter(|life| life.has_ended(cx)).count() + 1 >= CONVICTION_THRESHOLD
+        lives.filter(|life| life.has_terminated(cx)).count() + 1 >= CONVICTION_THRESHOLD
     }
 
     /// Convicts requests that were lost with too many terminated incarnations.
@@ -256,11 +256,15 @@
             return;
         }
         for (digest, suspicion) in &mut self.known {
-            let ended = suspicion.crashes.iter().filter(|life| life.has_ended(cx)).count();
+            let ended = suspicion.crashes.iter().filter(|life| life.has_terminated(cx)).count();
             if ended >= CONVICTION_THRESHOLD && !suspicion.convicted {
                 suspicion.convicted = true;
                 suspicion.until = cx.now.after(CONVICTION_TTL);
-                cx.note("request_convicted", digest, format!("{ended} upstreams ended while they ran it"));
+                cx.note(
+                    "request_convicted",
+                    digest,
+                    format!("{ended} upstreams terminated while running it"),
+                );
             }
         }
     }
@@ -294,7 +298,7 @@
     }
 
     /// Removes expired suspicions and peers that are no longer members.
-    pub(super) fn forget_old(&mut self, cx: &Cx<'_>) {
+    pub(super) fn remove_expired(&mut self, cx: &Cx<'_>) {
         self.known.retain(|_, suspicion| !suspicion.until.is_due(cx.now));
         self.last_contact.retain(|host, _| cx.cache.member(host).is_some());
     }
