--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -26,7 +26,7 @@
 const NOTICE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of digests that are kept.
 const MAX_SUSPICIONS: usize = 4096;
-/// Number of different upstreams that convicts a suspect when they crash, in isolation or not.
+/// Number of crashes of different upstreams that convicts a suspect, isolated or not.
 ///
 /// A plain service's replica can't be reserved, so its suspects never provably run in
 /// isolation. Without this limit, one call could crash all replicas in turn, forever.
--- a/crates/skylarkshore-core/tests/serving/crash.rs
+++ b/crates/skylarkshore-core/tests/serving/crash.rs
@@ -11,11 +11,11 @@
 
 const DIED: AttemptEnd = AttemptEnd::Lost { passed_on: false, died: true };
 
-fn suspects(message: &PeerMessage) -> bool {
+fn is_suspects(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Suspects { .. })
 }
 
-fn reservation(message: &PeerMessage) -> bool {
+fn is_reservation_request(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::ReservationWanted { .. })
 }
 
@@ -25,13 +25,13 @@
     view
 }
 
-fn noted(p: &mut Process, digests: &[Digest]) {
+fn acknowledge(p: &mut Process, digests: &[Digest]) {
     for peer in ["b", "c"] {
         p.peer(peer, &PeerMessage::SuspectsNoted { requests: digests.to_vec() });
     }
 }
 
-/// Makes a process with two requests in flight on `e1`, of which the engine then dies.
+/// Creates a process with two requests in flight on `e1`, which then dies.
 fn crashed() -> Process {
     let mut p = Process::new("a", 1);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Ready)));
@@ -46,49 +46,49 @@
     p
 }
 
-/// One of two requests crashes the engine that runs both. Nobody knows which;
-/// each runs alone on another engine, and only once the peers know of them, so
-/// that the caller can't send the same one to a host that knows nothing.
+/// One of two requests crashes the engine that runs both, and it can't be known which. Each
+/// must run in isolation on another engine, and only after the peers know of both; otherwise
+/// the caller could send the same request to a host that doesn't know of it.
 #[test]
-fn after_a_crash_the_peers_hear_of_it_first_and_the_suspects_run_one_by_one() {
+fn after_a_crash_the_peers_are_notified_first_and_the_suspects_run_one_by_one() {
     let mut p = crashed();
-    assert_eq!(p.take_told(suspects).len(), 2, "both peers, once");
-    assert_eq!(p.take_told(reservation), [], "nothing goes on before the peers know");
-    noted(&mut p, &[digest(1), digest(2)]);
-    let asked = p.take_told(reservation);
+    assert_eq!(p.take_messages(is_suspects).len(), 2, "each peer is notified once");
+    assert_eq!(p.take_messages(is_reservation_request), [], "nothing proceeds before the peers acknowledge");
+    acknowledge(&mut p, &[digest(1), digest(2)]);
+    let asked = p.take_messages(is_reservation_request);
     assert_eq!(asked.len(), 1);
     assert_eq!(asked[0].0.as_str(), "c");
 
     p.peer("c", &PeerMessage::View(reserved(2)));
-    assert_eq!(p.take_sent(), [], "the others' requests may not have ended yet");
-    p.pass(1000);
+    assert_eq!(p.take_sent(), [], "requests of other hosts may still be running");
+    p.advance(1000);
     p.peer("c", &PeerMessage::View(reserved(2)));
     let first = p.take_sent();
     assert_eq!(first.len(), 1);
 
     p.end(first[0].attempt, AttemptEnd::Whole { held: None });
-    let cleared = p.take_told(|m| matches!(m, PeerMessage::Cleared { .. }));
+    let cleared = p.take_messages(|m| matches!(m, PeerMessage::Cleared { .. }));
     assert_eq!(cleared.len(), 2);
-    p.pass(1500);
+    p.advance(1500);
     p.peer("c", &PeerMessage::View(reserved(3)));
     let second = p.take_sent();
     assert_eq!(second.len(), 1);
     p.end(second[0].attempt, DIED);
 
-    let told = p.take_told(suspects);
+    let told = p.take_messages(is_suspects);
     assert!(matches!(told[0].1, PeerMessage::Suspects { alone: true, .. }), "{told:?}");
-    assert_eq!(p.take_refused(), [], "the peers hear of the conviction first, too");
-    p.pass(350);
+    assert_eq!(p.take_refused(), [], "the peers are notified of the conviction first, too");
+    p.advance(350);
     let refused = p.take_refused().remove(0).1;
     assert_eq!((refused.outcome, refused.reason), (RefusalOutcome::Failed, RefusalReason::CrashesUpstreams));
     assert_eq!(refused.retry_after, None);
     assert!(p.serving.is_idle());
 }
 
-/// A peer convicts a request. Its caller sends it here; it must not reach
-/// another engine, and the caller is told not to send it again.
+/// A request that a peer has convicted is sent to this host. It must not reach another engine,
+/// and the caller is told not to send it again.
 #[test]
-fn a_request_convicted_elsewhere_is_refused_at_once() {
+fn a_request_that_a_peer_convicted_is_refused_immediately() {
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, model("m"), 7));
     let crash = PeerMessage::Suspects {
@@ -98,7 +98,7 @@
         alone: true,
     };
     p.peer("b", &crash);
-    assert_eq!(p.take_told(|m| matches!(m, PeerMessage::SuspectsNoted { .. })).len(), 1);
+    assert_eq!(p.take_messages(|m| matches!(m, PeerMessage::SuspectsNoted { .. })).len(), 1);
     p.arrive(2, arrival(&p, model("m"), 7));
     let refused = p.take_refused();
     assert_eq!(refused.len(), 2);
@@ -112,37 +112,36 @@
     assert_eq!(p.take_sent(), []);
 }
 
-/// A peer is cut off and never says that it knows of the suspects. The caller
-/// waits no longer than a moment for it.
+/// A peer is cut off and never acknowledges the suspects. The caller waits for it only briefly.
 #[test]
-fn a_silent_peer_holds_the_retry_up_for_a_moment_only() {
+fn a_silent_peer_delays_the_retry_only_briefly() {
     let mut p = crashed();
     p.peer("b", &PeerMessage::SuspectsNoted { requests: vec![digest(1), digest(2)] });
-    assert_eq!(p.take_told(reservation), []);
-    p.pass(350);
-    assert_eq!(p.take_told(reservation).len(), 1);
+    assert_eq!(p.take_messages(is_reservation_request), []);
+    p.advance(350);
+    assert_eq!(p.take_messages(is_reservation_request).len(), 1);
 }
 
-/// The owner of the only other engine is gone and reserves nothing. A suspect
-/// runs on the engine when it seems idle; a crash there convicts nobody, since
-/// other hosts' requests may have been there too.
+/// The owner of the only other engine is down and reserves nothing. A suspect runs on the
+/// engine if it seems idle, but a crash there convicts nobody: requests of other hosts may have
+/// run there too.
 #[test]
-fn a_suspect_that_may_have_had_company_is_not_convicted() {
+fn a_suspect_that_may_not_have_run_alone_is_not_convicted() {
     let mut p = crashed();
-    noted(&mut p, &[digest(1), digest(2)]);
-    p.pass(3500);
+    acknowledge(&mut p, &[digest(1), digest(2)]);
+    p.advance(3500);
     let sent = p.take_sent();
     assert_eq!(sent.len(), 1);
     p.end(sent[0].attempt, DIED);
-    p.pass(400);
+    p.advance(400);
     let reasons: Vec<_> = p.take_refused().into_iter().map(|(_, refusal)| refusal.reason).collect();
     assert!(!reasons.contains(&RefusalReason::CrashesUpstreams), "{reasons:?}");
 }
 
-/// A new owner takes the engine over, and the old one's account arrives late.
-/// The late one says that the model is ready there, which it no longer is.
+/// An engine has a new owner, and the former owner's view arrives late. It lists the model as
+/// ready, which it no longer is.
 #[test]
-fn an_account_of_a_former_owner_changes_nothing() {
+fn a_view_of_a_former_owner_is_ignored() {
     let mut p = Process::new("a", 1);
     let mut newer = view("e1", 1, "m", Readiness::Closing);
     newer.version.fence = Fence(2);
@@ -152,11 +151,11 @@
     assert_eq!(p.take_sent(), []);
 }
 
-/// Two callers send the same suspect booking lookup. The first one's end clears
-/// both, and the second must not be sent once as a suspect and once more as
-/// cleared: its caller would get two answers mixed.
+/// Two callers send the same suspect call. When the first completes, both are cleared. If the
+/// second were sent once as a suspect and once as cleared, its caller would get two answers
+/// mixed.
 #[test]
-fn a_suspect_that_is_cleared_while_it_waits_is_sent_once() {
+fn a_suspect_that_is_cleared_while_it_waits_is_sent_only_once() {
     let mut p = Process::new("a", 1);
     let requests = vec![digest(1)];
     p.peer("b", &PeerMessage::Suspects { upstream: name("s9"), incarnation: None, requests, alone: false });
@@ -171,10 +170,10 @@
     assert_eq!(others, [2, 3]);
 }
 
-/// A host is reclaimed, and its engine goes with it while it runs requests.
-/// None of them has crashed it; they are tried elsewhere at once and together.
+/// A host is reclaimed and its engine stops while it runs requests. None of them has crashed
+/// it, so they are retried elsewhere immediately and together.
 #[test]
-fn requests_at_an_engine_that_was_about_to_go_are_not_suspect() {
+fn requests_at_a_leaving_engine_are_not_suspect() {
     let mut p = Process::new("a", 1);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Ready)));
     for body in [1, 2] {
@@ -186,16 +185,15 @@
     for attempt in sent {
         p.end(attempt.attempt, DIED);
     }
-    assert_eq!(p.take_told(suspects), []);
+    assert_eq!(p.take_messages(is_suspects), []);
     assert_eq!(p.take_sent().len(), 2);
 }
 
-/// Where upstreams often lose connections, a request is only convicted once the
-/// host list shows that enough upstreams have ended while they ran it. The list
-/// is late: a request that has ended two would be sent again after the third,
-/// and end a fourth.
+/// With [`SuspectPolicy::CountEnds`], a request is convicted only after the host list shows
+/// that enough upstreams terminated while they ran it. The list is late: a request that has
+/// crashed two would be sent again after the third, and crash a fourth.
 #[test]
-fn a_request_that_ended_two_upstreams_is_not_sent_again_after_the_third() {
+fn a_request_that_crashed_two_upstreams_is_not_retried_after_the_third() {
     let limits = Limits { suspects: SuspectPolicy::CountEnds, ..Limits::default() };
     let mut p = Process::with_limits("a", 1, limits);
     for life in 1..=2 {
@@ -204,24 +202,24 @@
         p.arrive(life, single);
         let sent = p.take_sent().remove(0);
         p.end(sent.attempt, DIED);
-        p.begin_life(sent.upstream.as_str(), life);
-        p.pass(2000);
+        p.restart(sent.upstream.as_str(), life);
+        p.advance(2000);
     }
     p.take_refused();
     p.arrive(3, arrival(&p, service("booking"), 7));
     let third = p.take_sent().remove(0);
     p.end(third.attempt, DIED);
-    p.pass(2000);
-    assert_eq!(p.take_sent(), [], "one upstream more would end");
+    p.advance(2000);
+    assert_eq!(p.take_sent(), [], "it would crash another upstream");
     let refused = p.take_refused().remove(0).1;
     assert_eq!((refused.outcome, refused.reason), (RefusalOutcome::Unknown, RefusalReason::CrashesUpstreams));
 }
 
-/// An upstream's end is on the host list before the loss of the request that
-/// ended it is noticed. If the loss were counted with what the list says by then,
-/// no end would ever be seen for it, and the request would go on to others.
+/// The host list shows an upstream's termination before the loss of the request that crashed it
+/// is noticed. If the loss were counted with the incarnation listed by then, no termination
+/// would ever be counted, and the request would go to further upstreams.
 #[test]
-fn an_end_that_is_listed_before_the_loss_is_noticed_counts() {
+fn a_termination_that_is_listed_before_the_loss_is_noticed_counts() {
     let limits = Limits { suspects: SuspectPolicy::CountEnds, ..Limits::default() };
     let mut p = Process::with_limits("a", 1, limits);
     for life in 1..=2 {
@@ -229,17 +227,17 @@
         single.terms.tries = 1;
         p.arrive(life, single);
         let sent = p.take_sent().remove(0);
-        let ended = p.end_life(sent.upstream.as_str());
+        let ended = p.terminate(sent.upstream.as_str());
         p.end(sent.attempt, DIED);
         p.upstreams.insert(ended);
-        p.begin_life(sent.upstream.as_str(), life);
-        p.pass(2000);
+        p.restart(sent.upstream.as_str(), life);
+        p.advance(2000);
     }
     p.take_refused();
     p.arrive(3, arrival(&p, service("booking"), 7));
     let third = p.take_sent().remove(0);
     p.end(third.attempt, DIED);
-    assert_eq!(p.take_sent(), [], "one upstream more would end");
+    assert_eq!(p.take_sent(), [], "it would crash another upstream");
     let refused = p.take_refused().remove(0).1;
     assert_eq!(refused.reason, RefusalReason::CrashesUpstreams);
 }
--- a/crates/skylarkshore-core/tests/serving/flow.rs
+++ b/crates/skylarkshore-core/tests/serving/flow.rs
@@ -13,17 +13,17 @@
 
 use crate::support::serving::*;
 
-fn wanted(message: &PeerMessage) -> bool {
+fn has_waiting(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Wanted { waiting, .. } if *waiting > 0)
 }
 
 #[test]
-fn a_burst_for_a_cold_model_asks_the_first_home_once_and_is_sent_when_it_is_ready() {
+fn a_burst_for_a_cold_model_asks_the_first_home_once_and_is_sent_when_the_model_is_ready() {
     let mut p = Process::new("a", 1);
     for id in 1..=3 {
         p.arrive(id.into(), arrival(&p, model("m"), id));
     }
-    let asked = p.take_told(wanted);
+    let asked = p.take_messages(has_waiting);
     assert_eq!(asked.iter().map(|(to, _)| to.to_string()).collect::<Vec<_>>(), ["b"]);
     assert_eq!(p.take_sent(), []);
 
@@ -31,16 +31,16 @@
         "b",
         &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining: Duration::from_secs(2) })),
     );
-    p.pass(2000);
+    p.advance(2000);
     assert_eq!(
-        p.take_told(wanted).len(),
+        p.take_messages(has_waiting).len(),
         4,
-        "the owner is reminded twice a second, of all requests together"
+        "the owner is sent the demand of all requests together, twice a second"
     );
 
     p.peer("b", &PeerMessage::View(view("e1", 2, "m", Readiness::Ready)));
     let sent = p.take_sent();
-    assert_eq!(sent.len(), 2, "the engine takes two at a time");
+    assert_eq!(sent.len(), 2, "the engine runs two requests at a time");
     p.end(sent[0].attempt, AttemptEnd::Whole { held: None });
     let third = p.take_sent();
     assert_eq!(third.len(), 1);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_request_that_the_load_comes_too_late_for_is_refused_at_once() {
+fn a_request_whose_deadline_is_before_the_end_of_the_load_is_refused_immediately() {
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, model("m"), 1));
     let remaining = Duration::from_mins(1);
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn further_homes_are_asked_only_when_the_first_cannot_help() {
+fn further_homes_are_asked_only_after_the_first_refuses() {
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, model("m"), 1));
-    assert_eq!(p.take_told(wanted).len(), 1);
+    assert_eq!(p.take_messages(has_waiting).len(), 1);
     let model = skylarkshore_core::catalogue::ModelTarget { model: name("m"), adapter: None };
     let cannot = PeerMessage::CannotLoad {
         target: model,
@@ -76,7 +76,7 @@
         retry_after: Duration::from_secs(20),
     };
     p.peer("b", &cannot);
-    let asked = p.take_told(wanted);
+    let asked = p.take_messages(has_waiting);
     assert!(asked.iter().any(|(to, _)| to.as_str() == "c"), "{asked:?}");
     assert_eq!(p.take_refused(), []);
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_upstream_that_refuses_connections_is_passed_over_and_nothing_is_sent_twice_as_often() {
+fn an_upstream_that_refuses_connections_is_skipped_and_late_attempt_ends_are_ignored() {
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, service("booking"), 1));
     let first = p.take_sent().remove(0);
@@ -99,18 +99,18 @@
     p.end(second.attempt, AttemptEnd::Whole { held: None });
     p.end(first.attempt, AttemptEnd::Lost { passed_on: false, died: true });
     let finals = p.take().into_iter().filter(|e| matches!(e, Effect::Refuse { .. } | Effect::Abort { .. }));
-    assert_eq!(finals.count(), 0, "late ends change nothing");
+    assert_eq!(finals.count(), 0, "late attempt ends are ignored");
     assert!(p.serving.is_idle());
 }
 
-/// A host was told to end, and a request that came in its last moments waits for
-/// a model's load. The platform ends the process before the load is done; the
-/// caller sees its connection break and can't tell whether the request has run.
+/// A host is shutting down, and a late request waits for a model to load. If the process ended
+/// before the load does, the caller would see a broken connection and could not tell whether
+/// the request had run.
 #[test]
-fn what_still_waits_at_a_host_that_leaves_is_refused_as_not_run() {
+fn requests_that_wait_at_a_leaving_host_are_refused_as_not_run() {
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, model("m"), 1));
-    assert_eq!(p.take_refused(), [], "the owners were asked to load it");
+    assert_eq!(p.take_refused(), [], "it waits while the owners are asked to load the model");
     p.with(Serving::on_intake_closed);
     let refused = p.take_refused();
     assert_eq!(refused.len(), 1);
@@ -120,18 +120,18 @@
     assert_eq!(refusal.outcome, RefusalOutcome::NotRun);
     assert_eq!(refusal.retry_after, Some(Duration::ZERO));
 
-    // One whose body was still being read comes a moment later.
+    // A request whose body was still being read arrives slightly later.
     p.arrive(2, arrival(&p, model("m"), 2));
-    p.pass(100);
+    p.advance(100);
     assert_eq!(p.take_refused().len(), 1);
     assert!(p.serving.is_idle());
 }
 
-/// A model is ready in six seconds; the caller's deadline is ten seconds away,
-/// but it goes away when nothing has come after two. Kept, it would wait in vain
-/// and lose the time in which it could have come back or asked elsewhere.
+/// A model is ready in six seconds. The caller's deadline is ten seconds away, but it
+/// disconnects if the answer has not begun after two. If it were queued, it would wait in vain
+/// and lose the time in which it could have retried or asked another host.
 #[test]
-fn a_caller_that_goes_away_before_the_model_is_ready_is_refused_at_once() {
+fn a_caller_that_disconnects_before_the_model_is_ready_is_refused_immediately() {
     let mut p = Process::new("a", 1);
     let remaining = Duration::from_secs(6);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
@@ -146,28 +146,28 @@
     assert!(refused[0].1.retry_after >= Some(remaining), "{:?}", refused[0].1.retry_after);
 }
 
-/// Nobody says anything of a model. A caller that goes away after two seconds
-/// still gets its final answer before it does.
+/// No owner responds for a model. A caller that disconnects after two seconds must get its
+/// final answer before it does.
 #[test]
-fn a_wait_ends_before_the_caller_goes_away() {
+fn a_wait_ends_before_the_caller_disconnects() {
     let mut p = Process::new("a", 1);
     let mut impatient = arrival(&p, model("m"), 1);
     impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
-    p.pass(1900);
+    p.advance(1900);
     assert_eq!(p.take_refused(), []);
-    p.pass(100);
+    p.advance(100);
     let refused = p.take_refused();
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].1.reason, RefusalReason::DeadlinePassed);
     assert!(p.serving.is_idle());
 }
 
-/// A model that many ask for is ready in six seconds, and all are refused on
-/// arrival and told when to come back. If nobody counted as waiting, its load
-/// would be dropped; those who come back would find it as far away as before.
+/// A model in demand is ready in six seconds, and all its callers are refused on arrival and
+/// told when to retry. If none counted as waiting, the load would be dropped, and the retries
+/// would find the model as far from ready as before.
 #[test]
-fn callers_who_were_told_to_come_back_still_count_as_waiting() {
+fn callers_that_were_told_to_retry_still_count_as_waiting() {
     let mut p = Process::new("a", 1);
     let remaining = Duration::from_secs(6);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
@@ -178,8 +178,8 @@
     }
     assert_eq!(p.take_refused().len(), 5);
     p.take();
-    p.pass(1000);
-    let asked = p.take_told(wanted);
+    p.advance(1000);
+    let asked = p.take_messages(has_waiting);
     let counts: Vec<u32> = asked
         .iter()
         .filter_map(|(_, message)| match message {
@@ -188,18 +188,17 @@
         })
         .collect();
     assert!(!counts.is_empty() && counts.iter().all(|count| *count == 5), "{counts:?}");
-    p.pass(8000);
+    p.advance(8000);
     p.take();
-    p.pass(1000);
-    assert_eq!(p.take_told(wanted), [], "nobody is expected any more");
+    p.advance(1000);
+    assert_eq!(p.take_messages(has_waiting), [], "no retries are expected any more");
 }
 
-/// A rarely used model has a single caller, whose patience its load outlasts, and
-/// there are thirty hosts. Each host sees so few of such callers that none would
-/// ever count as waiting; the model would never be loaded, and each caller be
-/// refused again.
+/// A rarely used model has a single caller, which disconnects before the load ends, and there
+/// are thirty hosts. Each host sees too few such callers to count them as waiting, so the model
+/// is never loaded and each caller is refused again.
 #[test]
-fn where_hosts_are_many_a_single_caller_told_to_come_back_counts() {
+fn with_many_hosts_a_single_caller_told_to_retry_counts_as_waiting() {
     let mut p = Process::new("a", 1);
     for number in 0..30 {
         p.cache_member(&format!("far-{number}"), Incarnation(1));
@@ -211,16 +210,16 @@
     p.arrive(1, impatient);
     assert_eq!(p.take_refused().len(), 1);
     p.take();
-    p.pass(1000);
-    assert!(!p.take_told(wanted).is_empty(), "the load is for nobody");
+    p.advance(1000);
+    assert!(!p.take_messages(has_waiting).is_empty(), "no demand was sent for the model");
 }
 
-/// Both owners of a model's homes say that it takes them seconds, and the first
-/// one takes it on. Then the caller's aim passes. If the second one were asked
-/// again now, with nothing left by which it could say no, both would load the
-/// model from the weight store, and two engines could load nothing else meanwhile.
+/// The owners of both homes of a model respond that a load takes seconds, and the first one
+/// takes it on. Then the caller's soft deadline passes. If the second owner were asked again
+/// now, it would have no ground left to refuse. Both would load the model from the weight
+/// store, and two engines could load nothing else meanwhile.
 #[test]
-fn one_owner_takes_a_model_on_also_once_the_callers_aim_has_passed() {
+fn only_one_owner_loads_a_model_even_after_the_callers_soft_deadline() {
     let mut p = Process::new("a", 1);
     let mut request = arrival(&p, model("m"), 1);
     request.terms.aim = p.now.after(Duration::from_secs(1));
@@ -235,8 +234,8 @@
     let remaining = Duration::from_secs(4);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
     p.take();
-    p.pass(3000);
-    let told = p.take_told(wanted);
+    p.advance(3000);
+    let told = p.take_messages(has_waiting);
     assert!(told.iter().any(|(owner, _)| *owner == name("b")), "{told:?}");
     let second = told.iter().filter(|(owner, _)| *owner == name("c"));
     let without_aim =
@@ -244,34 +243,31 @@
     assert_eq!(without_aim, 0, "{told:?}");
 }
 
-/// The second home's owner loads a model, and callers come to other hosts that
-/// hear of it. Each of these hosts asked the first home's owner, so that the one
-/// that loads knew of nobody, and gave the model's place away as soon as it was
-/// there. Its callers had waited for ten seconds and were refused.
+/// The second home's owner loads a model, and callers arrive at other hosts that know of the
+/// load. If these hosts sent their demand only to the first home's owner, the loading owner
+/// would know of no callers and give the model's place away as soon as it was ready. The
+/// callers would be refused after waiting for ten seconds.
 #[test]
-fn the_owner_that_loads_is_told_who_waits() {
+fn the_loading_owner_is_sent_the_demand() {
     let mut p = Process::new("a", 1);
     let remaining = Duration::from_secs(4);
     p.peer("c", &PeerMessage::View(view("e2", 1, "m", Readiness::Loading { remaining })));
     p.take();
     p.arrive(1, arrival(&p, model("m"), 1));
-    p.pass(1000);
-    let told = p.take_told(wanted);
+    p.advance(1000);
+    let told = p.take_messages(has_waiting);
     let is_counted = |message: &PeerMessage| matches!(message, PeerMessage::Wanted { waiting: 1, .. });
     let counted = told.iter().any(|(owner, message)| *owner == name("c") && is_counted(message));
     assert!(counted, "{told:?}");
 }
 
-/// A model in constant use is ready on one engine and is to be loaded on another
-/// one too, from the weight store, in eighteen seconds. Callers ask for one of its
-/// adapters, which the first engine would load in a hundredth of a second. They
-/// were refused on arrival, with eighteen seconds to come back: what counted was
-/// the load of the base elsewhere. Adapters that were asked for all day were never
-/// served, while hundreds of other requests for the same base were.
-/// The proof: each of these refusals came in the millisecond of arrival and named
-/// the time of such a load; the owner of the ready base was not asked once.
+/// A model is ready on one engine and is being loaded on another from the weight store, which
+/// takes eighteen seconds. Callers ask for one of its adapters, which the first engine could
+/// load in ten milliseconds. If the load of the base model counted for the adapter, they would
+/// be refused on arrival and told to retry after eighteen seconds, and the owner of the ready
+/// base model would never be asked.
 #[test]
-fn an_adapter_is_asked_for_where_its_base_is_ready() {
+fn an_adapter_is_requested_where_its_base_model_is_ready() {
     let mut p = Process::new("a", 1);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Ready)));
     let remaining = Duration::from_secs(18);
@@ -282,7 +278,7 @@
     impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
     assert_eq!(p.take_refused(), []);
-    p.pass(1000);
-    let told = p.take_told(wanted);
+    p.advance(1000);
+    let told = p.take_messages(has_waiting);
     assert!(told.iter().any(|(owner, _)| *owner == name("b")), "{told:?}");
 }
--- a/crates/skylarkshore-core/tests/serving/queue.rs
+++ b/crates/skylarkshore-core/tests/serving/queue.rs
@@ -1,4 +1,4 @@
-//! Who goes first, who has to go, and how often is tried again.
+//! Order of service, shedding and retries.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// Makes a process that has one engine for two requests at a time, both places taken.
-fn busy() -> Process {
+/// Creates a process with one engine that runs two requests at a time and is full.
+fn full_engine() -> Process {
     let mut p = Process::new("a", 1);
     p.document.rules = rules();
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Ready)));
@@ -38,14 +38,14 @@
     p
 }
 
-fn wait(p: &mut Process, id: u64, caller: &str, secs: u64) {
+fn enqueue(p: &mut Process, id: u64, caller: &str, secs: u64) {
     let mut request = arrival(p, model("m"), 1);
     request.caller = name(caller);
     request.deadline = p.now.after(Duration::from_secs(secs));
     p.arrive(id, request);
 }
 
-/// Lets the requests run to their ends one by one and returns the order in which they were sent.
+/// Completes the requests one by one and returns the order in which they were sent.
 fn run_all(p: &mut Process) -> Vec<u64> {
     let mut order = Vec::new();
     loop {
@@ -61,27 +61,27 @@
 }
 
 #[test]
-fn the_order_of_service_goes_first_then_callers_take_turns_then_the_deadline_counts() {
-    let mut p = busy();
+fn requests_are_served_by_order_then_round_robin_over_callers_then_by_deadline() {
+    let mut p = full_engine();
     for (id, secs) in [(10, 9), (11, 7), (12, 8)] {
-        wait(&mut p, id, "orchard", secs);
+        enqueue(&mut p, id, "orchard", secs);
     }
-    wait(&mut p, 20, "harvest", 9);
-    wait(&mut p, 30, "batch", 5);
-    wait(&mut p, 40, "clerk", 9);
+    enqueue(&mut p, 20, "harvest", 9);
+    enqueue(&mut p, 30, "batch", 5);
+    enqueue(&mut p, 40, "clerk", 9);
     assert_eq!(run_all(&mut p), [1, 2, 40, 11, 20, 12, 10, 30]);
 }
 
 #[test]
-fn a_full_queue_sheds_the_least_urgent_and_a_greedy_caller_only_its_own() {
-    let mut p = busy();
+fn a_full_queue_sheds_the_least_urgent_request_and_a_full_caller_only_its_own() {
+    let mut p = full_engine();
     p.cfg.limits.queue_total = 3;
     p.cfg.limits.queue_per_caller = 2;
-    wait(&mut p, 10, "batch", 9);
-    wait(&mut p, 11, "orchard", 9);
-    wait(&mut p, 12, "orchard", 8);
-    wait(&mut p, 13, "orchard", 9);
-    wait(&mut p, 14, "clerk", 9);
+    enqueue(&mut p, 10, "batch", 9);
+    enqueue(&mut p, 11, "orchard", 9);
+    enqueue(&mut p, 12, "orchard", 8);
+    enqueue(&mut p, 13, "orchard", 9);
+    enqueue(&mut p, 14, "clerk", 9);
     let refused = p.take_refused();
     let ids: Vec<u64> = refused.iter().map(|(id, _)| id.0).collect();
     assert_eq!(ids, [13, 10]);
@@ -93,26 +93,25 @@
 
 #[test]
 fn a_rule_refuses_in_the_operators_words() {
-    let mut p = busy();
-    wait(&mut p, 10, "barred", 9);
+    let mut p = full_engine();
+    enqueue(&mut p, 10, "barred", 9);
     let refused = p.take_refused().remove(0).1;
     assert_eq!(refused.reason, RefusalReason::Rule("closed for lodgement".to_owned()));
     assert_eq!(refused.outcome, RefusalOutcome::NotRun);
 }
 
-/// Answers take four seconds and two run at a time. A request that would get
-/// its turn after its deadline is told so on arrival, while its caller can still
-/// do something else.
+/// Answers take four seconds and two run at a time. A request that would be dispatched after
+/// its deadline is refused on arrival, while its caller can still react.
 #[test]
 fn a_request_that_would_wait_past_its_deadline_is_refused_on_arrival() {
-    let mut p = busy();
+    let mut p = full_engine();
     let sent = p.take_sent();
-    p.pass(4000);
+    p.advance(4000);
     for attempt in sent {
         p.end(attempt.attempt, AttemptEnd::Whole { held: None });
     }
     for id in 10..16 {
-        wait(&mut p, id, "orchard", 60);
+        enqueue(&mut p, id, "orchard", 60);
     }
     assert_eq!(p.take_refused(), []);
     let mut late = arrival(&p, model("m"), 1);
@@ -124,11 +123,10 @@
     assert_eq!(refused[0].1.reason, RefusalReason::QueueFull);
 }
 
-/// Half of the calls of a service are lost on every replica that tries them.
-/// Were each tried three times, the replicas would see twice their usual load,
-/// and the calls that are still well would be lost next.
+/// Half of the calls of a service fail on every replica. If each were tried three times, the
+/// replicas would get twice their usual load, and the healthy calls would fail next.
 #[test]
-fn an_outage_does_not_multiply_the_load() {
+fn retries_do_not_multiply_the_load_in_an_outage() {
     let mut p = Process::new("a", 1);
     for n in 3..15 {
         let replica = Upstream {
@@ -147,18 +145,18 @@
             let is_well = attempt.request.0.is_multiple_of(2);
             p.end(attempt.attempt, if is_well { AttemptEnd::Whole { held: None } } else { lost });
         }
-        p.pass(50);
+        p.advance(50);
     }
     assert!(sent >= arrived, "{sent} attempts for {arrived} requests: nothing was retried");
     assert!(sent <= arrived * 5 / 4, "{sent} attempts for {arrived} requests");
 }
 
-/// A stream breaks off in the middle of the answer. Another engine continues
-/// it; where none has the model in time, the caller is told that it is cut short,
-/// and never gets a short answer as a whole one.
+/// A stream breaks in the middle of the answer. Another engine resumes it. If none has the
+/// model in time, the answer is aborted, so that the caller never takes a partial answer for a
+/// complete one.
 #[test]
-fn a_broken_stream_is_resumed_elsewhere_or_broken_off_openly() {
-    let mut p = busy();
+fn a_broken_stream_is_resumed_elsewhere_or_aborted() {
+    let mut p = full_engine();
     let sent = p.take_sent();
     p.peer("c", &PeerMessage::View(view("e2", 1, "m", Readiness::Ready)));
     p.end(sent[0].attempt, AttemptEnd::Lost { passed_on: true, died: false });
@@ -171,7 +169,7 @@
         p.peer("c", &PeerMessage::UpstreamLeaving { upstream: name(["e1", "e2"][id - 1]) });
     }
     p.end(resumed[0].attempt, AttemptEnd::Lost { passed_on: true, died: false });
-    p.pass(10_000);
+    p.advance(10_000);
     let aborted = p.take().into_iter().find_map(|e| match e {
         Effect::Abort { refusal, .. } => Some(refusal.outcome),
         _ => None,
@@ -179,11 +177,11 @@
     assert_eq!(aborted, Some(RefusalOutcome::Unknown));
 }
 
-/// Rarely used models are often gone by the time of the next request, which an
-/// engine then rejects. That is no outage; were it paid from the retry budget,
-/// the budget would be empty before long and requests refused for nothing.
+/// A rarely used model has often been unloaded by its next request, which the engine then
+/// rejects. That is not an outage. If it were charged to the retry budget, the budget would
+/// soon be empty and requests would be refused for nothing.
 #[test]
-fn a_model_that_was_unloaded_meanwhile_costs_no_retry() {
+fn a_model_that_was_unloaded_meanwhile_is_not_charged_to_the_retry_budget() {
     let mut p = Process::new("a", 1);
     for n in 1..200 {
         p.peer("b", &PeerMessage::View(view("e1", 2 * n, "m", Readiness::Ready)));
--- a/crates/skylarkshore-core/tests/serving/random.rs
+++ b/crates/skylarkshore-core/tests/serving/random.rs
@@ -1,4 +1,4 @@
-//! Events in any order at two processes, with a key-value service that loses answers.
+//! Random events at two processes, with a key-value service that loses answers.
 
 mod op;
 
@@ -18,21 +18,21 @@
 
 use crate::support::serving::*;
 
-use op::{Asked, ENGINES, Fate, HOSTS, Op, UPSTREAMS, op};
+use op::{CallOutcome, ENGINES, HOSTS, Op, RequestKind, UPSTREAMS, op};
 
 const CONCURRENCY: usize = 2;
-/// How long after its deadline a request may still be without its end: peers
-/// are told and a claim is given up first, each for a bounded time.
+/// How long after its deadline a request may end: peers are notified and a claim is released
+/// first, each within a time-out.
 const GRACE: Duration = Duration::from_millis(750);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Name<T> {
+struct ProcessLocal<T> {
     at: usize,
     id: T,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Truth {
+enum RunState {
     Running,
     /// The upstream did nothing.
     NotRun,
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug)]
-struct Asking {
+struct TrackedRequest {
     arrival: Arrival,
     finals: u32,
     gone: bool,
@@ -50,20 +50,20 @@
 }
 
 #[derive(Debug)]
-struct Tried {
-    request: Name<RequestId>,
+struct TrackedAttempt {
+    request: ProcessLocal<RequestId>,
     upstream: UpstreamId,
-    truth: Truth,
+    run_state: RunState,
 }
 
 struct World {
     store: Store,
     processes: Vec<Process>,
-    calls: Vec<(Name<CallId>, StoreCall)>,
+    calls: Vec<(ProcessLocal<CallId>, StoreCall)>,
     late: Vec<StoreCall>,
-    requests: OrderedMap<Name<RequestId>, Asking>,
-    attempts: OrderedMap<Name<AttemptId>, Tried>,
-    /// Which key and body an answer belongs to.
+    requests: OrderedMap<ProcessLocal<RequestId>, TrackedRequest>,
+    attempts: OrderedMap<ProcessLocal<AttemptId>, TrackedAttempt>,
+    /// The key and the request digest that an answer belongs to.
     answers: OrderedMap<Vec<u8>, (Digest, Digest)>,
     leaving: Vec<(usize, UpstreamId)>,
     next: u64,
@@ -84,33 +84,33 @@
         }
     }
 
-    fn carry_out(&mut self, op: Op) {
+    fn execute(&mut self, op: Op) {
         match op {
-            Op::Arrive { at, asked, body, caller, patience } => {
-                self.arrive(at, &asked, body, caller, patience);
+            Op::Arrive { at, kind, body, caller, timeout } => {
+                self.arrive(at, &kind, body, caller, timeout);
             }
             Op::Started { at, which } => {
                 if let Some(attempt) = self.attempt(at, which) {
                     let request = self.attempts[&attempt].request;
-                    let live = self.attempts[&attempt].truth == Truth::Running;
+                    let live = self.attempts[&attempt].run_state == RunState::Running;
                     self.requests.get_mut(&request).unwrap().started |= live;
                     self.processes[at].with(|serving, cx| serving.on_answer_started(cx, attempt.id));
                 }
             }
             Op::End { at, which, end } => self.end(at, which, end),
-            Op::Gone { at, which } => {
+            Op::Disconnect { at, which } => {
                 let own: Vec<_> = self.requests.keys().filter(|r| r.at == at).copied().collect();
                 if let Some(request) = own.get(which % own.len().max(1)) {
                     self.requests.get_mut(request).unwrap().gone = true;
                     self.processes[at].with(|serving, cx| serving.on_caller_gone(cx, request.id));
                 }
             }
-            Op::Pass { ms } => self.processes.iter_mut().for_each(|p| p.pass(ms)),
-            Op::Store { which, fate } => self.answer_call(which, fate),
-            Op::Arrives { which } => {
+            Op::Advance { ms } => self.processes.iter_mut().for_each(|p| p.advance(ms)),
+            Op::Store { which, outcome } => self.answer_call(which, outcome),
+            Op::DeliverLate { which } => {
                 if !self.late.is_empty() {
                     let call = self.late.remove(which % self.late.len());
-                    self.store.carry_out(&call);
+                    self.store.execute(&call);
                 }
             }
             Op::View { at, engine, number, state, running } => self.view(at, engine, number, state, running),
@@ -146,61 +146,66 @@
         }
     }
 
-    fn arrive(&mut self, at: usize, asked: &Asked, body: u8, caller: usize, patience: u64) {
+    fn arrive(&mut self, at: usize, kind: &RequestKind, body: u8, caller: usize, timeout: u64) {
         self.next += 1;
         let p = &mut self.processes[at];
-        let target = match asked {
-            Asked::Model(model) => target_of(*model),
-            Asked::Call | Asked::Booking { .. } => service("booking"),
+        let target = match kind {
+            RequestKind::Model(model) => target_of(*model),
+            RequestKind::Call | RequestKind::Booking { .. } => service("booking"),
         };
         let mut arrival = arrival(p, target, body);
-        if let Asked::Booking { key } = asked {
+        if let RequestKind::Booking { key } = kind {
             arrival.repeat = Repeat::Once { key: digest(*key) };
         }
         arrival.caller = name(["orchard", "harvest"][caller]);
-        arrival.deadline = p.now.after(Duration::from_millis(patience));
-        let request = Name { at, id: RequestId(self.next) };
-        let asking =
-            Asking { arrival: arrival.clone(), finals: 0, gone: false, passed_on: false, started: false };
-        self.requests.insert(request, asking);
+        arrival.deadline = p.now.after(Duration::from_millis(timeout));
+        let request = ProcessLocal { at, id: RequestId(self.next) };
+        let tracked = TrackedRequest {
+            arrival: arrival.clone(),
+            finals: 0,
+            gone: false,
+            passed_on: false,
+            started: false,
+        };
+        self.requests.insert(request, tracked);
         p.arrive(self.next, arrival);
     }
 
-    fn attempt(&self, at: usize, which: usize) -> Option<Name<AttemptId>> {
+    fn attempt(&self, at: usize, which: usize) -> Option<ProcessLocal<AttemptId>> {
         let own: Vec<_> = self.attempts.keys().filter(|a| a.at == at).copied().collect();
-        // The newest ones are tried most, and old ones now and then, as late events.
+        // Mostly the newest attempts, and sometimes an old one, as a late event.
         own.iter().rev().nth(which % 8).or(own.last()).copied()
     }
 
     fn end(&mut self, at: usize, which: usize, end: usize) {
         let Some(name) = self.attempt(at, which) else { return };
-        let tried = self.attempts.get_mut(&name).unwrap();
-        let live = tried.truth == Truth::Running;
-        let asking = self.requests.get_mut(&tried.request).unwrap();
-        let once = match asking.arrival.repeat {
+        let tracked_attempt = self.attempts.get_mut(&name).unwrap();
+        let live = tracked_attempt.run_state == RunState::Running;
+        let tracked = self.requests.get_mut(&tracked_attempt.request).unwrap();
+        let once = match tracked.arrival.repeat {
             Repeat::Once { key } => Some(key),
             Repeat::Allowed | Repeat::AtMostOnce => None,
         };
-        let (end, truth) = match end {
-            0..=2 => (whole(name, once.is_some()), Truth::MayHaveRun),
-            3 if once.is_some() => (AttemptEnd::WholeTooLarge, Truth::MayHaveRun),
-            3 | 4 => (AttemptEnd::NotSent, Truth::NotRun),
-            5 => (AttemptEnd::Rejected(Rejection::Busy), Truth::NotRun),
-            6 => (AttemptEnd::Rejected(Rejection::NotLoaded), Truth::NotRun),
-            7 => (AttemptEnd::Lost { passed_on: once.is_none(), died: false }, Truth::MayHaveRun),
-            8 => (AttemptEnd::Lost { passed_on: false, died: true }, Truth::MayHaveRun),
-            _ => (AttemptEnd::Lost { passed_on: false, died: false }, Truth::MayHaveRun),
+        let (end, run_state) = match end {
+            0..=2 => (completed(name, once.is_some()), RunState::MayHaveRun),
+            3 if once.is_some() => (AttemptEnd::WholeTooLarge, RunState::MayHaveRun),
+            3 | 4 => (AttemptEnd::NotSent, RunState::NotRun),
+            5 => (AttemptEnd::Rejected(Rejection::Busy), RunState::NotRun),
+            6 => (AttemptEnd::Rejected(Rejection::NotLoaded), RunState::NotRun),
+            7 => (AttemptEnd::Lost { passed_on: once.is_none(), died: false }, RunState::MayHaveRun),
+            8 => (AttemptEnd::Lost { passed_on: false, died: true }, RunState::MayHaveRun),
+            _ => (AttemptEnd::Lost { passed_on: false, died: false }, RunState::MayHaveRun),
         };
         if live {
-            tried.truth = truth;
+            tracked_attempt.run_state = run_state;
             match &end {
                 AttemptEnd::Whole { held: Some(answer) } => {
-                    self.answers.insert(answer.body.clone(), (once.unwrap(), asking.arrival.digest));
+                    self.answers.insert(answer.body.clone(), (once.unwrap(), tracked.arrival.digest));
                 }
-                AttemptEnd::Whole { held: None } | AttemptEnd::WholeTooLarge => asking.finals += 1,
+                AttemptEnd::Whole { held: None } | AttemptEnd::WholeTooLarge => tracked.finals += 1,
                 AttemptEnd::Lost { passed_on, .. } => {
-                    asking.passed_on |= *passed_on;
-                    asking.started = false;
+                    tracked.passed_on |= *passed_on;
+                    tracked.started = false;
                 }
                 _ => {}
             }
@@ -208,20 +213,20 @@
         self.processes[at].end(name.id, end);
     }
 
-    fn answer_call(&mut self, which: usize, fate: Fate) {
+    fn answer_call(&mut self, which: usize, outcome: CallOutcome) {
         if self.calls.is_empty() {
             return;
         }
         let (call, request) = self.calls.remove(which % self.calls.len());
-        let result = match fate {
-            Fate::Done => Ok(self.store.carry_out(&request)),
-            Fate::NotDone => Err(StoreFailure::NotDone),
-            Fate::Vanished => Err(StoreFailure::Unknown),
-            Fate::AnswerLost => {
-                self.store.carry_out(&request);
+        let result = match outcome {
+            CallOutcome::Done => Ok(self.store.execute(&request)),
+            CallOutcome::NotDone => Err(StoreFailure::NotDone),
+            CallOutcome::Vanished => Err(StoreFailure::Unknown),
+            CallOutcome::AnswerLost => {
+                self.store.execute(&request);
                 Err(StoreFailure::Unknown)
             }
-            Fate::Late => {
+            CallOutcome::Late => {
                 self.late.push(request);
                 Err(StoreFailure::Unknown)
             }
@@ -241,8 +246,8 @@
         self.processes[at].peer(["b", "c", "a"][engine], &PeerMessage::View(view));
     }
 
-    /// Looks at what the processes want done.
-    fn absorb(&mut self) {
+    /// Checks the effects of both processes.
+    fn check_effects(&mut self) {
         for at in 0..HOSTS.len() {
             for effect in self.processes[at].take() {
                 self.check(at, effect);
@@ -252,83 +257,91 @@
 
     fn check(&mut self, at: usize, effect: Effect) {
         match effect {
-            Effect::Store { call, request } => self.calls.push((Name { at, id: call }, request)),
+            Effect::Store { call, request } => self.calls.push((ProcessLocal { at, id: call }, request)),
             Effect::Send { request, attempt, upstream, resume, .. } => {
-                let request = Name { at, id: request };
-                let asking = &self.requests[&request];
-                assert_eq!(asking.finals, 0, "sent after its end: {request:?}");
-                assert_eq!(resume, asking.passed_on, "resumes what the caller has a part of: {request:?}");
+                let request = ProcessLocal { at, id: request };
+                let tracked = &self.requests[&request];
+                assert_eq!(tracked.finals, 0, "sent after its end: {request:?}");
+                assert_eq!(
+                    resume, tracked.passed_on,
+                    "resumes exactly if the caller has a part: {request:?}"
+                );
                 assert!(!self.leaving.contains(&(at, upstream.clone())), "sent to a leaving upstream");
                 let live = self.processes[at].upstreams.get(&upstream).unwrap().standing == Standing::Live;
-                assert!(live, "sent to an upstream that the host list calls leaving");
-                let tried = Tried { request, upstream: upstream.clone(), truth: Truth::Running };
-                self.attempts.insert(Name { at, id: attempt }, tried);
+                assert!(live, "sent to an upstream that is leaving on the host list");
+                let tracked_attempt =
+                    TrackedAttempt { request, upstream: upstream.clone(), run_state: RunState::Running };
+                self.attempts.insert(ProcessLocal { at, id: attempt }, tracked_attempt);
                 self.check_running(at, request, &upstream);
                 self.check_once(request);
             }
             Effect::Cancel { attempt } => {
-                let tried = self.attempts.get_mut(&Name { at, id: attempt }).unwrap();
-                assert_eq!(tried.truth, Truth::Running, "cancelled after its end");
-                tried.truth = Truth::Cancelled;
+                let tracked_attempt = self.attempts.get_mut(&ProcessLocal { at, id: attempt }).unwrap();
+                assert_eq!(tracked_attempt.run_state, RunState::Running, "cancelled after its end");
+                tracked_attempt.run_state = RunState::Cancelled;
             }
             Effect::Answer { request, answer } => {
-                let request = Name { at, id: request };
-                let asking = &self.requests[&request];
-                let Repeat::Once { key } = asking.arrival.repeat else {
-                    panic!("kept answer for {request:?}")
+                let request = ProcessLocal { at, id: request };
+                let tracked = &self.requests[&request];
+                let Repeat::Once { key } = tracked.arrival.repeat else {
+                    panic!("recorded answer for {request:?}")
                 };
-                assert_eq!(self.answers[&answer.body], (key, asking.arrival.digest), "another's answer");
+                assert_eq!(
+                    self.answers[&answer.body],
+                    (key, tracked.arrival.digest),
+                    "answer of another key or request"
+                );
                 self.final_effect(request);
             }
             Effect::Refuse { request, refusal } => {
-                let request = Name { at, id: request };
+                let request = ProcessLocal { at, id: request };
                 if refusal.outcome == RefusalOutcome::NotRun {
-                    let ran = |t: &&Tried| t.request == request && t.truth != Truth::NotRun;
+                    let ran = |t: &&TrackedAttempt| t.request == request && t.run_state != RunState::NotRun;
                     assert!(!self.attempts.values().any(|t| ran(&t)), "not_run is untrue: {request:?}");
                 }
                 assert!(!self.requests[&request].passed_on, "refused after a part of the answer");
                 self.final_effect(request);
             }
             Effect::Abort { request, refusal } => {
-                let request = Name { at, id: request };
-                assert_ne!(refusal.outcome, RefusalOutcome::NotRun, "a part was passed on");
-                let asking = &self.requests[&request];
-                assert!(asking.passed_on || asking.started, "aborted without a part of an answer");
+                let request = ProcessLocal { at, id: request };
+                assert_ne!(refusal.outcome, RefusalOutcome::NotRun, "aborted as not run");
+                let tracked = &self.requests[&request];
+                assert!(tracked.passed_on || tracked.started, "aborted without a part of an answer");
                 self.final_effect(request);
             }
             _ => {}
         }
     }
 
-    fn check_running(&self, at: usize, request: Name<RequestId>, upstream: &UpstreamId) {
-        let running = |t: &&Tried| t.truth == Truth::Running;
+    fn check_running(&self, at: usize, request: ProcessLocal<RequestId>, upstream: &UpstreamId) {
+        let running = |t: &&TrackedAttempt| t.run_state == RunState::Running;
         let of_request = self.attempts.values().filter(running).filter(|t| t.request == request).count();
-        assert_eq!(of_request, 1, "two attempts of a request at once: {request:?}");
+        assert_eq!(of_request, 1, "concurrent attempts of one request: {request:?}");
         let here = self.attempts.iter().filter(|(name, t)| name.at == at && running(t));
         let there = here.filter(|(_, t)| t.upstream == *upstream).count();
-        assert!(there <= CONCURRENCY, "{there} at once at {upstream}");
+        assert!(there <= CONCURRENCY, "{there} concurrent attempts at {upstream}");
     }
 
-    /// Checks that a key was run at most once, as far as upstreams may have run it.
-    fn check_once(&self, request: Name<RequestId>) {
+    /// Checks that at most one attempt under a key may have run.
+    fn check_once(&self, request: ProcessLocal<RequestId>) {
         let Repeat::Once { key } = self.requests[&request].arrival.repeat else { return };
-        let same = |t: &&Tried| self.requests[&t.request].arrival.repeat == Repeat::Once { key };
-        let runs = self.attempts.values().filter(same).filter(|t| t.truth != Truth::NotRun).count();
+        let same = |t: &&TrackedAttempt| self.requests[&t.request].arrival.repeat == Repeat::Once { key };
+        let runs = self.attempts.values().filter(same).filter(|t| t.run_state != RunState::NotRun).count();
         assert!(runs <= 1, "{runs} runs under the key {key}");
     }
 
-    fn final_effect(&mut self, request: Name<RequestId>) {
-        let asking = self.requests.get_mut(&request).unwrap();
-        asking.finals += 1;
-        assert_eq!(asking.finals, 1, "two ends: {request:?}");
+    fn final_effect(&mut self, request: ProcessLocal<RequestId>) {
+        let tracked = self.requests.get_mut(&request).unwrap();
+        tracked.finals += 1;
+        assert_eq!(tracked.finals, 1, "two ends: {request:?}");
     }
 
-    /// Checks that no request is kept past its deadline.
+    /// Checks that no request is unfinished after its deadline.
     fn check_ends(&self) {
-        for (name, asking) in &self.requests {
+        for (name, tracked) in &self.requests {
             let now: Time = self.processes[name.at].now;
-            let late = asking.arrival.deadline.after(GRACE) < now;
-            assert!(!late || asking.gone || asking.finals == 1, "no end: {name:?} {asking:?}");
+            let late = tracked.arrival.deadline.after(GRACE) < now;
+            assert!(!late || tracked.gone || tracked.finals == 1, "no end: {name:?} {tracked:?}");
         }
     }
 }
@@ -337,14 +350,14 @@
     model(["m", "n"][n])
 }
 
-fn whole(attempt: Name<AttemptId>, held: bool) -> AttemptEnd {
+fn completed(attempt: ProcessLocal<AttemptId>, held: bool) -> AttemptEnd {
     let body = format!("{attempt:?}").into_bytes();
     let answer = RecordedAnswer { status: 200, content_type: None, body };
     AttemptEnd::Whole { held: held.then_some(answer) }
 }
 
 proptest! {
-    // `PROPTEST_CASES` asks for more than these.
+    // `PROPTEST_CASES` can raise the number of cases.
     #![proptest_config(ProptestConfig {
         cases: ProptestConfig::default().cases.max(400),
         max_shrink_iters: 20_000,
@@ -353,22 +366,22 @@
     })]
 
     #[test]
-    fn every_request_ends_once_and_truly_whatever_the_order_of_events(
+    fn every_request_ends_once_with_a_true_outcome_whatever_the_order_of_events(
         ops in prop::collection::vec(op(), 1..120)
     ) {
         let mut world = World::new();
         for op in ops {
-            world.carry_out(op);
-            world.absorb();
+            world.execute(op);
+            world.check_effects();
             world.check_ends();
         }
         for _ in 0..20 {
-            world.carry_out(Op::Pass { ms: 1000 });
-            world.absorb();
+            world.execute(Op::Advance { ms: 1000 });
+            world.check_effects();
         }
         world.check_ends();
-        for (name, asking) in &world.requests {
-            prop_assert!(asking.gone || asking.finals == 1, "{:?} has {} ends", name, asking.finals);
+        for (name, tracked) in &world.requests {
+            prop_assert!(tracked.gone || tracked.finals == 1, "{:?} has {} ends", name, tracked.finals);
         }
     }
 }
--- a/crates/skylarkshore-core/tests/serving/routing.rs
+++ b/crates/skylarkshore-core/tests/serving/routing.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request gets.
+//! Which upstream a request is sent to.
 
 use skylarkshore_core::event::{AttemptEnd, LoadTold, Rejection};
 use skylarkshore_core::id::UpstreamId;
@@ -7,7 +7,8 @@
 
 use crate::support::serving::*;
 
-/// Makes a process that knows model `m` ready on `e1` and `e2`, eight at a time each.
+/// Creates a process on which model `m` is ready on `e1` and `e2`, with a concurrency of eight
+/// each.
 fn two_engines() -> Process {
     let mut p = Process::new("a", 1);
     for (engine, owner) in [("e1", "b"), ("e2", "c")] {
@@ -26,17 +27,17 @@
 }
 
 #[test]
-fn prompts_that_begin_alike_go_to_the_same_engine_until_it_is_clearly_fuller() {
+fn prompts_with_the_same_prefix_go_to_the_same_engine_until_it_is_clearly_fuller() {
     let mut p = two_engines();
     let chosen: Vec<_> = (0..5).map(|id| send_with_prefix(&mut p, id, 5).remove(0).upstream).collect();
     assert_eq!(chosen[0], chosen[1]);
     assert_eq!(chosen[1], chosen[2]);
     assert_eq!(chosen[2], chosen[3]);
-    assert_ne!(chosen[3], chosen[4], "the other one is emptier by half of its places");
+    assert_ne!(chosen[3], chosen[4], "the other engine has less load by half of its concurrency");
 }
 
 #[test]
-fn a_near_engine_goes_before_a_far_one_that_is_as_free() {
+fn a_local_engine_is_preferred_to_a_remote_one_with_the_same_load() {
     let mut p = two_engines();
     p.upstreams.change(&name("e1"), |far| far.data_centre = name("olten-b"));
     for id in 0..4 {
@@ -47,12 +48,11 @@
     }
 }
 
-/// An owner's account is late, and its engine has unloaded the model already.
-/// The request that finds out goes to the other engine, and the next ones don't
-/// try the first again; a hot loop between router and engine would be seen as
-/// thousands of rejections a second.
+/// An owner's view is outdated: its engine has unloaded the model. The request that is rejected
+/// goes to the other engine, and the next ones must not try the first again. A hot loop between
+/// router and engine would cause thousands of rejections a second.
 #[test]
-fn an_engine_that_lacks_the_model_is_left_alone_for_a_while() {
+fn an_engine_that_lacks_the_model_is_skipped_for_a_while() {
     let mut p = two_engines();
     let mut rejections = 0;
     for id in 0..40 {
@@ -63,28 +63,28 @@
             let lacking = AttemptEnd::Rejected(Rejection::NotLoaded);
             p.end(sent.attempt, if missing { lacking } else { AttemptEnd::Whole { held: None } });
         }
-        p.pass(10);
+        p.advance(10);
     }
     assert!(rejections <= 1, "{rejections} rejections within a second");
     assert!(p.serving.is_idle());
 }
 
-/// A replica says that it is about to go before the host list does. The other
-/// processes hear it from this one and send nothing there any more.
+/// A replica announces that it is leaving before the host list shows it. The other processes
+/// are notified and send it nothing more.
 #[test]
-fn what_a_leaving_upstream_says_is_told_to_all() {
+fn the_leaving_notice_of_an_upstream_is_broadcast() {
     let mut p = two_engines();
     p.arrive(1, arrival(&p, service("booking"), 1));
     let sent = p.take_sent().remove(0);
     p.end(sent.attempt, AttemptEnd::Rejected(Rejection::Leaving));
-    let told = p.take_told(|m| matches!(m, PeerMessage::UpstreamLeaving { .. }));
+    let told = p.take_messages(|m| matches!(m, PeerMessage::UpstreamLeaving { .. }));
     assert_eq!(told.len(), 2);
     let again = p.take_sent().remove(0);
     assert_ne!(again.upstream, sent.upstream);
 }
 
-/// Finds a prompt's beginning that belongs to an engine while both are idle.
-fn prefix_of(engine: &str) -> u8 {
+/// Returns a prompt prefix that prefers an engine while both are idle.
+fn prefix_preferring(engine: &str) -> u8 {
     let belongs = |prefix: &u8| {
         let mut p = two_engines();
         send_with_prefix(&mut p, 1, *prefix).remove(0).upstream.as_str() == engine
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn a_free_place_goes_to_a_prompt_that_its_engine_knows_but_nobody_is_passed_over_for_ever() {
-    let (near, far) = (prefix_of("e1"), prefix_of("e2"));
+fn a_free_slot_goes_to_a_cached_prompt_prefix_but_no_request_is_skipped_forever() {
+    let (near, far) = (prefix_preferring("e1"), prefix_preferring("e2"));
     let mut p = Process::new("a", 1);
     for (engine, owner) in [("e1", "b"), ("e2", "c")] {
         p.peer(owner, &PeerMessage::View(view(engine, 1, "m", Readiness::Ready)));
@@ -116,8 +116,8 @@
     assert_eq!(order, [11, 12, 13, 14, 15, 16, 17, 18, 10, 19]);
 }
 
-/// Guards against replicas that were full for a moment and are believed to be so by a host that, as
-/// it sends nothing there, hears of no change.
+/// Guards against a replica that stays marked as full: a host that sends it nothing receives no
+/// reports from it.
 #[test]
 fn a_replica_that_was_full_once_is_tried_again_within_a_second() {
     let mut p = two_engines();
@@ -132,18 +132,18 @@
     }
     p.end(sent.attempt, AttemptEnd::Whole { held: None });
     p.arrive(2, arrival(&p, service("booking"), 2));
-    assert_eq!(p.take_sent().len(), 0, "it was full just now");
-    p.pass(1000);
+    assert_eq!(p.take_sent().len(), 0, "it was just reported full");
+    p.advance(1000);
     assert_eq!(p.take_sent().len(), 1);
 }
 
-/// An owner tells only those of a swap who use the models; whoever asks again
-/// later would be sent to where its model no longer is.
+/// An owner publishes a swap of models only to the hosts that use them. A host that asks again
+/// later would send to where its model no longer is.
 #[test]
-fn the_list_goes_before_an_account_that_is_no_longer_kept_up() {
+fn the_host_list_takes_precedence_over_an_outdated_view() {
     let mut p = Process::new("a", 1);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Ready)));
-    p.pass(5000);
+    p.advance(5000);
     p.change_listed("e1", |listed| listed.holds = vec![name("n")]);
     p.arrive(1, arrival(&p, model("m"), 1));
     assert_eq!(p.take_sent().len(), 0);
@@ -151,9 +151,9 @@
     assert_eq!(p.take_sent().remove(0).upstream.as_str(), "e1");
 }
 
-/// An engine that has been emptied would be sent requests for what it once held.
+/// An engine that was emptied must not be sent requests for what it held before.
 #[test]
-fn an_engine_that_lists_nothing_any_more_gets_no_requests() {
+fn an_engine_that_lists_no_models_gets_no_requests() {
     let mut p = Process::new("a", 1);
     for holds in [vec![name("m")], Vec::new()] {
         p.change_listed("e1", |listed| listed.holds = holds);
--- a/crates/skylarkshore-core/tests/serving_requests.rs
+++ b/crates/skylarkshore-core/tests/serving_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a process, driven event by event.
+//! Requests of a process, driven event by event.
 
 mod support {
     pub mod serving;
--- a/crates/skylarkshore-core/tests/support/serving.rs
+++ b/crates/skylarkshore-core/tests/support/serving.rs
@@ -1,4 +1,4 @@
-//! Processes' serving parts with a key-value service between them, driven by hand.
+//! [`Serving`] of one or more processes with a key-value service, driven by hand.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
     Target::Service(name(s))
 }
 
-/// A key-value service that answers when it is told to.
+/// A key-value service that executes calls on request.
 #[derive(Debug, Default)]
 pub struct Store {
     records: OrderedMap<Key, Versioned>,
@@ -60,7 +60,7 @@
         self.records.get(key)?.record.as_ref()
     }
 
-    pub fn carry_out(&mut self, call: &StoreCall) -> StoreAnswer {
+    pub fn execute(&mut self, call: &StoreCall) -> StoreAnswer {
         match call {
             StoreCall::Read(key) => StoreAnswer::One(self.read(key)),
             StoreCall::Write { key, expect, record, writer, .. } => {
@@ -96,7 +96,7 @@
     }
 }
 
-/// One process's serving part with its surroundings.
+/// The [`Serving`] of one process with everything it depends on.
 #[derive(Debug)]
 pub struct Process {
     pub now: Time,
@@ -105,19 +105,20 @@
     pub cache: StoreCache,
     pub upstreams: UpstreamList,
     pub serving: Serving,
-    /// What it wanted done since this was last taken.
+    /// The effects since they were last taken.
     pub effects: Vec<Effect>,
     writes: Writes,
     counters: Counters,
     rng: SmallRng,
-    cached: u64,
+    cache_revision: u64,
 }
 
 impl Process {
-    /// Makes a process on `host` in a deployment of three hosts, three engines and a service.
+    /// Creates a process on `host` in a deployment of three hosts, three engines and a
+    /// service.
     ///
-    /// Engine `e1` belongs to host `b`, `e2` to `c` and `e3` to `a`; model `m`
-    /// has its homes on `e1` and `e2`, model `n` on `e2`.
+    /// Engine `e1` belongs to host `b`, `e2` to `c` and `e3` to `a`; model `m` has its
+    /// homes on `e1` and `e2`, model `n` on `e2`.
     pub fn new(host: &str, seed: u64) -> Self {
         Self::with_limits(host, seed, Limits::default())
     }
@@ -148,7 +149,7 @@
             writes: Writes::default(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(seed),
-            cached: 0,
+            cache_revision: 0,
         };
         for (engine, owner) in [("e1", "b"), ("e2", "c"), ("e3", "a")] {
             process.cache_owner(engine, owner, 1);
@@ -162,8 +163,8 @@
     }
 
     pub fn cache(&mut self, key: &Key, record: Option<Record>) {
-        self.cached += 1;
-        let revision = StoreRevision(self.cached);
+        self.cache_revision += 1;
+        let revision = StoreRevision(self.cache_revision);
         self.cache.apply(Versioned { key: key.clone(), revision, writer: None, record });
         self.with(|serving, cx| serving.on_change(cx, key));
     }
@@ -191,19 +192,19 @@
         self.cache(&Key::Homes(name(model)), Some(Record::Homes(record)));
     }
 
-    /// Has the host list name an upstream no more; returns it for a later life.
-    pub fn end_life(&mut self, upstream: &str) -> Upstream {
+    /// Removes an upstream from the host list; returns it for a later incarnation.
+    pub fn terminate(&mut self, upstream: &str) -> Upstream {
         let ended = self.upstreams.remove(&name::<UpstreamId>(upstream)).unwrap();
         self.list_changed(upstream);
         ended
     }
 
-    /// Has the host list name a new life of an upstream.
-    pub fn begin_life(&mut self, upstream: &str, incarnation: u64) {
+    /// Lists a new incarnation of an upstream.
+    pub fn restart(&mut self, upstream: &str, incarnation: u64) {
         self.change_listed(upstream, |listed| listed.incarnation = Incarnation(incarnation));
     }
 
-    /// Has the host list tell something new of an upstream.
+    /// Changes an upstream's entry on the host list.
     pub fn change_listed(&mut self, upstream: &str, f: impl FnOnce(&mut Upstream)) {
         self.upstreams.change(&name(upstream), f);
         self.list_changed(upstream);
@@ -235,7 +236,7 @@
         value
     }
 
-    /// Does the same as [`with`](Self::with) for the writes in progress.
+    /// Same as [`with`](Self::with), for the writes in progress.
     fn with_writes<T>(&mut self, f: impl FnOnce(&mut Writes, &mut Cx<'_>) -> T) -> T {
         let mut writes = std::mem::take(&mut self.writes);
         let value = self.with(|_, cx| f(&mut writes, cx));
@@ -264,8 +265,8 @@
         }
     }
 
-    /// Lets time pass, ticks included.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time, with ticks.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now.after(Duration::from_millis(ms));
         while self.now < end {
             self.now = end.min(self.now.after(Duration::from_millis(50)));
@@ -277,15 +278,15 @@
         }
     }
 
-    /// Carries out the calls to the key-value service that are outstanding, until there are none.
-    pub fn serve_store(&mut self, store: &mut Store) {
+    /// Executes the pending calls to the key-value service until there are none.
+    pub fn execute_calls(&mut self, store: &mut Store) {
         loop {
             let calls: Vec<(CallId, StoreCall)> = self.take_calls();
             if calls.is_empty() {
                 return;
             }
             for (call, request) in calls {
-                let answer = store.carry_out(&request);
+                let answer = store.execute(&request);
                 self.store(call, &Ok(answer));
             }
         }
@@ -301,18 +302,18 @@
             .collect()
     }
 
-    /// Takes the effects since the last time.
+    /// Takes all effects.
     pub fn take(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes the attempts sent since the last time, with their upstreams.
+    /// Takes the attempts that were sent.
     pub fn take_sent(&mut self) -> Vec<Sent> {
         let sends = self.effects.extract_if(.., |e| matches!(e, Effect::Send { .. }));
         sends.filter_map(Sent::from_effect).collect()
     }
 
-    /// Takes the refusals since the last time.
+    /// Takes the refusals.
     pub fn take_refused(&mut self) -> Vec<(RequestId, Refusal)> {
         let refusals = self.effects.extract_if(.., |e| matches!(e, Effect::Refuse { .. }));
         refusals
@@ -323,8 +324,8 @@
             .collect()
     }
 
-    /// Takes the messages of one kind since the last time, with their receivers.
-    pub fn take_told(&mut self, kind: impl Fn(&PeerMessage) -> bool) -> Vec<(HostId, PeerMessage)> {
+    /// Takes the messages of one kind, with their receivers.
+    pub fn take_messages(&mut self, kind: impl Fn(&PeerMessage) -> bool) -> Vec<(HostId, PeerMessage)> {
         let told = self.effects.extract_if(.., |e| matches!(e, Effect::Peer(e) if kind(&e.message)));
         told.filter_map(|e| match e {
             Effect::Peer(envelope) => Some((envelope.to, envelope.message)),
@@ -354,7 +355,7 @@
     }
 }
 
-/// Makes a request that may be repeated and has ten seconds.
+/// Creates a request that may be repeated and has a deadline in ten seconds.
 pub fn arrival(process: &Process, target: Target, body: u8) -> Arrival {
     let resumable = matches!(target, Target::Model(_));
     let terms = Terms::plain(process.now.after(Duration::from_secs(10)), resumable);
@@ -370,12 +371,12 @@
     }
 }
 
-/// Makes a booking under an idempotency key.
+/// Creates a booking with an idempotency key.
 pub fn booking(process: &Process, key: u8, body: u8) -> Arrival {
     Arrival { repeat: Repeat::Once { key: digest(key) }, ..arrival(process, service("booking"), body) }
 }
 
-/// Makes an owner's account of an engine that holds one model.
+/// Creates an owner's view of an engine that holds one model.
 pub fn view(engine: &str, number: u64, model: &str, readiness: Readiness) -> EngineView {
     EngineView {
         upstream: name(engine),
