--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -5,8 +5,8 @@
 
 use crate::collections::OrderedMap;
 use crate::config::RetryLimits;
-use crate::headcount::Headcount;
 use crate::id::ServiceName;
+use crate::member_count::MemberCount;
 use crate::time::Time;
 
 /// Budgets count in thousandths of a retry, so that a request can earn a fraction of one.
@@ -48,7 +48,7 @@
                 percent,
                 slack,
                 window,
-                hosts: Headcount::ALONE,
+                hosts: MemberCount::ALONE,
                 used: OrderedMap::new(),
             }),
         }
@@ -78,7 +78,7 @@
     /// Records how many processes share the budget.
     pub(super) fn record_host_count(&mut self, now: Time, hosts: usize) {
         if let Self::Shared(budget) = self {
-            budget.hosts.note(now, hosts);
+            budget.hosts.record(now, hosts);
         }
     }
 }
@@ -116,7 +116,7 @@
     percent: u32,
     slack: u32,
     window: Duration,
-    hosts: Headcount,
+    hosts: MemberCount,
     used: OrderedMap<Destination, Usage>,
 }
 
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -5,7 +5,7 @@
 use crate::cx::Cx;
 use crate::effect::RefusalReason;
 use crate::id::RequestId;
-use crate::quota::{Ruling, Verdict};
+use crate::quota::{CreditDecision, CreditOutcome};
 use crate::serving::Serving;
 use crate::serving::disposition::Disposition;
 use crate::serving::request::{Due, Request, RunHistory, State};
@@ -17,17 +17,17 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(charge) = request.arrival.charge.clone() else { return self.admit(cx, id) };
         request.set_state(State::AwaitingCredit { not_before: None }, cx.now);
-        if let Some(ruling) = self.quota.ask(cx, id, &charge) {
-            self.on_ruling(cx, Verdict { request: id, ruling });
+        if let Some(decision) = self.quota.request_credit(cx, id, &charge) {
+            self.on_ruling(cx, CreditOutcome { request: id, decision });
         }
     }
 
     /// Admits a request whose credit was granted, or refuses it.
-    pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: Verdict) {
-        let Verdict { request: id, ruling } = verdict;
+    pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: CreditOutcome) {
+        let CreditOutcome { request: id, decision } = verdict;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        match ruling {
-            Ruling::Granted { not_before } => {
+        match decision {
+            CreditDecision::Granted { not_before } => {
                 request.has_credit = true;
                 if not_before.is_due(cx.now) {
                     return self.admit(cx, id);
@@ -35,12 +35,12 @@
                 request.set_state(State::AwaitingCredit { not_before: Some(not_before) }, cx.now);
                 self.timers.insert(Due { at: not_before, request: id });
             }
-            Ruling::Over { retry_after } => {
+            CreditDecision::OverLimit { retry_after } => {
                 let disposition =
                     Disposition::Refuse { reason: RefusalReason::OverLimit, retry_after: Some(retry_after) };
                 self.send_or_refuse(cx, id, disposition);
             }
-            Ruling::TooLarge => {
+            CreditDecision::TooLarge => {
                 self.send_or_refuse(
                     cx,
                     id,
@@ -61,9 +61,9 @@
     pub(super) fn settle_credit(&mut self, cx: &mut Cx<'_>, id: RequestId, request: &Request) {
         let Some(charge) = &request.arrival.charge else { return };
         if !request.has_credit {
-            self.quota.forget(id);
+            self.quota.cancel(id);
         } else if request.history == RunHistory::NeverRan && request.has_no_run() {
-            self.quota.give_back(cx, charge);
+            self.quota.return_credit(cx, charge);
         }
     }
 
@@ -85,7 +85,7 @@
     if accounts.is_empty() {
         return None;
     }
-    match accounts.holder(&charge.key) {
+    match accounts.find_by_key(&charge.key) {
         None => Some(RefusalReason::KeyWithdrawn),
         Some((holder, _)) if *holder != charge.account => Some(RefusalReason::AccountChanged),
         Some(_) => None,
--- a/crates/skylarkshore-core/src/serving/demand.rs
+++ b/crates/skylarkshore-core/src/serving/demand.rs
@@ -211,7 +211,7 @@
             let late = std::mem::take(&mut entry.late);
             for owner in owners(cx, target, &OrderedSet::new()) {
                 let (target, waited_for) = (target.clone(), entry.waiting_since.is_some());
-                cx.tell(&owner, PeerMessage::Used { target, arrived, late, worked, waited_for });
+                cx.send(&owner, PeerMessage::Used { target, arrived, late, run_time: worked, waited_for });
             }
         }
     }
--- a/crates/skylarkshore-core/src/serving/demand/owners.rs
+++ b/crates/skylarkshore-core/src/serving/demand/owners.rs
@@ -27,10 +27,10 @@
         target: target.clone(),
         waiting: demand.count,
         order: demand.order,
-        patience: demand.patience,
-        aim: demand.aim,
+        max_wait: demand.patience,
+        soft_deadline: demand.aim,
     };
-    cx.tell(owner, message);
+    cx.send(owner, message);
 }
 
 /// Returns the owners of a model's homes, each once, in the order in which they are asked.
--- a/crates/skylarkshore-core/src/serving/disposition.rs
+++ b/crates/skylarkshore-core/src/serving/disposition.rs
@@ -64,7 +64,7 @@
             request.runs,
             request.account()
         );
-        cx.decided(id, "request_sent", detail);
+        cx.log_decision(id, "request_sent", detail);
         cx.push(Effect::Send {
             request: id,
             attempt,
@@ -76,7 +76,7 @@
             once: request.arrival.repeat != Repeat::Allowed,
             keep_failure: request.arrival.repeat == Repeat::Allowed
                 && !request.passed_on
-                && request.runs + 1 < request.arrival.terms.tries.min(cx.cfg.limits.attempts),
+                && request.runs + 1 < request.arrival.policy.max_runs.min(cx.cfg.limits.attempts),
         });
         let incarnation = cx.upstreams.get(&upstream).map(|listed| listed.incarnation);
         request
@@ -104,7 +104,7 @@
             request.describe(),
             refusal.reason
         );
-        cx.decided(id, "request_refused", detail);
+        cx.log_decision(id, "request_refused", detail);
         request.passed_on = request.is_partly_answered();
         if let Some(occupied_upstream) = request.occupied_upstream() {
             self.routes.free(occupied_upstream);
--- a/crates/skylarkshore-core/src/serving/isolation.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::config::SuspectPolicy;
-use crate::control::relay::tell_everyone;
+use crate::control::relay::broadcast_via_relay;
 use crate::cx::Cx;
 use crate::effect::RefusalReason;
 use crate::event::Target;
@@ -91,7 +91,10 @@
             isolated.asked_at = Some(cx.now);
         }
         if let Some(owner) = owner_of(cx, upstream) {
-            cx.tell(&owner, PeerMessage::ReservationWanted { upstream: upstream.clone(), patience });
+            cx.send(
+                &owner,
+                PeerMessage::ReservationWanted { upstream: upstream.clone(), max_wait: patience },
+            );
         }
     }
 
@@ -103,7 +106,7 @@
             return;
         }
         if let Some(owner) = owner_of(cx, &isolated.upstream) {
-            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: isolated.upstream });
+            cx.send(&owner, PeerMessage::ReservationReturned { upstream: isolated.upstream });
         }
     }
 
@@ -118,7 +121,7 @@
             return;
         }
         if let Some(owner) = owner_of(cx, &view.upstream) {
-            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: view.upstream.clone() });
+            cx.send(&owner, PeerMessage::ReservationReturned { upstream: view.upstream.clone() });
         }
     }
 
@@ -132,7 +135,10 @@
         let digests = vec![request.arrival.digest];
         let (upstream, incarnation) = (run.upstream.clone(), run.incarnation);
         self.suspects.record_loss(cx, &upstream, incarnation, &digests);
-        tell_everyone(cx, &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false });
+        broadcast_via_relay(
+            cx,
+            &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false },
+        );
     }
 
     /// Handles a peer's report of suspects.
@@ -151,7 +157,7 @@
         }
         let isolation = if alone { Isolation::Exclusive } else { Isolation::Shared };
         self.suspects.record_crash(cx, upstream, digests, isolation);
-        cx.tell(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
+        cx.send(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
         self.refuse_convicted(cx);
         self.isolate_suspects(cx);
         self.dispatch_waiting(cx);
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -168,7 +168,7 @@
         self.claims.remove(&key);
         self.unknown_outcomes.insert(cx.now, key);
         self.in_doubt += 1;
-        cx.note("once_in_doubt", key, "the request may have run; its key stays claimed");
+        cx.log_event("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
     /// Removes the keys whose records have expired.
@@ -243,7 +243,11 @@
             ClaimState::Recording => {
                 if !matches!(outcome, WriteOutcome::Done(_)) {
                     self.unknown_outcomes.insert(cx.now, key);
-                    cx.note("once_answer_not_recorded", key, "the request has run; its key stays claimed");
+                    cx.log_event(
+                        "once_answer_not_recorded",
+                        key,
+                        "the request has run; its key stays claimed",
+                    );
                 }
                 self.claims.remove(&key)?.waiter.map(ClaimProgress::Recorded)
             }
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -166,7 +166,7 @@
         queue.classes.entry(urgency.order).or_default().push(caller, urgency.due);
         queue.entries.insert(urgency);
         queue.deadlines.insert(urgency.due);
-        queue.aims.insert(Due { at: request.arrival.terms.aim, request: id });
+        queue.aims.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
         self.callers.entry(caller.clone()).or_default().insert(urgency);
         self.all.insert(urgency);
     }
@@ -249,7 +249,7 @@
         let Some(queue) = self.by_target.get_mut(target) else { return };
         queue.entries.remove(&urgency);
         queue.deadlines.remove(&urgency.due);
-        queue.aims.remove(&Due { at: request.arrival.terms.aim, request: id });
+        queue.aims.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
         if let Some(class) = queue.classes.get_mut(&urgency.order) {
             class.remove(caller, urgency.due, exit);
             if class.callers.is_empty() {
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -136,7 +136,7 @@
     /// would lose the time in which it could have asked another host.
     pub(super) fn queue_deadline(&self) -> Time {
         let deadline = self.arrival.deadline;
-        if self.passed_on { deadline } else { deadline.min(self.arrival.terms.begins_by) }
+        if self.passed_on { deadline } else { deadline.min(self.arrival.policy.first_byte_deadline) }
     }
 
     /// Creates a request that has just arrived.
@@ -221,7 +221,7 @@
 
     /// Reports whether another upstream can resume a partial answer.
     pub(super) const fn can_resume(&self) -> bool {
-        self.arrival.terms.resumable
+        self.arrival.policy.resumable
     }
 
     /// Returns the outcome to report if the request ends now without an answer.
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -11,12 +11,12 @@
 use crate::catalogue::ModelTarget;
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
-use crate::event::{LoadTold, Target};
+use crate::event::{ReportedLoad, Target};
 use crate::id::{Digest, ServiceName, UpstreamId};
 use crate::serving::others_load::{MilliRequests, OthersLoad};
 use crate::serving::published_views::{Freshness, PublishedViews};
 use crate::time::Time;
-use crate::upstream::{Standing, Upstream};
+use crate::upstream::{Upstream, UpstreamStatus};
 use crate::view::EngineView;
 
 /// Load above the emptiest upstream, in thousandths, at which a prompt's prefix still decides.
@@ -203,7 +203,7 @@
     }
 
     /// Records the load that an upstream reported.
-    pub(super) fn record_load(&mut self, now: Time, upstream: &UpstreamId, load: LoadTold) {
+    pub(super) fn record_load(&mut self, now: Time, upstream: &UpstreamId, load: ReportedLoad) {
         let others = (load.running + load.waiting).saturating_sub(self.in_flight(upstream));
         let load = self
             .reported_loads
@@ -316,7 +316,7 @@
 
     /// Reports whether an upstream is known to be leaving.
     pub(super) fn is_leaving(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let listed = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
+        let listed = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let view_leaving = self.views.get(upstream).is_some_and(|known| known.view.leaving);
         !listed || view_leaving || self.leaving.contains_key(upstream)
     }
@@ -372,7 +372,7 @@
     /// Reports whether the host list names a live replica of a service, even one that is
     /// backed off.
     pub(super) fn has_replica(&self, cx: &Cx<'_>, service: &ServiceName) -> bool {
-        let mut live = cx.upstreams.replicas(service).filter(|u| u.standing == Standing::Live);
+        let mut live = cx.upstreams.replicas(service).filter(|u| u.status == UpstreamStatus::Live);
         live.any(|u| !self.leaving.contains_key(&u.id))
     }
 
@@ -416,7 +416,7 @@
     }
 
     fn usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let live = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
+        let live = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let backed_off = self.backoffs.get(upstream).is_some_and(|backoff| !backoff.until.is_due(cx.now));
         live && !backed_off && !self.leaving.contains_key(upstream)
     }
--- a/crates/skylarkshore-core/src/serving/state_dump.rs
+++ b/crates/skylarkshore-core/src/serving/state_dump.rs
@@ -1,21 +1,21 @@
 //! The state dump and the metrics of this process's requests.
 
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::serving::Serving;
 use crate::serving::counters::gauge;
 use crate::serving::suspect::SuspectStatus;
 
 impl Serving {
     /// Returns an entry for each request, each upstream in use and each suspect.
-    pub(super) fn dump_entries(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        let requests = self.requests.iter().map(|(id, request)| Belief {
+    pub(super) fn dump_entries(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
+        let requests = self.requests.iter().map(|(id, request)| DumpEntry {
             kind: "request",
             subject: id.to_string(),
             state: request.describe(),
             since: Some(request.since),
         });
-        let routes = self.routes.upstreams_in_use().map(|(upstream, n)| Belief {
+        let routes = self.routes.upstreams_in_use().map(|(upstream, n)| DumpEntry {
             kind: "route",
             subject: upstream.to_string(),
             state: format!("{n} requests from here, {}", self.routes.describe(cx, upstream)),
@@ -28,9 +28,9 @@
                     "was in progress when an upstream died and runs alone"
                 }
             };
-            Belief { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
+            DumpEntry { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
         });
-        requests.chain(routes).chain(suspects).chain(self.quota.beliefs()).collect()
+        requests.chain(routes).chain(suspects).chain(self.quota.dump_entries()).collect()
     }
 
     /// Returns the gauges for the metrics.
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -169,7 +169,7 @@
             until: cx.now.after(NOTICE_TIMEOUT),
             held: vec![held],
         };
-        cx.tell_all(&notice.message());
+        cx.broadcast(&notice.message());
         self.pending_notices.push(notice);
     }
 
@@ -202,9 +202,9 @@
             let convicted =
                 isolation == Isolation::Exclusive || suspicion.crashes.len() >= CONVICTION_THRESHOLD;
             if convicted && !suspicion.convicted {
-                cx.note("request_convicted", digest, format!("crashed {upstream}"));
+                cx.log_event("request_convicted", digest, format!("crashed {upstream}"));
             } else if !convicted {
-                cx.note("request_suspected", digest, format!("in progress when {upstream} died"));
+                cx.log_event("request_suspected", digest, format!("in progress when {upstream} died"));
             }
             suspicion.convicted |= convicted;
             let kept = if suspicion.convicted { CONVICTION_TTL } else { SUSPICION_TTL };
@@ -260,7 +260,7 @@
             if ended >= CONVICTION_THRESHOLD && !suspicion.convicted {
                 suspicion.convicted = true;
                 suspicion.until = cx.now.after(CONVICTION_TTL);
-                cx.note(
+                cx.log_event(
                     "request_convicted",
                     digest,
                     format!("{ended} upstreams terminated while running it"),
@@ -312,7 +312,7 @@
             notice.resend_at = cx.now.after(NOTICE_RESEND_INTERVAL);
             let message = notice.message();
             for host in &notice.unacknowledged {
-                cx.tell(host, message.clone());
+                cx.send(host, message.clone());
             }
         }
         self.take_notified(cx.now)
--- a/crates/skylarkshore-core/tests/serving/once.rs
+++ b/crates/skylarkshore-core/tests/serving/once.rs
@@ -1,7 +1,7 @@
 //! Requests that may run at most once.
 
 use skylarkshore_core::effect::{Effect, RefusalOutcome, RefusalReason};
-use skylarkshore_core::event::AttemptEnd;
+use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::id::{CallId, Incarnation};
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::store::{Key, OnceRecord, OnceState, Record, RecordedAnswer, StoreCall, StoreFailure};
@@ -49,7 +49,7 @@
     assert_eq!(a.take_sent(), [], "nothing is sent before the claim is held");
     a.execute_calls(&mut store);
     let sent = a.take_sent().remove(0);
-    a.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    a.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     assert_eq!(a.take_refused(), []);
     a.execute_calls(&mut store);
     assert_eq!(answers(&mut a), [confirmed()]);
@@ -76,7 +76,7 @@
     a.arrive(1, booking(&a, 7, 1));
     a.execute_calls(&mut store);
     let sent = a.take_sent().remove(0);
-    a.end(sent.attempt, AttemptEnd::Lost { passed_on: false, died: false });
+    a.end(sent.attempt, AttemptOutcome::Lost { passed_on: false, died: false });
     let refused = a.take_refused().remove(0).1;
     assert_eq!((refused.outcome, refused.reason), (RefusalOutcome::Unknown, RefusalReason::UpstreamLost));
 
@@ -168,7 +168,7 @@
     for _ in 0..3 {
         p.advance(1000);
         let sent = p.take_sent().remove(0);
-        p.end(sent.attempt, AttemptEnd::NotSent);
+        p.end(sent.attempt, AttemptOutcome::NotSent);
     }
     assert_eq!(p.take_refused(), []);
     p.execute_calls(&mut store);
@@ -186,7 +186,7 @@
     p.with(|serving, cx| serving.on_caller_gone(cx, sent.request));
     p.arrive(2, booking(&p, 7, 1));
     assert_eq!(p.take_refused().remove(0).1.reason, RefusalReason::KeyInProgress);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.execute_calls(&mut store);
     assert_eq!(record(&store, 7).map(|r| r.state), Some(OnceState::Answered(confirmed())));
     p.arrive(3, booking(&p, 7, 1));
@@ -204,7 +204,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.execute_calls(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.execute_calls(&mut store);
     p.take();
     for id in 10..14 {
@@ -226,7 +226,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.execute_calls(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Lost { passed_on: false, died: false });
+    p.end(sent.attempt, AttemptOutcome::Lost { passed_on: false, died: false });
 
     let mut second = booking(&p, 7, 1);
     second.deadline = p.now.after(std::time::Duration::from_millis(50));
@@ -267,7 +267,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.execute_calls(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     let (call, request) = take_only_call(&mut p);
     p.advance(350);
     assert_eq!(answers(&mut p), [confirmed()]);
@@ -286,7 +286,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.execute_calls(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.execute_calls(&mut store);
     assert_eq!(answers(&mut p), [confirmed()]);
     p.arrive(2, booking(&p, 7, 1));
--- a/crates/skylarkshore-core/tests/serving/random.rs
+++ b/crates/skylarkshore-core/tests/serving/random.rs
@@ -8,12 +8,12 @@
 
 use skylarkshore_core::collections::OrderedMap;
 use skylarkshore_core::effect::{Effect, RefusalOutcome};
-use skylarkshore_core::event::{Arrival, AttemptEnd, Rejection, Repeat, Target};
+use skylarkshore_core::event::{Arrival, AttemptOutcome, Rejection, Repeat, Target};
 use skylarkshore_core::id::{AttemptId, CallId, Digest, Fence, RequestId, UpstreamId};
 use skylarkshore_core::peer::{CannotLoad, PeerMessage};
 use skylarkshore_core::store::{RecordedAnswer, StoreCall, StoreFailure};
 use skylarkshore_core::time::Time;
-use skylarkshore_core::upstream::Standing;
+use skylarkshore_core::upstream::UpstreamStatus;
 use skylarkshore_core::view::{Readiness, ViewVersion};
 
 use crate::support::serving::*;
@@ -140,8 +140,8 @@
             }
             Op::Listed { at, upstream, live } => {
                 let p = &mut self.processes[at];
-                let standing = if live { Standing::Live } else { Standing::Leaving };
-                p.change_listed(UPSTREAMS[upstream], |listed| listed.standing = standing);
+                let status = if live { UpstreamStatus::Live } else { UpstreamStatus::Leaving };
+                p.change_listed(UPSTREAMS[upstream], |listed| listed.status = status);
             }
         }
     }
@@ -188,22 +188,24 @@
         };
         let (end, run_state) = match end {
             0..=2 => (completed(name, once.is_some()), RunState::MayHaveRun),
-            3 if once.is_some() => (AttemptEnd::WholeTooLarge, RunState::MayHaveRun),
-            3 | 4 => (AttemptEnd::NotSent, RunState::NotRun),
-            5 => (AttemptEnd::Rejected(Rejection::Busy), RunState::NotRun),
-            6 => (AttemptEnd::Rejected(Rejection::NotLoaded), RunState::NotRun),
-            7 => (AttemptEnd::Lost { passed_on: once.is_none(), died: false }, RunState::MayHaveRun),
-            8 => (AttemptEnd::Lost { passed_on: false, died: true }, RunState::MayHaveRun),
-            _ => (AttemptEnd::Lost { passed_on: false, died: false }, RunState::MayHaveRun),
+            3 if once.is_some() => (AttemptOutcome::CompletedTooLarge, RunState::MayHaveRun),
+            3 | 4 => (AttemptOutcome::NotSent, RunState::NotRun),
+            5 => (AttemptOutcome::Rejected(Rejection::Busy), RunState::NotRun),
+            6 => (AttemptOutcome::Rejected(Rejection::NotLoaded), RunState::NotRun),
+            7 => (AttemptOutcome::Lost { passed_on: once.is_none(), died: false }, RunState::MayHaveRun),
+            8 => (AttemptOutcome::Lost { passed_on: false, died: true }, RunState::MayHaveRun),
+            _ => (AttemptOutcome::Lost { passed_on: false, died: false }, RunState::MayHaveRun),
         };
         if live {
             tracked_attempt.run_state = run_state;
             match &end {
-                AttemptEnd::Whole { held: Some(answer) } => {
+                AttemptOutcome::Completed { held: Some(answer) } => {
                     self.answers.insert(answer.body.clone(), (once.unwrap(), tracked.arrival.digest));
                 }
-                AttemptEnd::Whole { held: None } | AttemptEnd::WholeTooLarge => tracked.finals += 1,
-                AttemptEnd::Lost { passed_on, .. } => {
+                AttemptOutcome::Completed { held: None } | AttemptOutcome::CompletedTooLarge => {
+                    tracked.finals += 1
+                }
+                AttemptOutcome::Lost { passed_on, .. } => {
                     tracked.passed_on |= *passed_on;
                     tracked.started = false;
                 }
@@ -267,7 +269,8 @@
                     "resumes exactly if the caller has a part: {request:?}"
                 );
                 assert!(!self.leaving.contains(&(at, upstream.clone())), "sent to a leaving upstream");
-                let live = self.processes[at].upstreams.get(&upstream).unwrap().standing == Standing::Live;
+                let live =
+                    self.processes[at].upstreams.get(&upstream).unwrap().status == UpstreamStatus::Live;
                 assert!(live, "sent to an upstream that is leaving on the host list");
                 let tracked_attempt =
                     TrackedAttempt { request, upstream: upstream.clone(), run_state: RunState::Running };
@@ -350,10 +353,10 @@
     model(["m", "n"][n])
 }
 
-fn completed(attempt: ProcessLocal<AttemptId>, held: bool) -> AttemptEnd {
+fn completed(attempt: ProcessLocal<AttemptId>, held: bool) -> AttemptOutcome {
     let body = format!("{attempt:?}").into_bytes();
     let answer = RecordedAnswer { status: 200, content_type: None, body };
-    AttemptEnd::Whole { held: held.then_some(answer) }
+    AttemptOutcome::Completed { held: held.then_some(answer) }
 }
 
 proptest! {
