--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -156,8 +156,8 @@
     /// Runs all timers and periodic work that are due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) {
         self.run_housekeeping(cx);
-        for verdict in self.quota.on_tick(cx) {
-            self.on_ruling(cx, verdict);
+        for outcome in self.quota.on_tick(cx) {
+            self.on_credit_decision(cx, outcome);
         }
         for progress in self.once.on_tick(cx) {
             self.on_claim_progress(cx, progress);
@@ -235,8 +235,8 @@
         self.suspects.record_contact(cx.now, from);
         match message {
             PeerMessage::Credit(message) => {
-                if let Some(verdict) = self.quota.on_peer(cx, from, message) {
-                    self.on_ruling(cx, verdict);
+                if let Some(outcome) = self.quota.on_peer(cx, from, message) {
+                    self.on_credit_decision(cx, outcome);
                 }
             }
             PeerMessage::View(view) => self.on_view(cx, view),
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -43,15 +43,15 @@
             Target::Service(_) => None,
         };
         let rules_result = self.apply_rules(cx, &arrival, idle_for);
-        let (deadline, begins_by) = (arrival.deadline, arrival.policy.first_byte_deadline);
+        let (deadline, first_byte_deadline) = (arrival.deadline, arrival.policy.first_byte_deadline);
         let order = rules_result.as_ref().map_or(ServiceOrder::default(), |order| *order);
         let order = ServiceOrder(order.0.saturating_add_signed(arrival.policy.order_offset));
         self.requests.insert(id, Request::new(arrival, order, cx.now));
         self.timers.insert(Due { at: deadline, request: id });
-        self.timers.insert(Due { at: begins_by, request: id });
+        self.timers.insert(Due { at: first_byte_deadline, request: id });
         match rules_result {
             Ok(_) if deadline.is_due(cx.now) => self.refuse_late(cx, id),
-            Ok(_) => self.ask_credit(cx, id),
+            Ok(_) => self.request_credit(cx, id),
             Err(reason) => self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None }),
         }
     }
@@ -66,7 +66,7 @@
         if self.suspects.status(arrival.digest) == SuspectStatus::Convicted {
             return Err(RefusalReason::CrashesUpstreams);
         }
-        let mut facts = RuleInput {
+        let mut input = RuleInput {
             caller: Some(&arrival.caller),
             data_centre: Some(&cx.cfg.data_centre),
             at: Some(cx.at),
@@ -76,12 +76,12 @@
         };
         match &arrival.target {
             Target::Model(target) => {
-                facts.model = Some(&target.model);
-                facts.adapter = target.adapter.as_ref();
+                input.model = Some(&target.model);
+                input.adapter = target.adapter.as_ref();
             }
-            Target::Service(service) => facts.service = Some(service),
+            Target::Service(service) => input.service = Some(service),
         }
-        let outcome = cx.document.rules.decide(&facts).outcome;
+        let outcome = cx.document.rules.decide(&input).outcome;
         outcome.refuse.clone().map_or(Ok(outcome.order), |text| Err(RefusalReason::Rule(text)))
     }
 
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -201,8 +201,8 @@
         }
         self.refuse_convicted(cx);
         self.isolate_suspects(cx);
-        for told in self.suspects.take_notified(cx.now) {
-            self.after_loss(cx, told);
+        for notified in self.suspects.take_notified(cx.now) {
+            self.after_loss(cx, notified);
         }
     }
 
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -13,18 +13,18 @@
 
 impl Serving {
     /// Requests the credit that a request needs before it is admitted.
-    pub(super) fn ask_credit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+    pub(super) fn request_credit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(charge) = request.arrival.charge.clone() else { return self.admit(cx, id) };
         request.set_state(State::AwaitingCredit { not_before: None }, cx.now);
         if let Some(decision) = self.quota.request_credit(cx, id, &charge) {
-            self.on_ruling(cx, CreditOutcome { request: id, decision });
+            self.on_credit_decision(cx, CreditOutcome { request: id, decision });
         }
     }
 
     /// Admits a request whose credit was granted, or refuses it.
-    pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: CreditOutcome) {
-        let CreditOutcome { request: id, decision } = verdict;
+    pub(super) fn on_credit_decision(&mut self, cx: &mut Cx<'_>, outcome: CreditOutcome) {
+        let CreditOutcome { request: id, decision } = outcome;
         let Some(request) = self.requests.get_mut(&id) else { return };
         match decision {
             CreditDecision::Granted { not_before } => {
--- a/crates/skylarkshore-core/src/serving/demand.rs
+++ b/crates/skylarkshore-core/src/serving/demand.rs
@@ -178,15 +178,23 @@
                 continue;
             }
             let count = if asked { waiting.count } else { 0 };
-            let patience = waiting.latest_deadline.remaining(cx.now);
-            if asked && waiting.aim.is_none() && entry.is_assigned_elsewhere(owner) {
+            let max_wait = waiting.latest_deadline.remaining(cx.now);
+            if asked && waiting.soft_deadline.is_none() && entry.is_assigned_elsewhere(owner) {
                 continue;
             }
             // An owner that has taken the target on keeps it; a second load would
             // be wasted.
             let is_open = entry.asked_owners.insert(owner.clone()) || !asked;
-            let aim = waiting.aim.filter(|_| is_open).map(|aim| aim.remaining(cx.now));
-            send_demand(cx, owner, target, DemandMessage { count, order: waiting.order, patience, aim });
+            let soft_deadline = waiting
+                .soft_deadline
+                .filter(|_| is_open)
+                .map(|soft_deadline| soft_deadline.remaining(cx.now));
+            send_demand(
+                cx,
+                owner,
+                target,
+                DemandMessage { count, order: waiting.order, max_wait, soft_deadline },
+            );
         }
     }
 
@@ -202,8 +210,8 @@
             if !entry.usage_sent.after(every).is_due(cx.now) {
                 continue;
             }
-            let worked = waits.take_busy_time(cx.now, &Target::Model(target.clone()));
-            if entry.arrived == 0 && worked == Duration::ZERO {
+            let run_time = waits.take_run_time(cx.now, &Target::Model(target.clone()));
+            if entry.arrived == 0 && run_time == Duration::ZERO {
                 continue;
             }
             entry.usage_sent = cx.now;
@@ -211,7 +219,7 @@
             let late = std::mem::take(&mut entry.late);
             for owner in owners(cx, target, &OrderedSet::new()) {
                 let (target, waited_for) = (target.clone(), entry.waiting_since.is_some());
-                cx.send(&owner, PeerMessage::Used { target, arrived, late, run_time: worked, waited_for });
+                cx.send(&owner, PeerMessage::Used { target, arrived, late, run_time, waited_for });
             }
         }
     }
--- a/crates/skylarkshore-core/src/serving/demand/owners.rs
+++ b/crates/skylarkshore-core/src/serving/demand/owners.rs
@@ -17,8 +17,8 @@
 pub(super) struct DemandMessage {
     pub(super) count: u32,
     pub(super) order: ServiceOrder,
-    pub(super) patience: Duration,
-    pub(super) aim: Option<Duration>,
+    pub(super) max_wait: Duration,
+    pub(super) soft_deadline: Option<Duration>,
 }
 
 /// Sends an owner the demand for a target.
@@ -27,8 +27,8 @@
         target: target.clone(),
         waiting: demand.count,
         order: demand.order,
-        max_wait: demand.patience,
-        soft_deadline: demand.aim,
+        max_wait: demand.max_wait,
+        soft_deadline: demand.soft_deadline,
     };
     cx.send(owner, message);
 }
--- a/crates/skylarkshore-core/src/serving/isolation.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -41,7 +41,7 @@
             self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
             return self.claim_or_send(cx, isolated.request, isolated.upstream, Isolation::Shared);
         };
-        let patience = request.arrival.deadline.remaining(cx.now);
+        let max_wait = request.arrival.deadline.remaining(cx.now);
         if !self.routes.ready_engines(cx, target).contains(&isolated.upstream) {
             self.end_isolation(cx, isolated.request);
             return;
@@ -54,7 +54,7 @@
             .asked_at
             .is_none_or(|asked_at| asked_at.after(RESERVATION_REQUEST_INTERVAL).is_due(cx.now))
         {
-            self.ask_reservation(cx, &isolated.upstream, patience);
+            self.ask_reservation(cx, &isolated.upstream, max_wait);
         }
     }
 
@@ -86,15 +86,12 @@
         }
     }
 
-    fn ask_reservation(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, patience: Duration) {
+    fn ask_reservation(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, max_wait: Duration) {
         if let Some(isolated) = &mut self.suspects.isolated {
             isolated.asked_at = Some(cx.now);
         }
         if let Some(owner) = owner_of(cx, upstream) {
-            cx.send(
-                &owner,
-                PeerMessage::ReservationWanted { upstream: upstream.clone(), max_wait: patience },
-            );
+            cx.send(&owner, PeerMessage::ReservationWanted { upstream: upstream.clone(), max_wait });
         }
     }
 
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -188,10 +188,10 @@
                 {
                     late.extend(claim.waiter.map(|waiter| (*key, waiter)));
                 }
-                ClaimState::Unconfirmed(pending)
-                    if pending.call.is_none() && pending.lookup_at.is_due(cx.now) =>
+                ClaimState::Unconfirmed(recheck)
+                    if recheck.call.is_none() && recheck.lookup_at.is_due(cx.now) =>
                 {
-                    pending.call = Some(read(cx, *key));
+                    recheck.call = Some(read(cx, *key));
                 }
                 _ => {}
             }
@@ -202,7 +202,7 @@
             progress.push(ClaimProgress::Unreachable(waiter));
         }
         self.claims
-            .retain(|_, claim| !matches!(&claim.state, ClaimState::Unconfirmed(pending) if pending.until.is_due(cx.now)));
+            .retain(|_, claim| !matches!(&claim.state, ClaimState::Unconfirmed(recheck) if recheck.until.is_due(cx.now)));
         progress
     }
 
@@ -220,7 +220,7 @@
         }
         let asked = |claim: &Claim| match &claim.state {
             ClaimState::LookingUp { call: asked, .. } => *asked == call,
-            ClaimState::Unconfirmed(pending) => pending.call == Some(call),
+            ClaimState::Unconfirmed(recheck) => recheck.call == Some(call),
             _ => false,
         };
         let key = *self.claims.iter().find(|(_, claim)| asked(claim))?.0;
@@ -353,10 +353,10 @@
     /// Deletes an orphaned claim that was found, or schedules the next check.
     fn on_orphan_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        let ClaimState::Unconfirmed(pending) = &mut claim.state else { return };
-        pending.call = None;
-        pending.pause *= 2;
-        pending.lookup_at = cx.now.after(pending.pause);
+        let ClaimState::Unconfirmed(recheck) = &mut claim.state else { return };
+        recheck.call = None;
+        recheck.pause *= 2;
+        recheck.lookup_at = cx.now.after(recheck.pause);
         let Ok(StoreAnswer::One(found)) = result else { return };
         let Some(Record::Once(record)) = &found.record else { return };
         if !self.is_orphan(cx, key, record) {
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -82,7 +82,7 @@
     classes: OrderedMap<ServiceOrder, PriorityClass>,
     entries: OrderedSet<Urgency>,
     deadlines: OrderedSet<Due>,
-    aims: OrderedSet<Due>,
+    soft_deadlines: OrderedSet<Due>,
     /// Times that the next request has been skipped.
     skips: u32,
 }
@@ -95,13 +95,13 @@
     pub(super) order: ServiceOrder,
     pub(super) latest_deadline: Time,
     /// The earliest future time after which an answer to one of them has reduced value.
-    pub(super) aim: Option<Time>,
+    pub(super) soft_deadline: Option<Time>,
 }
 
 impl WaitingSummary {
     /// Adds requests that aren't in the queue.
     pub(super) fn add(this: &mut Option<Self>, count: u32, order: ServiceOrder, until: Time) {
-        let sum = this.get_or_insert(Self { count: 0, order, latest_deadline: until, aim: None });
+        let sum = this.get_or_insert(Self { count: 0, order, latest_deadline: until, soft_deadline: None });
         sum.count = sum.count.saturating_add(count);
         sum.order = sum.order.min(order);
         sum.latest_deadline = sum.latest_deadline.max(until);
@@ -166,7 +166,7 @@
         queue.classes.entry(urgency.order).or_default().push(caller, urgency.due);
         queue.entries.insert(urgency);
         queue.deadlines.insert(urgency.due);
-        queue.aims.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
+        queue.soft_deadlines.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
         self.callers.entry(caller.clone()).or_default().insert(urgency);
         self.all.insert(urgency);
     }
@@ -223,7 +223,7 @@
             count: u32::try_from(queue.entries.len()).unwrap_or(u32::MAX),
             order: queue.entries.first()?.order,
             latest_deadline: queue.deadlines.last()?.at,
-            aim: queue.aims.iter().map(|due| due.at).find(|at| !at.is_due(now)),
+            soft_deadline: queue.soft_deadlines.iter().map(|due| due.at).find(|at| !at.is_due(now)),
         })
     }
 
@@ -249,7 +249,7 @@
         let Some(queue) = self.by_target.get_mut(target) else { return };
         queue.entries.remove(&urgency);
         queue.deadlines.remove(&urgency.due);
-        queue.aims.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
+        queue.soft_deadlines.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
         if let Some(class) = queue.classes.get_mut(&urgency.order) {
             class.remove(caller, urgency.due, exit);
             if class.callers.is_empty() {
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -104,7 +104,7 @@
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) arrival: Arrival,
-    /// The order of service, from the rules and the request's terms.
+    /// The order of service, from the rules and the request's policy.
     pub(super) order: ServiceOrder,
     pub(super) arrived: Time,
     pub(super) state: State,
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -320,8 +320,8 @@
 
     /// Returns the requests whose notice is acknowledged by all peers or has timed out.
     pub(super) fn take_notified(&mut self, now: Time) -> Vec<RequestId> {
-        let told = |t: &mut PendingNotice| t.unacknowledged.is_empty() || t.until.is_due(now);
-        self.pending_notices.extract_if(.., told).flat_map(|t| t.held).collect()
+        let is_done = |t: &mut PendingNotice| t.unacknowledged.is_empty() || t.until.is_due(now);
+        self.pending_notices.extract_if(.., is_done).flat_map(|t| t.held).collect()
     }
 
     /// Returns the peers whose acknowledgement is awaited.
--- a/crates/skylarkshore-core/src/serving/wait_estimate.rs
+++ b/crates/skylarkshore-core/src/serving/wait_estimate.rs
@@ -13,14 +13,14 @@
 struct TargetStats {
     running: u32,
     /// Accumulated run time of all requests up to `counted_until`, since it was last taken.
-    busy_time: Duration,
+    run_time: Duration,
     counted_until: Time,
     mean: Option<Duration>,
 }
 
 impl TargetStats {
-    fn count_busy_time(&mut self, now: Time) {
-        self.busy_time += now.since(self.counted_until) * self.running;
+    fn count_run_time(&mut self, now: Time) {
+        self.run_time += now.since(self.counted_until) * self.running;
         self.counted_until = now;
     }
 }
@@ -35,14 +35,14 @@
     /// Records that an attempt was sent.
     pub(super) fn record_sent(&mut self, now: Time, target: &Target) {
         let stats = self.targets.entry(target.clone()).or_default();
-        stats.count_busy_time(now);
+        stats.count_run_time(now);
         stats.running += 1;
     }
 
     /// Records that an attempt ended, with its duration if it was answered.
     pub(super) fn record_ended(&mut self, now: Time, target: &Target, took: Option<Duration>) {
         let Some(stats) = self.targets.get_mut(target) else { return };
-        stats.count_busy_time(now);
+        stats.count_run_time(now);
         stats.running = stats.running.saturating_sub(1);
         let Some(took) = took else { return };
         let mean = stats.mean.unwrap_or(took);
@@ -50,10 +50,10 @@
     }
 
     /// Returns the accumulated run time of a target's requests since the previous call.
-    pub(super) fn take_busy_time(&mut self, now: Time, target: &Target) -> Duration {
+    pub(super) fn take_run_time(&mut self, now: Time, target: &Target) -> Duration {
         let Some(stats) = self.targets.get_mut(target) else { return Duration::ZERO };
-        stats.count_busy_time(now);
-        std::mem::take(&mut stats.busy_time)
+        stats.count_run_time(now);
+        std::mem::take(&mut stats.run_time)
     }
 
     /// Estimates how long a request waits for its answer behind `ahead` others.
--- a/crates/skylarkshore-core/tests/serving/crash.rs
+++ b/crates/skylarkshore-core/tests/serving/crash.rs
@@ -75,8 +75,8 @@
     assert_eq!(second.len(), 1);
     p.end(second[0].attempt, DIED);
 
-    let told = p.take_messages(is_suspects);
-    assert!(matches!(told[0].1, PeerMessage::Suspects { alone: true, .. }), "{told:?}");
+    let messages = p.take_messages(is_suspects);
+    assert!(matches!(messages[0].1, PeerMessage::Suspects { alone: true, .. }), "{messages:?}");
     assert_eq!(p.take_refused(), [], "the peers are notified of the conviction first, too");
     p.advance(350);
     let refused = p.take_refused().remove(0).1;
--- a/crates/skylarkshore-core/tests/serving/flow.rs
+++ b/crates/skylarkshore-core/tests/serving/flow.rs
@@ -235,13 +235,13 @@
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
     p.take();
     p.advance(3000);
-    let told = p.take_messages(has_waiting);
-    assert!(told.iter().any(|(owner, _)| *owner == name("b")), "{told:?}");
-    let second = told.iter().filter(|(owner, _)| *owner == name("c"));
-    let without_aim = second
+    let messages = p.take_messages(has_waiting);
+    assert!(messages.iter().any(|(owner, _)| *owner == name("b")), "{messages:?}");
+    let second = messages.iter().filter(|(owner, _)| *owner == name("c"));
+    let without_soft_deadline = second
         .filter(|(_, message)| matches!(message, PeerMessage::Wanted { soft_deadline: None, .. }))
         .count();
-    assert_eq!(without_aim, 0, "{told:?}");
+    assert_eq!(without_soft_deadline, 0, "{messages:?}");
 }
 
 /// The second home's owner loads a model, and callers arrive at other hosts that know of the
@@ -256,10 +256,10 @@
     p.take();
     p.arrive(1, arrival(&p, model("m"), 1));
     p.advance(1000);
-    let told = p.take_messages(has_waiting);
+    let messages = p.take_messages(has_waiting);
     let is_counted = |message: &PeerMessage| matches!(message, PeerMessage::Wanted { waiting: 1, .. });
-    let counted = told.iter().any(|(owner, message)| *owner == name("c") && is_counted(message));
-    assert!(counted, "{told:?}");
+    let counted = messages.iter().any(|(owner, message)| *owner == name("c") && is_counted(message));
+    assert!(counted, "{messages:?}");
 }
 
 /// A model is ready on one engine and is being loaded on another from the weight store, which
@@ -280,6 +280,6 @@
     p.arrive(1, impatient);
     assert_eq!(p.take_refused(), []);
     p.advance(1000);
-    let told = p.take_messages(has_waiting);
-    assert!(told.iter().any(|(owner, _)| *owner == name("b")), "{told:?}");
+    let messages = p.take_messages(has_waiting);
+    assert!(messages.iter().any(|(owner, _)| *owner == name("b")), "{messages:?}");
 }
--- a/crates/skylarkshore-core/tests/serving/random.rs
+++ b/crates/skylarkshore-core/tests/serving/random.rs
@@ -203,7 +203,7 @@
                     self.answers.insert(answer.body.clone(), (once.unwrap(), tracked.arrival.digest));
                 }
                 AttemptOutcome::Completed { held: None } | AttemptOutcome::CompletedTooLarge => {
-                    tracked.finals += 1
+                    tracked.finals += 1;
                 }
                 AttemptOutcome::Lost { passed_on, .. } => {
                     tracked.passed_on |= *passed_on;
--- a/crates/skylarkshore-core/tests/serving/routing.rs
+++ b/crates/skylarkshore-core/tests/serving/routing.rs
@@ -77,8 +77,8 @@
     p.arrive(1, arrival(&p, service("booking"), 1));
     let sent = p.take_sent().remove(0);
     p.end(sent.attempt, AttemptOutcome::Rejected(Rejection::Leaving));
-    let told = p.take_messages(|m| matches!(m, PeerMessage::UpstreamLeaving { .. }));
-    assert_eq!(told.len(), 2);
+    let messages = p.take_messages(|m| matches!(m, PeerMessage::UpstreamLeaving { .. }));
+    assert_eq!(messages.len(), 2);
     let again = p.take_sent().remove(0);
     assert_ne!(again.upstream, sent.upstream);
 }
--- a/crates/skylarkshore-core/tests/support/serving.rs
+++ b/crates/skylarkshore-core/tests/support/serving.rs
@@ -327,12 +327,13 @@
 
     /// Takes the messages of one kind, with their receivers.
     pub fn take_messages(&mut self, kind: impl Fn(&PeerMessage) -> bool) -> Vec<(HostId, PeerMessage)> {
-        let told = self.effects.extract_if(.., |e| matches!(e, Effect::Peer(e) if kind(&e.message)));
-        told.filter_map(|e| match e {
-            Effect::Peer(envelope) => Some((envelope.to, envelope.message)),
-            _ => None,
-        })
-        .collect()
+        let messages = self.effects.extract_if(.., |e| matches!(e, Effect::Peer(e) if kind(&e.message)));
+        messages
+            .filter_map(|e| match e {
+                Effect::Peer(envelope) => Some((envelope.to, envelope.message)),
+                _ => None,
+            })
+            .collect()
     }
 }
 
