--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -303,18 +303,18 @@
             return self.refuse_late(cx, id);
         }
         let suspect = self.suspects.status(request.arrival.digest);
-        let goes_on = match suspect {
+        let can_proceed = match suspect {
             SuspectStatus::Unsuspected => self.routes.can_take(cx, &request.arrival.target, &run),
             SuspectStatus::Suspect => {
-                let kept = self.suspects.isolated.as_ref().is_some_and(|run| run.request == id);
-                kept && self.routes.can_take_isolated(cx, &request.arrival.target, &run)
+                let still_held = self.suspects.isolated.as_ref().is_some_and(|run| run.request == id);
+                still_held && self.routes.can_take_isolated(cx, &request.arrival.target, &run)
             }
             SuspectStatus::Convicted => {
                 let reason = RefusalReason::CrashesUpstreams;
                 return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
             }
         };
-        if goes_on {
+        if can_proceed {
             return self.send_or_refuse(cx, id, Disposition::Send { upstream: run, isolation });
         }
         self.routes.free(&run);
@@ -324,8 +324,8 @@
 
     fn on_used(&mut self, cx: &mut Cx<'_>, id: RequestId, found: OnceRecord) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some(occupied_upstream) = request.occupied_upstream() {
-            self.routes.free(&occupied_upstream.clone());
+        if let Some(upstream) = request.occupied_upstream() {
+            self.routes.free(&upstream.clone());
             request.set_state(State::LookingUp, cx.now);
         }
         if found.request != request.arrival.digest {
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -229,13 +229,13 @@
                 if lost { RefusalReason::DeadlinePassedRunning } else { RefusalReason::DeadlinePassed };
             return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
-        let may = request.caller == Caller::Waiting
+        let may_retry = request.caller == Caller::Waiting
             && request.may_be_sent()
             && (!request.passed_on || request.can_resume())
             && request.failures < cx.cfg.limits.attempts
             && request.runs < request.arrival.policy.max_runs
             && (cost == RetryCost::Free || self.budget.try_spend(cx.now, &destination));
-        if may {
+        if may_retry {
             self.counters.retries += 1;
             return self.push_to_queue(cx, id);
         }
--- a/crates/skylarkshore-core/src/serving/isolation.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -112,9 +112,9 @@
     /// The message that returned it may have been lost; the engine would be idle until the
     /// reservation expires.
     pub(super) fn return_stray_reservation(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
-        let here = view.reserved_for.as_ref() == Some(&cx.cfg.host);
+        let reserved_here = view.reserved_for.as_ref() == Some(&cx.cfg.host);
         let needed = self.suspects.isolated.as_ref().is_some_and(|run| run.upstream == view.upstream);
-        if !here || needed {
+        if !reserved_here || needed {
             return;
         }
         if let Some(owner) = owner_of(cx, &view.upstream) {
--- a/crates/skylarkshore-core/src/serving/others_load.rs
+++ b/crates/skylarkshore-core/src/serving/others_load.rs
@@ -63,8 +63,8 @@
     /// requests.
     pub(super) fn decayed(self, now: Time) -> MilliRequests {
         let age = now.since(self.at).min(FULL_TTL);
-        let decayed = FULL_TTL.saturating_sub(age).as_millis();
-        let mean = u128::from(self.mean.0) * decayed / FULL_TTL.as_millis();
+        let remaining = FULL_TTL.saturating_sub(age).as_millis();
+        let mean = u128::from(self.mean.0) * remaining / FULL_TTL.as_millis();
         MilliRequests(u64::try_from(mean).unwrap_or(self.mean.0))
     }
 
--- a/crates/skylarkshore-core/src/serving/published_views.rs
+++ b/crates/skylarkshore-core/src/serving/published_views.rs
@@ -67,8 +67,8 @@
         if incarnation != listed.incarnation {
             return incarnation > listed.incarnation;
         }
-        let is_owners = self.view.version != ViewVersion::default();
-        is_owners && (!self.received.after(LISTING_DELAY).is_due(cx.now) || self.agrees_with(listed))
+        let from_owner = self.view.version != ViewVersion::default();
+        from_owner && (!self.received.after(LISTING_DELAY).is_due(cx.now) || self.agrees_with(listed))
     }
 
     /// Reports whether the host list names exactly the models that are ready in the view.
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -95,9 +95,9 @@
     pub(super) fn refuse_unservable(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Some(shortage) = self.shortage(cx, target) else { return };
         for id in self.waiting_for(target) {
-            let late =
+            let too_late =
                 self.requests.get(&id).is_some_and(|r| r.queue_deadline() <= shortage.unservable_until);
-            if late {
+            if too_late {
                 self.expect_retry(cx.now, id, shortage.retry_after);
                 let reason = shortage.reason.clone();
                 self.send_or_refuse(
