--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -1,25 +1,27 @@
-//! The requests in progress at this process, from arrival to their one final answer.
+//! Requests in progress at this process, from arrival to their single final answer.
+//!
+//! Open [`Serving`] first: it owns the request table and dispatches events to the submodules.
 
-mod alone;
 mod arrival;
 mod attempt;
 mod budget;
+mod counters;
 mod credit;
-mod decide;
+mod demand;
+mod disposition;
+mod expected_retries;
+mod isolation;
 mod lease;
-mod load;
 mod once;
-mod pace;
+mod others_load;
+mod published_views;
 mod queue;
-mod report;
 mod request;
-mod returning;
 mod routing;
+mod state_dump;
 mod supply;
 mod suspect;
-mod tally;
-mod views;
-mod wanted;
+mod wait_estimate;
 
 use std::time::Duration;
 
@@ -36,18 +38,18 @@
 use crate::time::Time;
 
 use budget::RetryBudget;
-use decide::Step;
+use counters::RequestCounters;
+use demand::Demand;
+use disposition::Disposition;
 use once::Once;
-use pace::Paces;
 use queue::Queue;
-use request::{Caller, Due, Past, Request, State};
+use request::{Caller, Due, Request, RunHistory, State};
 use routing::Routes;
 use suspect::Suspects;
-use tally::Tally;
-use wanted::Wants;
+use wait_estimate::WaitEstimator;
 
-/// How often what is remembered is looked through.
-const HOUSEKEEPING_EVERY: Duration = Duration::from_secs(1);
+/// Interval between scans of everything that is remembered.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The requests, queues and routes of one process.
 #[derive(Debug)]
@@ -57,20 +59,21 @@
     timers: OrderedSet<Due>,
     queue: Queue,
     routes: Routes,
-    wants: Wants,
+    demand: Demand,
     once: Once,
     suspects: Suspects,
     budget: RetryBudget,
-    paces: Paces,
+    waits: WaitEstimator,
     quota: Quota,
-    tally: Tally,
-    house_due: Time,
-    /// Callers have been sent elsewhere, and nothing more may wait.
+    counters: RequestCounters,
+    housekeeping_due: Time,
+    /// Whether callers have been redirected to other hosts, so that no request may wait any
+    /// longer.
     is_closed: bool,
 }
 
 impl Serving {
-    /// Makes the state of a process without requests.
+    /// Creates the state of a process without requests.
     pub fn new(cfg: &NodeConfig) -> Self {
         Self {
             requests: OrderedMap::new(),
@@ -78,43 +81,43 @@
             timers: OrderedSet::new(),
             queue: Queue::default(),
             routes: Routes::default(),
-            wants: Wants::default(),
+            demand: Demand::default(),
             once: Once::default(),
             suspects: Suspects::new(cfg.limits.suspects),
             budget: RetryBudget::new(cfg.limits.retries),
-            paces: Paces::default(),
+            waits: WaitEstimator::default(),
             quota: Quota::new(),
-            tally: Tally::default(),
-            house_due: Time::START,
+            counters: RequestCounters::default(),
+            housekeeping_due: Time::START,
             is_closed: false,
         }
     }
 
-    /// Takes a caller's request.
+    /// Admits, queues or refuses a caller's request.
     pub fn on_arrived(&mut self, cx: &mut Cx<'_>, request: RequestId, arrival: Arrival) {
         self.arrive(cx, request, arrival);
     }
 
-    /// Takes note that the caller went away.
+    /// Records that the caller disconnected.
     ///
-    /// A request that may not be repeated runs on once it was sent, since its
-    /// caller will ask for the answer with the same key.
+    /// A request that may run only once continues after it was sent, because its caller
+    /// will ask for the answer with the same key.
     pub fn on_caller_gone(&mut self, cx: &mut Cx<'_>, request: RequestId) {
         let Some(gone) = self.requests.get_mut(&request) else { return };
         gone.caller = Caller::Gone;
         let runs_for_record = gone.once_key().is_some()
             && (gone.run().is_some() || matches!(gone.state, State::Recording { .. }));
         if !runs_for_record {
-            let step = Step::Refuse { reason: RefusalReason::CallerGone, retry_after: None };
-            self.advance(cx, request, step);
-            self.pump(cx);
+            let disposition = Disposition::Refuse { reason: RefusalReason::CallerGone, retry_after: None };
+            self.send_or_refuse(cx, request, disposition);
+            self.dispatch_waiting(cx);
         }
     }
 
-    /// Takes note that an answer has begun.
+    /// Records that an answer has begun.
     pub fn on_answer_started(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let Some(id) = self.attempts.get(&attempt) else {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -125,23 +128,23 @@
             if let Target::Model(target) = &request.arrival.target
                 && by_engine
             {
-                self.wants.count_late(target);
+                self.demand.count_late(target);
             }
-            request.enter(State::Answering(run), cx.now);
+            request.set_state(State::Answering(run), cx.now);
         }
     }
 
-    /// Takes note of how much an upstream told that it had to do.
+    /// Records the load that an upstream reported with an answer.
     pub fn on_load_reported(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, load: ReportedLoad) {
-        self.routes.note_load(cx.now, upstream, load);
+        self.routes.record_load(cx.now, upstream, load);
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub fn on_attempt_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
         let upstream = self.upstream_of(attempt);
         self.end_attempt(cx, attempt, end);
         if let Some(upstream) = upstream {
-            self.pump_at(cx, &upstream);
+            self.dispatch_for_upstream(cx, &upstream);
         }
     }
 
@@ -150,14 +153,14 @@
         request.run().map(|run| run.upstream.clone())
     }
 
-    /// Does what is due.
+    /// Runs all timers and periodic work that are due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        self.keep_house(cx);
-        for verdict in self.quota.on_tick(cx) {
-            self.on_ruling(cx, verdict);
+        self.run_housekeeping(cx);
+        for outcome in self.quota.on_tick(cx) {
+            self.on_credit_decision(cx, outcome);
         }
-        for learnt in self.once.on_tick(cx) {
-            self.on_learnt(cx, learnt);
+        for progress in self.once.on_tick(cx) {
+            self.on_claim_progress(cx, progress);
         }
         for id in self.suspects.on_tick(cx) {
             self.after_loss(cx, id);
@@ -166,74 +169,74 @@
             self.timers.remove(&due);
             self.on_due(cx, due.request);
         }
-        self.wants.forget_silence(&self.waiting_models(cx));
-        self.review_all(cx);
-        self.pump(cx);
+        self.demand.clear_waiting_times(&self.waiting_models(cx));
+        self.refuse_all_unservable(cx);
+        self.dispatch_waiting(cx);
         if self.is_closed {
             self.refuse_waiting(cx);
         }
     }
 
-    /// Does what needn't be done at every tick, since it looks at all that is remembered.
-    fn keep_house(&mut self, cx: &mut Cx<'_>) {
-        if !self.house_due.is_due(cx.now) {
+    /// Runs the work that scans all remembered state and is too expensive for every tick.
+    fn run_housekeeping(&mut self, cx: &mut Cx<'_>) {
+        if !self.housekeeping_due.is_due(cx.now) {
             return;
         }
-        self.house_due = cx.now.after(HOUSEKEEPING_EVERY);
-        self.routes.forget_old(cx.now);
-        self.routes.review_listed(cx);
-        self.once.forget_old(cx.now);
-        self.suspects.forget_old(cx);
-        self.wants.renew(cx, &mut self.paces);
-        self.budget.note_hosts(cx.now, cx.cache.members().count());
+        self.housekeeping_due = cx.now.after(HOUSEKEEPING_INTERVAL);
+        self.routes.remove_expired(cx.now);
+        self.routes.reapply_host_list(cx);
+        self.once.remove_expired(cx.now);
+        self.suspects.remove_expired(cx);
+        self.demand.send_usage(cx, &mut self.waits);
+        self.budget.record_host_count(cx.now, cx.cache.members().count());
     }
 
-    /// Takes note that upstreams of the host list have changed.
+    /// Handles changes to upstreams on the host list.
     pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
         self.routes.on_host_list(cx, touched);
         self.suspects.on_host_list(cx);
         self.refuse_convicted(cx);
-        self.review_all(cx);
-        self.pump(cx);
+        self.refuse_all_unservable(cx);
+        self.dispatch_waiting(cx);
     }
 
-    /// Takes note that a shared key has changed in the cache.
+    /// Handles a change of a shared key in the cache.
     pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         match key {
             Key::Document | Key::Catalogue => {
                 self.refuse_withdrawn(cx);
-                self.routes.review_listed(cx);
-                self.pump(cx);
+                self.routes.reapply_host_list(cx);
+                self.dispatch_waiting(cx);
             }
-            Key::Owner(_) | Key::Homes(_) => self.ask_again(cx, key),
+            Key::Owner(_) | Key::Homes(_) => self.ask_new_owners(cx, key),
             Key::Member(_) | Key::Power(_) | Key::Once(_) => {}
         }
     }
 
-    /// Takes the result of a call that isn't a write.
+    /// Handles the result of a store call that isn't a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
-        if let Some(learnt) = self.once.on_store(cx, call, result) {
-            self.on_learnt(cx, learnt);
-            self.pump(cx);
+        if let Some(progress) = self.once.on_store(cx, call, result) {
+            self.on_claim_progress(cx, progress);
+            self.dispatch_waiting(cx);
         }
     }
 
-    /// Takes the outcome of a write of a [`Key::Once`].
+    /// Handles the outcome of a write to a [`Key::Once`].
     pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         let Key::Once(key) = key else { return };
-        if let Some(learnt) = self.once.on_write(cx, *key, outcome) {
-            self.on_learnt(cx, learnt);
-            self.pump(cx);
+        if let Some(progress) = self.once.on_write(cx, *key, outcome) {
+            self.on_claim_progress(cx, progress);
+            self.dispatch_waiting(cx);
         }
     }
 
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer's message if it concerns requests.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
-        self.suspects.heard_from(cx.now, from);
+        self.suspects.record_contact(cx.now, from);
         match message {
             PeerMessage::Credit(message) => {
-                if let Some(verdict) = self.quota.on_peer(cx, from, message) {
-                    self.on_ruling(cx, verdict);
+                if let Some(outcome) = self.quota.on_peer(cx, from, message) {
+                    self.on_credit_decision(cx, outcome);
                 }
             }
             PeerMessage::View(view) => self.on_view(cx, view),
@@ -244,53 +247,54 @@
                 self.on_suspects(cx, from, upstream, *incarnation, requests, *alone);
             }
             PeerMessage::SuspectsNoted { requests } => {
-                for id in self.suspects.on_noted(from, requests) {
+                for id in self.suspects.on_acknowledged(from, requests) {
                     self.after_loss(cx, id);
                 }
-                self.pump(cx);
+                self.dispatch_waiting(cx);
             }
             PeerMessage::Cleared { request } if self.suspects.clear(*request) => {
                 self.requeue_cleared(cx, *request);
             }
             PeerMessage::UpstreamLeaving { upstream } => {
-                self.routes.note_leaving(cx.now, upstream);
+                self.routes.record_leaving(cx.now, upstream);
             }
             _ => {}
         }
     }
 
-    /// Takes note that the process is about to end; requests in progress go on.
+    /// Begins shutdown; requests in progress continue.
     ///
-    /// New ones are still taken, since callers keep the answer to the question
-    /// which hosts to use for a while.
+    /// New requests are still accepted, because callers cache the list of hosts for a
+    /// while.
     pub fn on_shutdown(&mut self, cx: &mut Cx<'_>) {
         self.quota.on_shutdown(cx);
-        cx.log_event("serving_drains", self.requests.len(), "requests in progress go on to their end");
+        cx.log_event("serving_drains", self.requests.len(), "requests in progress will be completed");
     }
 
-    /// Takes note that callers have been sent elsewhere and the process ends soon.
+    /// Refuses all waiting requests once callers have been redirected and the process ends
+    /// soon.
     ///
-    /// A request that still waits, for a load perhaps, may wait for longer than
-    /// the process is given; its caller would see the connection break and could
-    /// not tell whether it had run. Refused now, it is served by another host.
+    /// A waiting request, for example one that waits for a load, may outlast the process.
+    /// Its caller would see a broken connection and could not tell whether the request had
+    /// run. If it is refused now, another host serves it.
     pub fn on_intake_closed(&mut self, cx: &mut Cx<'_>) {
         self.is_closed = true;
         self.refuse_waiting(cx);
     }
 
-    /// Tells whether no request is in progress.
+    /// Reports whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.once.is_idle()
     }
 
-    /// Tells what is believed.
+    /// Returns the entries for the state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
         self.dump_entries(cx)
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self, _cx: &Cx<'_>) -> Vec<Gauge> {
-        self.numbers()
+        self.collect_gauges()
     }
 
     fn on_due(&mut self, cx: &mut Cx<'_>, id: RequestId) {
@@ -298,18 +302,19 @@
         let passed = request.arrival.deadline.is_due(cx.now);
         match request.state.clone() {
             State::Recording { until, answer } if passed || until.is_due(cx.now) => {
-                self.answer(cx, id, answer);
+                self.finish_with_answer(cx, id, answer);
             }
             State::Releasing { until, refusal } if passed || until.is_due(cx.now) => {
-                self.conclude(cx, id, refusal);
+                self.finish_refused(cx, id, refusal);
             }
-            // The peers hear of a suspect before its caller does; that takes but a moment.
-            State::Recording { .. } | State::Releasing { .. } | State::TellingPeers => {}
+            // The caller is answered only after the peers are notified, which has
+            // its own short time-out.
+            State::Recording { .. } | State::Releasing { .. } | State::NotifyingPeers => {}
             _ if passed => self.refuse_late(cx, id),
             State::AwaitingCredit { not_before: Some(not_before) } => {
                 self.on_credit_due(cx, id, not_before);
             }
-            State::Queued | State::QueuedAlone if request.waits_until().is_due(cx.now) => {
+            State::Queued | State::QueuedForIsolation if request.queue_deadline().is_due(cx.now) => {
                 self.refuse_late(cx, id);
             }
             _ => {}
@@ -321,21 +326,21 @@
         let Some(request) = self.requests.get(&id) else { return };
         let reason = if request.run().is_some() {
             RefusalReason::DeadlinePassedRunning
-        } else if request.past == Past::Clean {
+        } else if request.history == RunHistory::NeverRan {
             RefusalReason::DeadlinePassed
         } else {
             RefusalReason::UpstreamLost
         };
-        self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
     }
 
-    /// Removes a request and whatever it holds.
-    fn forget(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
+    /// Removes a request and releases everything it holds.
+    fn remove_request(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.timers.remove(&Due { at: request.arrival.deadline, request: id });
         self.timers.remove(&Due { at: request.arrival.policy.first_byte_deadline, request: id });
         self.suspects.waiting.remove(&queue::Urgency::of(id, &request));
-        self.end_alone(cx, id);
+        self.end_isolation(cx, id);
         self.settle_credit(cx, id, &request);
         Some(request)
     }
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -1,4 +1,4 @@
-//! How requests come in, wait and get their turn.
+//! Admission and queueing of requests, and their dispatch to upstreams.
 
 use std::time::Duration;
 
@@ -9,64 +9,64 @@
 use crate::rules::{RuleInput, ServiceOrder};
 use crate::serving::Serving;
 use crate::serving::budget::Destination;
-use crate::serving::decide::Step;
-use crate::serving::once::{Here, Learnt};
+use crate::serving::disposition::Disposition;
+use crate::serving::once::{ClaimProgress, LocalUse};
 use crate::serving::queue::{Overflow, Urgency};
-use crate::serving::request::{Company, Due, Past, Request, State};
-use crate::serving::routing::{Prospect, Wish};
-use crate::serving::suspect::Standing;
+use crate::serving::request::{Due, Isolation, Request, RunHistory, State};
+use crate::serving::routing::{Availability, RouteQuery};
+use crate::serving::suspect::SuspectStatus;
 use crate::store::{OnceRecord, OnceState};
 
-/// How much longer than estimated a wait may be.
+/// Factor by which an estimated wait may be exceeded.
 ///
-/// Requests that are let in up to the last moment are answered around their
-/// deadline, many of them just after it, and the work on those is lost.
-const ESTIMATE_MARGIN: f64 = 1.5;
-/// When to come back after the queue was full.
-const QUEUE_RETRY: Duration = Duration::from_secs(1);
-/// When to ask again for the answer of a request in progress.
-const PROGRESS_RETRY: Duration = Duration::from_secs(1);
-/// When to come back after the key-value service couldn't be reached.
-const STORE_RETRY: Duration = Duration::from_secs(2);
+/// Without a margin, requests are admitted whose answers come around their deadline, many of
+/// them just after it, and the work on those is wasted.
+const WAIT_ESTIMATE_MARGIN: f64 = 1.5;
+/// Retry delay when the queue is full.
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay for the answer of a request in progress.
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay when the key-value service can't be reached.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Serving {
-    /// Takes a request in.
+    /// Registers a request and admits or refuses it.
     pub(super) fn arrive(&mut self, cx: &mut Cx<'_>, id: RequestId, arrival: Arrival) {
         if self.requests.contains_key(&id) {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         }
-        self.tally.arrived += 1;
-        self.budget.earn(cx.now, &destination(cx, &arrival.target));
+        self.counters.arrived += 1;
+        self.budget.record_request(cx.now, &destination(cx, &arrival.target));
         let idle_for = match &arrival.target {
-            Target::Model(target) => self.wants.count_arrival(cx.now, target),
+            Target::Model(target) => self.demand.count_arrival(cx.now, target),
             Target::Service(_) => None,
         };
-        let verdict = self.judge(cx, &arrival, idle_for);
-        let (deadline, begins_by) = (arrival.deadline, arrival.policy.first_byte_deadline);
-        let order = verdict.as_ref().map_or(ServiceOrder::default(), |order| *order);
+        let rules_result = self.apply_rules(cx, &arrival, idle_for);
+        let (deadline, first_byte_deadline) = (arrival.deadline, arrival.policy.first_byte_deadline);
+        let order = rules_result.as_ref().map_or(ServiceOrder::default(), |order| *order);
         let order = ServiceOrder(order.0.saturating_add_signed(arrival.policy.order_offset));
         self.requests.insert(id, Request::new(arrival, order, cx.now));
         self.timers.insert(Due { at: deadline, request: id });
-        self.timers.insert(Due { at: begins_by, request: id });
-        match verdict {
+        self.timers.insert(Due { at: first_byte_deadline, request: id });
+        match rules_result {
             Ok(_) if deadline.is_due(cx.now) => self.refuse_late(cx, id),
-            Ok(_) => self.ask_credit(cx, id),
-            Err(reason) => self.advance(cx, id, Step::Refuse { reason, retry_after: None }),
+            Ok(_) => self.request_credit(cx, id),
+            Err(reason) => self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None }),
         }
     }
 
-    /// Finds the order of service for a request, or why it is refused.
-    fn judge(
+    /// Returns the order of service for a request, or why the rules refuse it.
+    fn apply_rules(
         &self,
         cx: &Cx<'_>,
         arrival: &Arrival,
         idle_for: Option<Duration>,
     ) -> Result<ServiceOrder, RefusalReason> {
-        if self.suspects.standing(arrival.digest) == Standing::Convicted {
+        if self.suspects.status(arrival.digest) == SuspectStatus::Convicted {
             return Err(RefusalReason::CrashesUpstreams);
         }
-        let mut facts = RuleInput {
+        let mut input = RuleInput {
             caller: Some(&arrival.caller),
             data_centre: Some(&cx.cfg.data_centre),
             at: Some(cx.at),
@@ -76,201 +76,221 @@
         };
         match &arrival.target {
             Target::Model(target) => {
-                facts.model = Some(&target.model);
-                facts.adapter = target.adapter.as_ref();
+                input.model = Some(&target.model);
+                input.adapter = target.adapter.as_ref();
             }
-            Target::Service(service) => facts.service = Some(service),
+            Target::Service(service) => input.service = Some(service),
         }
-        let outcome = cx.document.rules.decide(&facts).outcome;
-        outcome.refuse.clone().map_or(Ok(outcome.order), |words| Err(RefusalReason::Rule(words)))
+        let outcome = cx.document.rules.decide(&input).outcome;
+        outcome.refuse.clone().map_or(Ok(outcome.order), |text| Err(RefusalReason::Rule(text)))
     }
 
-    /// Takes in a request that no rule and no limit refuses.
+    /// Queues a request that no rule and no limit refuses, after checking its idempotency
+    /// key.
     pub(super) fn admit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(key) = request.once_key() else { return self.enqueue(cx, id) };
         let digest = request.arrival.digest;
-        match self.once.here(key, digest) {
-            Here::Unknown => {}
-            Here::SameRequest => {
-                request.past = Past::Elsewhere;
-                let step =
-                    Step::Refuse { reason: RefusalReason::KeyInProgress, retry_after: Some(PROGRESS_RETRY) };
-                return self.advance(cx, id, step);
+        match self.once.local_use(key, digest) {
+            LocalUse::Unknown => {}
+            LocalUse::SameRequest => {
+                request.history = RunHistory::MayHaveRunElsewhere;
+                let disposition = Disposition::Refuse {
+                    reason: RefusalReason::KeyInProgress,
+                    retry_after: Some(IN_PROGRESS_RETRY_AFTER),
+                };
+                return self.send_or_refuse(cx, id, disposition);
             }
-            Here::OtherRequest => {
-                let step = Step::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-                return self.advance(cx, id, step);
+            LocalUse::OtherRequest => {
+                let disposition =
+                    Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
+                return self.send_or_refuse(cx, id, disposition);
             }
         }
-        self.once.begin(key, digest, id);
-        if self.is_next(cx, id) {
+        self.once.register(key, digest, id);
+        if self.would_dispatch_now(cx, id) {
             return self.enqueue(cx, id);
         }
-        // It has to wait. If its key was used before, it needn't, and must not
-        // be refused as not run later on.
+        // The request has to wait. If its key was used before, it needn't, and it must
+        // not be refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
-            request.enter(State::LookingUp, cx.now);
-            self.once.look_up(cx, key);
+            request.set_state(State::LookingUp, cx.now);
+            self.once.start_lookup(cx, key);
         }
     }
 
-    /// Tells whether a request would be started at once.
-    fn is_next(&self, cx: &mut Cx<'_>, id: RequestId) -> bool {
+    /// Reports whether a request would be dispatched immediately.
+    fn would_dispatch_now(&self, cx: &mut Cx<'_>, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        self.queue.len_of(&request.arrival.target) == 0 && self.routes.choose(cx, wish(request)).is_some()
+        self.queue.len_of(&request.arrival.target) == 0
+            && self.routes.choose(cx, route_query(request)).is_some()
     }
 
-    /// Queues a request, unless there is no room or no prospect for it.
+    /// Queues a request, unless the queue is full or the wait would be too long.
     pub(super) fn enqueue(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let urgency = Urgency::of(id, request);
         match self.queue.overflow(&cx.cfg.limits, &request.arrival.caller, urgency) {
             None => {}
-            Some(Overflow::Itself) => return self.refuse_for_room(cx, id),
-            Some(Overflow::Shed(other)) => self.refuse_for_room(cx, other),
+            Some(Overflow::Rejected) => return self.refuse_queue_full(cx, id),
+            Some(Overflow::Shed(other)) => self.refuse_queue_full(cx, other),
         }
-        if let Some(wait) = self.too_long(cx, id) {
-            let step = Step::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(wait) };
-            return self.advance(cx, id, step);
+        if let Some(wait) = self.wait_past_deadline(cx, id) {
+            let disposition =
+                Disposition::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(wait) };
+            return self.send_or_refuse(cx, id, disposition);
         }
-        self.wait(cx, id);
+        self.push_to_queue(cx, id);
     }
 
-    /// Returns how long a request would have to wait, if that is past its deadline.
-    fn too_long(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
+    /// Returns the estimated wait if it exceeds the request's deadline.
+    fn wait_past_deadline(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
         let request = self.requests.get(&id)?;
         let target = &request.arrival.target;
         let ahead = self.queue.ahead_of(target, Urgency::of(id, request));
         if ahead == 0 {
             return None;
         }
-        let wait = self.paces.estimate(target, ahead)?;
-        let at_worst = wait.mul_f64(ESTIMATE_MARGIN);
-        (cx.now.after(at_worst) > request.waits_until()).then_some(wait)
+        let wait = self.waits.estimate(target, ahead)?;
+        let at_worst = wait.mul_f64(WAIT_ESTIMATE_MARGIN);
+        (cx.now.after(at_worst) > request.queue_deadline()).then_some(wait)
     }
 
-    /// Queues a request that was let in before.
-    pub(super) fn wait(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+    /// Queues a request that has passed admission.
+    pub(super) fn push_to_queue(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let target = request.arrival.target.clone();
-        if self.suspects.standing(request.arrival.digest) == Standing::Suspect {
-            request.enter(State::QueuedAlone, cx.now);
+        if self.suspects.status(request.arrival.digest) == SuspectStatus::Suspect {
+            request.set_state(State::QueuedForIsolation, cx.now);
             self.suspects.waiting.insert(Urgency::of(id, request));
         } else {
-            request.enter(State::Queued, cx.now);
+            request.set_state(State::Queued, cx.now);
             self.queue.push(id, request);
         }
-        if self.routes.prospect(cx, &target) != Prospect::Ready {
-            let prospect = self.routes.prospect(cx, &target);
+        if self.routes.availability(cx, &target) != Availability::Ready {
+            let availability = self.routes.availability(cx, &target);
             cx.log_decision(
                 id,
                 "request_waits",
-                format!("for {} supply={}", target, prospect.describe(cx.now)),
+                format!("for {} supply={}", target, availability.describe(cx.now)),
             );
         }
-        self.review(cx, &target);
-        self.pump_target(cx, &target);
-        self.pump_alone(cx);
+        self.refuse_unservable(cx, &target);
+        self.dispatch_target(cx, &target);
+        self.dispatch_suspects(cx);
     }
 
-    fn refuse_for_room(&mut self, cx: &mut Cx<'_>, id: RequestId) {
-        let step = Step::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(QUEUE_RETRY) };
-        self.advance(cx, id, step);
+    fn refuse_queue_full(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+        let disposition = Disposition::Refuse {
+            reason: RefusalReason::QueueFull,
+            retry_after: Some(QUEUE_FULL_RETRY_AFTER),
+        };
+        self.send_or_refuse(cx, id, disposition);
     }
 
-    /// Gives every waiting request its turn for which there is room.
-    pub(super) fn pump(&mut self, cx: &mut Cx<'_>) {
+    /// Dispatches waiting requests to all upstreams with room.
+    pub(super) fn dispatch_waiting(&mut self, cx: &mut Cx<'_>) {
         for target in self.queue.targets() {
-            self.pump_target(cx, &target);
+            self.dispatch_target(cx, &target);
         }
-        self.pump_alone(cx);
-        // A suspect's model goes with the engine that died. Were only the queue's
-        // targets asked for, nobody would load it again, and the suspect would wait
-        // until its time-out although it may be innocent.
-        for target in self.alone_targets() {
-            self.ask_for(cx, &target);
+        self.dispatch_suspects(cx);
+        // A suspect's model is lost with the engine that died. If only the queue's
+        // targets were requested, nobody would load it again, and the suspect would
+        // wait until its time-out although it may be innocent.
+        for target in self.suspect_targets() {
+            self.ask_owners_for(cx, &target);
         }
-        for target in self.returning_targets(cx) {
-            self.ask_for(cx, &target);
+        for target in self.targets_expecting_retries(cx) {
+            self.ask_owners_for(cx, &target);
         }
     }
 
-    /// Sends the waiting requests that a change at one upstream concerns.
+    /// Dispatches the waiting requests that a change at one upstream affects.
     ///
-    /// Looking at every target at each message or end of a request took a tenth of
-    /// a core when a hundred models were asked for at once; the tick looks at all.
-    pub(super) fn pump_at(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
+    /// Checking every target at each message and each end of a request took a tenth of a
+    /// core with a hundred models in demand; the tick checks all of them.
+    pub(super) fn dispatch_for_upstream(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         for target in self.queue.targets() {
-            if self.routes.concerns(cx, upstream, &target) {
-                self.pump_target(cx, &target);
+            if self.routes.may_run(cx, upstream, &target) {
+                self.dispatch_target(cx, &target);
             }
         }
-        self.pump_alone(cx);
+        self.dispatch_suspects(cx);
     }
 
-    fn pump_target(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    fn dispatch_target(&mut self, cx: &mut Cx<'_>, target: &Target) {
         while let Some(id) = self.queue.first(target) {
             let Some(request) = self.requests.get(&id) else { break };
-            let Some(upstream) = self.routes.choose(cx, wish(request)) else { break };
+            let Some(upstream) = self.routes.choose(cx, route_query(request)) else { break };
             let id = self.best_fit(cx, id, &upstream);
             let Some(request) = self.requests.get(&id) else { break };
             self.queue.take(id, request);
-            self.start(cx, id, upstream, Company::Others);
+            self.claim_or_send(cx, id, upstream, Isolation::Shared);
         }
-        self.ask_for(cx, target);
+        self.ask_owners_for(cx, target);
     }
 
-    /// Finds among the next requests one whose prompt's beginning the free upstream probably knows.
+    /// Returns one of the next requests whose prompt prefix the upstream probably has
+    /// cached, or the first.
     fn best_fit(&self, cx: &Cx<'_>, first: RequestId, upstream: &UpstreamId) -> RequestId {
         let Some(request) = self.requests.get(&first) else { return first };
-        if request.arrival.prefix.is_none() || self.prefers(cx, first, upstream) {
+        if request.arrival.prefix.is_none() || self.is_preferred(cx, first, upstream) {
             return first;
         }
-        let others = self.queue.may_go_first(&request.arrival.target);
-        others.into_iter().find(|id| self.prefers(cx, *id, upstream)).unwrap_or(first)
+        let others = self.queue.lookahead(&request.arrival.target);
+        others.into_iter().find(|id| self.is_preferred(cx, *id, upstream)).unwrap_or(first)
     }
 
-    fn prefers(&self, cx: &Cx<'_>, id: RequestId, upstream: &UpstreamId) -> bool {
+    fn is_preferred(&self, cx: &Cx<'_>, id: RequestId, upstream: &UpstreamId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let untried = !request.tried.contains(upstream);
-        untried && self.routes.preferred(cx, wish(request)).as_ref() == Some(upstream)
+        untried && self.routes.preferred(cx, route_query(request)).as_ref() == Some(upstream)
     }
 
-    /// Sends a request, after its key is claimed if it may not be repeated.
-    pub(super) fn start(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, company: Company) {
+    /// Sends a request, after claiming its key if it may run only once.
+    pub(super) fn claim_or_send(
+        &mut self,
+        cx: &mut Cx<'_>,
+        id: RequestId,
+        upstream: UpstreamId,
+        isolation: Isolation,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.once_key() {
             Some(key) if !self.once.holds(key) => {
                 self.routes.occupy(&upstream);
-                request.enter(State::Claiming { run: upstream, company }, cx.now);
+                request.set_state(State::Claiming { run: upstream, isolation }, cx.now);
                 self.once.claim(cx, key);
             }
-            _ => self.advance(cx, id, Step::Send { upstream, company }),
+            _ => self.send_or_refuse(cx, id, Disposition::Send { upstream, isolation }),
         }
     }
 
-    /// Takes what a request has learnt of its idempotency key.
-    pub(super) fn on_learnt(&mut self, cx: &mut Cx<'_>, learnt: Learnt) {
-        match learnt {
-            Learnt::Unused(id) => self.enqueue(cx, id),
-            Learnt::Claimed(id) => self.on_claimed(cx, id),
-            Learnt::Used { request, found } => self.on_used(cx, request, found),
-            Learnt::Unreachable(id) => {
+    /// Handles news about a request's idempotency key.
+    pub(super) fn on_claim_progress(&mut self, cx: &mut Cx<'_>, progress: ClaimProgress) {
+        match progress {
+            ClaimProgress::Unused(id) => self.enqueue(cx, id),
+            ClaimProgress::Claimed(id) => self.on_claimed(cx, id),
+            ClaimProgress::Used { request, found } => self.on_used(cx, request, found),
+            ClaimProgress::Unreachable(id) => {
                 let reason = RefusalReason::StoreUnreachable;
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(STORE_RETRY) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(STORE_RETRY_AFTER) },
+                );
             }
-            Learnt::Recorded(id) => {
+            ClaimProgress::Recorded(id) => {
                 if let Some(State::Recording { answer, .. }) = self.requests.get(&id).map(|r| r.state.clone())
                 {
-                    self.answer(cx, id, answer);
+                    self.finish_with_answer(cx, id, answer);
                 }
             }
-            Learnt::Released(id) => {
+            ClaimProgress::Released(id) => {
                 if let Some(State::Releasing { refusal, .. }) =
                     self.requests.get(&id).map(|r| r.state.clone())
                 {
-                    self.conclude(cx, id, refusal);
+                    self.finish_refused(cx, id, refusal);
                 }
             }
         }
@@ -278,54 +298,56 @@
 
     fn on_claimed(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let State::Claiming { run, company } = request.state.clone() else { return };
+        let State::Claiming { run, isolation } = request.state.clone() else { return };
         if request.arrival.deadline.is_due(cx.now) {
             return self.refuse_late(cx, id);
         }
-        let suspect = self.suspects.standing(request.arrival.digest);
-        let goes_on = match suspect {
-            Standing::Free => self.routes.fits(cx, &request.arrival.target, &run),
-            Standing::Suspect => {
-                let kept = self.suspects.alone.as_ref().is_some_and(|alone| alone.request == id);
-                kept && self.routes.fits_alone(cx, &request.arrival.target, &run)
+        let suspect = self.suspects.status(request.arrival.digest);
+        let can_proceed = match suspect {
+            SuspectStatus::Unsuspected => self.routes.can_take(cx, &request.arrival.target, &run),
+            SuspectStatus::Suspect => {
+                let still_held = self.suspects.isolated.as_ref().is_some_and(|run| run.request == id);
+                still_held && self.routes.can_take_isolated(cx, &request.arrival.target, &run)
             }
-            Standing::Convicted => {
+            SuspectStatus::Convicted => {
                 let reason = RefusalReason::CrashesUpstreams;
-                return self.advance(cx, id, Step::Refuse { reason, retry_after: None });
+                return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
             }
         };
-        if goes_on {
-            return self.advance(cx, id, Step::Send { upstream: run, company });
+        if can_proceed {
+            return self.send_or_refuse(cx, id, Disposition::Send { upstream: run, isolation });
         }
         self.routes.free(&run);
-        self.end_alone(cx, id);
-        self.wait(cx, id);
+        self.end_isolation(cx, id);
+        self.push_to_queue(cx, id);
     }
 
     fn on_used(&mut self, cx: &mut Cx<'_>, id: RequestId, found: OnceRecord) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some(place) = request.place() {
-            self.routes.free(&place.clone());
-            request.enter(State::LookingUp, cx.now);
+        if let Some(upstream) = request.occupied_upstream() {
+            self.routes.free(&upstream.clone());
+            request.set_state(State::LookingUp, cx.now);
         }
         if found.request != request.arrival.digest {
-            let step = Step::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-            return self.advance(cx, id, step);
+            let disposition = Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
+            return self.send_or_refuse(cx, id, disposition);
         }
-        request.past = Past::Elsewhere;
+        request.history = RunHistory::MayHaveRunElsewhere;
         let own = found.host == cx.cfg.host;
         let alive = cx.cache.member(&found.host).is_some_and(|m| m.incarnation == found.incarnation);
         let (reason, retry_after) = match found.state {
-            OnceState::Answered(answer) => return self.answer(cx, id, answer),
+            OnceState::Answered(answer) => return self.finish_with_answer(cx, id, answer),
             OnceState::AnswerNotKept => (RefusalReason::AnswerNotKept, None),
-            OnceState::Claimed if alive && !own => (RefusalReason::KeyInProgress, Some(PROGRESS_RETRY)),
+            OnceState::Claimed if alive && !own => {
+                (RefusalReason::KeyInProgress, Some(IN_PROGRESS_RETRY_AFTER))
+            }
             OnceState::Claimed => (RefusalReason::KeyInDoubt, None),
         };
-        self.advance(cx, id, Step::Refuse { reason, retry_after });
+        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after });
     }
 }
 
-/// Returns whose budget retries of a target draw on.
+/// Returns whose retry budget a target draws on.
 pub(super) fn destination(cx: &Cx<'_>, target: &Target) -> Destination {
     match target {
         Target::Service(service) => Some(service.clone()),
@@ -333,7 +355,7 @@
     }
 }
 
-/// Returns what a request asks of routing.
-const fn wish(request: &Request) -> Wish<'_> {
-    Wish { target: &request.arrival.target, prefix: request.arrival.prefix, tried: &request.tried }
+/// Builds the routing query for a request.
+const fn route_query(request: &Request) -> RouteQuery<'_> {
+    RouteQuery { target: &request.arrival.target, prefix: request.arrival.prefix, tried: &request.tried }
 }
--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -1,4 +1,4 @@
-//! How many retries a process allows itself.
+//! Limits on the retries of a process.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,41 +9,42 @@
 use crate::member_count::MemberCount;
 use crate::time::Time;
 
-/// A thousandth of a retry, so that a tenth of a request can be counted.
-const WHOLE_RETRY: u64 = 1000;
-/// What each request adds: a tenth of a retry.
-const PER_REQUEST: u64 = 100;
-/// What each second adds, so that a quiet process may retry at all.
-const PER_SECOND: u64 = WHOLE_RETRY;
-/// The most that is saved up.
-const MOST: u64 = 20 * WHOLE_RETRY;
-/// The share of a shared budget that is used, in percent.
+/// Budgets count in thousandths of a retry, so that a request can earn a fraction of one.
+const UNITS_PER_RETRY: u64 = 1000;
+/// Earned with each request: a tenth of a retry.
+const UNITS_PER_REQUEST: u64 = 100;
+/// Earned each second, so that a process with little load can retry at all.
+const UNITS_PER_SECOND: u64 = UNITS_PER_RETRY;
+/// Capacity of the bucket.
+const MAX_UNITS: u64 = 20 * UNITS_PER_RETRY;
+/// Percentage of the shared budget that the processes use.
 ///
-/// Processes count their windows from different moments and learn late that one
-/// of them has left; the rest is for that.
-const USED_OF_SHARED: u64 = 80;
-/// What a retry is for.
+/// Their windows start at different times, and they learn late that one of them has left; the
+/// rest covers both.
+const SHARED_PERCENT_USED: u64 = 80;
+/// The service or pool that a retry is sent to.
 pub(super) type Destination = Option<ServiceName>;
 
-/// Holds retries down.
+/// Limits retries.
 ///
-/// When many upstreams fail at once, retrying every request would send the
-/// survivors several times their usual load and take them down too. One would
-/// see the request rate at the upstreams rise during an outage.
+/// If many upstreams fail together, retrying every request would send several times the usual
+/// load to the survivors and overload them too.
 #[derive(Debug)]
 pub(super) enum RetryBudget {
-    /// A budget of the process's own.
-    Own(Bucket),
-    /// A part of a budget of all processes.
-    Shared(Share),
+    /// A budget of this process alone.
+    Local(TokenBucket),
+    /// This process's share of a budget of all processes.
+    Shared(SharedBudget),
 }
 
 impl RetryBudget {
-    /// Makes a budget that nothing was taken from.
+    /// Creates a full budget.
     pub(super) const fn new(limits: RetryLimits) -> Self {
         match limits {
-            RetryLimits::PerProcess => Self::Own(Bucket { saved: MOST, filled: Time::START }),
-            RetryLimits::Shared { percent, slack, window } => Self::Shared(Share {
+            RetryLimits::PerProcess => {
+                Self::Local(TokenBucket { units: MAX_UNITS, refilled_at: Time::START })
+            }
+            RetryLimits::Shared { percent, slack, window } => Self::Shared(SharedBudget {
                 percent,
                 slack,
                 window,
@@ -54,64 +55,64 @@
     }
 
     /// Counts a request.
-    pub(super) fn earn(&mut self, now: Time, destination: &Destination) {
+    pub(super) fn record_request(&mut self, now: Time, destination: &Destination) {
         match self {
-            Self::Own(bucket) => bucket.saved = (bucket.saved + PER_REQUEST).min(MOST),
-            Self::Shared(share) => share.count(now, destination, |usage| &mut usage.requests),
+            Self::Local(bucket) => bucket.units = (bucket.units + UNITS_PER_REQUEST).min(MAX_UNITS),
+            Self::Shared(budget) => budget.count(now, destination, |usage| &mut usage.requests),
         }
     }
 
-    /// Takes one retry, if there is one.
-    pub(super) fn spend(&mut self, now: Time, destination: &Destination) -> bool {
+    /// Takes one retry if the budget allows it; reports whether it did.
+    pub(super) fn try_spend(&mut self, now: Time, destination: &Destination) -> bool {
         match self {
-            Self::Own(bucket) => bucket.spend(now),
-            Self::Shared(share) => share.spend(now, destination),
+            Self::Local(bucket) => bucket.try_spend(now),
+            Self::Shared(budget) => budget.try_spend(now, destination),
         }
     }
 
-    /// Tells whether a second sending draws on the budget even if the first one had no effect.
-    pub(super) const fn counts_every_sending(&self) -> bool {
+    /// Reports whether even retries of attempts without effect are charged.
+    pub(super) const fn charges_every_retry(&self) -> bool {
         matches!(self, Self::Shared(_))
     }
 
-    /// Takes note of how many processes share the budget.
-    pub(super) fn note_hosts(&mut self, now: Time, hosts: usize) {
-        if let Self::Shared(share) = self {
-            share.hosts.record(now, hosts);
+    /// Records how many processes share the budget.
+    pub(super) fn record_host_count(&mut self, now: Time, hosts: usize) {
+        if let Self::Shared(budget) = self {
+            budget.hosts.record(now, hosts);
         }
     }
 }
 
-/// A token bucket: a tenth of the requests and a few more.
+/// A token bucket that earns a tenth of the requests plus a constant rate.
 #[derive(Debug)]
-pub(super) struct Bucket {
-    saved: u64,
-    filled: Time,
+pub(super) struct TokenBucket {
+    units: u64,
+    refilled_at: Time,
 }
 
-impl Bucket {
-    fn spend(&mut self, now: Time) -> bool {
-        self.fill(now);
-        if self.saved < WHOLE_RETRY {
+impl TokenBucket {
+    fn try_spend(&mut self, now: Time) -> bool {
+        self.refill(now);
+        if self.units < UNITS_PER_RETRY {
             return false;
         }
-        self.saved -= WHOLE_RETRY;
+        self.units -= UNITS_PER_RETRY;
         true
     }
 
-    fn fill(&mut self, now: Time) {
-        let secs = now.since(self.filled).as_secs();
+    fn refill(&mut self, now: Time) {
+        let secs = now.since(self.refilled_at).as_secs();
         if secs == 0 {
             return;
         }
-        self.filled = self.filled.after(Duration::from_secs(secs));
-        self.saved = self.saved.saturating_add(secs.saturating_mul(PER_SECOND)).min(MOST);
+        self.refilled_at = self.refilled_at.after(Duration::from_secs(secs));
+        self.units = self.units.saturating_add(secs.saturating_mul(UNITS_PER_SECOND)).min(MAX_UNITS);
     }
 }
 
-/// This process's part of a budget that all processes share.
+/// This process's share of a budget that all processes have in common.
 #[derive(Debug)]
-pub(super) struct Share {
+pub(super) struct SharedBudget {
     percent: u32,
     slack: u32,
     window: Duration,
@@ -119,29 +120,29 @@
     used: OrderedMap<Destination, Usage>,
 }
 
-/// What went to one destination in the last window.
+/// Requests and retries for one destination within the last window.
 #[derive(Debug, Default)]
 struct Usage {
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-impl Share {
+impl SharedBudget {
     fn count(&mut self, now: Time, destination: &Destination, of: fn(&mut Usage) -> &mut VecDeque<Time>) {
         let window = self.window;
         let times = of(self.used.entry(destination.clone()).or_default());
-        forget_before(times, now, window);
+        remove_older(times, now, window);
         times.push_back(now);
     }
 
-    fn spend(&mut self, now: Time, destination: &Destination) -> bool {
+    fn try_spend(&mut self, now: Time, destination: &Destination) -> bool {
         let window = self.window;
         let usage = self.used.entry(destination.clone()).or_default();
-        forget_before(&mut usage.requests, now, window);
-        forget_before(&mut usage.retries, now, window);
+        remove_older(&mut usage.requests, now, window);
+        remove_older(&mut usage.retries, now, window);
         let earned = usage.requests.len() as u64 * u64::from(self.percent);
         let slack = u64::from(self.slack) * 100 / self.hosts.get();
-        let allowed = (earned + slack) * USED_OF_SHARED / 10_000;
+        let allowed = (earned + slack) * SHARED_PERCENT_USED / 10_000;
         let has_room = (usage.retries.len() as u64) < allowed;
         if has_room {
             usage.retries.push_back(now);
@@ -150,7 +151,7 @@
     }
 }
 
-fn forget_before(times: &mut VecDeque<Time>, now: Time, window: Duration) {
+fn remove_older(times: &mut VecDeque<Time>, now: Time, window: Duration) {
     while times.front().is_some_and(|time| time.after(window).is_due(now)) {
         times.pop_front();
     }
--- a/crates/skylarkshore-core/src/serving/tally.rs
+++ b/crates/skylarkshore-core/src/serving/counters.rs
@@ -1,4 +1,4 @@
-//! What has happened to requests, in numbers.
+//! Counters of what has happened to requests.
 
 use crate::collections::OrderedMap;
 use crate::dump::Gauge;
@@ -6,16 +6,16 @@
 
 /// Counts since the process started.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct RequestCounters {
     /// Requests that arrived.
     pub(super) arrived: u64,
     /// Attempts that were sent.
     pub(super) sent: u64,
-    /// Attempts that were sent again.
+    /// Requests that were requeued for another attempt.
     pub(super) retries: u64,
-    /// Requests whose caller got the whole answer.
+    /// Requests that were answered in full.
     pub(super) answered: u64,
-    /// Events about requests or attempts that had ended.
+    /// Events about requests or attempts that had already ended.
     pub(super) late: u64,
     refused: OrderedMap<&'static str, u64>,
     not_run: u64,
@@ -23,10 +23,10 @@
     failed: u64,
 }
 
-impl Tally {
+impl RequestCounters {
     /// Counts a refusal.
     pub(super) fn count_refusal(&mut self, outcome: RefusalOutcome, reason: &RefusalReason) {
-        *self.refused.entry(name_of(reason)).or_default() += 1;
+        *self.refused.entry(refusal_metric(reason)).or_default() += 1;
         match outcome {
             RefusalOutcome::NotRun => self.not_run += 1,
             RefusalOutcome::Unknown => self.unknown += 1,
@@ -51,13 +51,13 @@
     }
 }
 
-/// Makes a gauge of a count.
+/// Builds a gauge from a count.
 #[expect(clippy::cast_precision_loss, reason = "metrics are floating-point numbers")]
 pub(super) const fn gauge(name: &'static str, count: u64) -> Gauge {
     Gauge { name, value: count as f64 }
 }
 
-const fn name_of(reason: &RefusalReason) -> &'static str {
+const fn refusal_metric(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Rule(_) => "refused_rule_total",
         RefusalReason::ColdStartTooLong => "refused_cold_start_too_long_total",
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -1,8 +1,10 @@
-//! Requests that may run at most once, under the claims of their idempotency keys.
+//! Requests that may run at most once, protected by claims on their idempotency keys.
+//!
+//! Open [`Once`] first.
 
-mod calls;
 mod claim;
-mod unsettled;
+mod store_calls;
+mod unknown_outcomes;
 
 use std::time::Duration;
 
@@ -10,49 +12,49 @@
 use crate::cx::Cx;
 use crate::id::{CallId, Digest, LeaseId, RequestId};
 use crate::serving::lease::OnceLease;
-use crate::serving::once::calls::{SETTLE, delete, is_own_claim, once_record, read};
-use crate::serving::once::claim::{Claim, Claimed, Step};
-use crate::serving::once::unsettled::Unsettled;
+use crate::serving::once::claim::{Claim, ClaimState, HeldClaim};
+use crate::serving::once::store_calls::{SETTLE_TIMEOUT, delete, is_own_claim, once_record, read};
+use crate::serving::once::unknown_outcomes::UnknownOutcomes;
 use crate::store::{
     Expect, Key, OnceRecord, OnceState, Record, RecordedAnswer, StoreAnswer, StoreResult, Versioned,
     WriteOutcome, WriteRequest,
 };
 use crate::time::Time;
 
-/// How long a claim may take before the request is refused.
-const CLAIM_PATIENCE: Duration = Duration::from_secs(1);
-/// The same, while calls to the key-value service fail.
-const CLAIM_PATIENCE_FAILING: Duration = Duration::from_millis(200);
-/// What a request learns of its claim.
+/// Longest time that a claim may take before the request is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
+/// The same while calls to the key-value service fail.
+const CLAIM_TIMEOUT_WHILE_FAILING: Duration = Duration::from_millis(200);
+
+/// Progress of a request's claim.
 #[derive(Debug)]
-pub(super) enum Learnt {
-    /// The key isn't used yet.
+pub(super) enum ClaimProgress {
+    /// The key is unused.
     Unused(RequestId),
-    /// The claim stands: the request may be sent.
+    /// The claim is held: the request may be sent.
     Claimed(RequestId),
     /// The key was used before.
     Used {
-        /// The request.
         request: RequestId,
-        /// What is known of the earlier one.
+        /// The record of the earlier request.
         found: OnceRecord,
     },
-    /// The service can't be reached, and the claim doesn't stand for all that is known.
+    /// The key-value service can't be reached, and the claim isn't known to be held.
     Unreachable(RequestId),
-    /// The outcome is recorded, or won't be.
+    /// The answer is recorded, or won't be.
     Recorded(RequestId),
-    /// The claim is given up, or won't be for now.
+    /// The claim is released, or won't be for now.
     Released(RequestId),
 }
 
-/// How a key stands at this process.
+/// The use of a key at this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Here {
-    /// Nothing is known of it.
+pub(super) enum LocalUse {
+    /// Not known to be in use.
     Unknown,
     /// The same request is in progress.
     SameRequest,
-    /// Another request is in progress under it.
+    /// Another request is in progress with the key.
     OtherRequest,
 }
 
@@ -60,181 +62,196 @@
 #[derive(Debug, Default)]
 pub(super) struct Once {
     claims: OrderedMap<Digest, Claim>,
-    unsettled: Unsettled,
+    unknown_outcomes: UnknownOutcomes,
     lease: OnceLease,
     failing: bool,
-    /// How many claims were left without a known outcome.
+    /// Number of claims whose request ended with an unknown outcome.
     pub(super) in_doubt: u64,
 }
 
 impl Once {
-    /// Tells how a key stands at this process.
-    pub(super) fn here(&self, key: Digest, digest: Digest) -> Here {
+    /// Returns how a key is used at this process.
+    pub(super) fn local_use(&self, key: Digest, digest: Digest) -> LocalUse {
         match self.claims.get(&key) {
-            None => Here::Unknown,
-            Some(claim) if matches!(claim.step, Step::Doubtful(_)) => Here::Unknown,
-            Some(claim) if claim.digest == digest => Here::SameRequest,
-            Some(_) => Here::OtherRequest,
+            None => LocalUse::Unknown,
+            Some(claim) if matches!(claim.state, ClaimState::Unconfirmed(_)) => LocalUse::Unknown,
+            Some(claim) if claim.digest == digest => LocalUse::SameRequest,
+            Some(_) => LocalUse::OtherRequest,
         }
     }
 
-    /// Takes a request's key in, so that no other request of this process uses it.
-    pub(super) fn begin(&mut self, key: Digest, digest: Digest, user: RequestId) {
-        let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
-        self.claims.insert(key, Claim { digest, user: Some(user), step: Step::Queued, leftover });
+    /// Registers a request's key, so that no other request of this process uses it.
+    pub(super) fn register(&mut self, key: Digest, digest: Digest, waiter: RequestId) {
+        let may_be_orphaned = self.claims.get(&key).is_some_and(|claim| claim.may_be_orphaned);
+        self.claims
+            .insert(key, Claim { digest, waiter: Some(waiter), state: ClaimState::Queued, may_be_orphaned });
     }
 
     /// Reads a key, so that a request that has run isn't queued.
-    pub(super) fn look_up(&mut self, cx: &mut Cx<'_>, key: Digest) {
-        let until = cx.now.after(self.patience());
+    pub(super) fn start_lookup(&mut self, cx: &mut Cx<'_>, key: Digest) {
+        let until = cx.now.after(self.claim_timeout());
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        claim.step = Step::LookingUp { call: read(cx, key), until };
+        claim.state = ClaimState::LookingUp { call: read(cx, key), until };
     }
 
     /// Claims a key for its request.
     pub(super) fn claim(&mut self, cx: &mut Cx<'_>, key: Digest) {
-        let until = cx.now.after(self.patience());
+        let until = cx.now.after(self.claim_timeout());
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        claim.step = Step::AwaitingLease { until };
-        self.lease.want(cx);
-        self.write_waiting(cx);
+        claim.state = ClaimState::AwaitingLease { until };
+        self.lease.request_if_needed(cx);
+        self.write_claims(cx);
     }
 
-    /// Tells whether a key's claim stands, so that its request may be sent.
+    /// Reports whether a key's claim is held, so that its request may be sent.
     pub(super) fn holds(&self, key: Digest) -> bool {
-        matches!(self.claims.get(&key), Some(Claim { step: Step::Held(_), .. }))
+        matches!(self.claims.get(&key), Some(Claim { state: ClaimState::Held(_), .. }))
     }
 
-    /// Tells whether nothing is being written any more.
+    /// Reports whether no write is pending.
     pub(super) fn is_idle(&self) -> bool {
-        self.claims.values().all(|claim| matches!(claim.step, Step::Queued | Step::Doubtful(_)))
+        self.claims
+            .values()
+            .all(|claim| matches!(claim.state, ClaimState::Queued | ClaimState::Unconfirmed(_)))
     }
 
-    /// Records how a request ended; it has run.
+    /// Records the answer of a request that has run.
     pub(super) fn record(&mut self, cx: &mut Cx<'_>, key: Digest, answer: Option<RecordedAnswer>) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        let Step::Held(held) = claim.step else { return };
+        let ClaimState::Held(held) = claim.state else { return };
         let kept = answer.filter(|answer| answer.body.len() <= cx.cfg.limits.recorded_answer);
         let state = kept.map_or(OnceState::AnswerNotKept, OnceState::Answered);
         let record = Record::Once(once_record(cx, claim.digest, state));
-        claim.step = Step::Recording;
+        claim.state = ClaimState::Recording;
         cx.write(WriteRequest {
             key: Key::Once(key),
             expect: Expect::At(held.revision),
             record: Some(record),
             lease: Some(held.lease),
-            deadline: cx.now.after(SETTLE),
+            deadline: cx.now.after(SETTLE_TIMEOUT),
         });
     }
 
-    /// Gives a claim up under which nothing ran; tells whether there is one to be waited for.
-    pub(super) fn release(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) -> bool {
-        let Some(claim) = self.claims.get_mut(&key).filter(|claim| claim.user == Some(user)) else {
+    /// Releases a claim under which nothing ran; reports whether a deletion is pending.
+    pub(super) fn release(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) -> bool {
+        let Some(claim) = self.claims.get_mut(&key).filter(|claim| claim.waiter == Some(waiter)) else {
             return false;
         };
-        match claim.step {
-            Step::Held(held) => {
-                claim.step = Step::Releasing;
+        match claim.state {
+            ClaimState::Held(held) => {
+                claim.state = ClaimState::Releasing;
                 delete(cx, key, held.revision);
                 return true;
             }
-            // Its outcome is still to come; it is deleted when it does.
-            Step::Writing { .. } => claim.user = None,
-            Step::Queued | Step::LookingUp { .. } | Step::AwaitingLease { .. } if claim.leftover => {
-                claim.user = None;
-                claim.step = Step::doubtful(cx.now);
+            // Its outcome is still unknown; the claim is deleted when the outcome
+            // arrives.
+            ClaimState::Writing { .. } => claim.waiter = None,
+            ClaimState::Queued | ClaimState::LookingUp { .. } | ClaimState::AwaitingLease { .. }
+                if claim.may_be_orphaned =>
+            {
+                claim.waiter = None;
+                claim.state = ClaimState::unconfirmed(cx.now);
             }
-            Step::Queued | Step::LookingUp { .. } | Step::AwaitingLease { .. } => {
+            ClaimState::Queued | ClaimState::LookingUp { .. } | ClaimState::AwaitingLease { .. } => {
                 self.claims.remove(&key);
             }
-            Step::Recording | Step::Releasing | Step::Doubtful(_) => {}
+            ClaimState::Recording | ClaimState::Releasing | ClaimState::Unconfirmed(_) => {}
         }
         false
     }
 
-    /// Leaves a claim as it is: its request may have run, and nobody may run it again.
-    pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, user: RequestId) {
-        if self.claims.get(&key).is_none_or(|claim| claim.user != Some(user)) {
+    /// Leaves a claim in place: its request may have run and must not run again.
+    pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) {
+        if self.claims.get(&key).is_none_or(|claim| claim.waiter != Some(waiter)) {
             return;
         }
         self.claims.remove(&key);
-        self.unsettled.insert(cx.now, key);
+        self.unknown_outcomes.insert(cx.now, key);
         self.in_doubt += 1;
         cx.log_event("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
-    /// Forgets the keys whose records have ended.
-    pub(super) fn forget_old(&mut self, now: Time) {
-        self.unsettled.forget_old(now);
+    /// Removes the keys whose records have expired.
+    pub(super) fn remove_expired(&mut self, now: Time) {
+        self.unknown_outcomes.remove_expired(now);
     }
 
-    /// Does what is due.
-    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Learnt> {
+    /// Runs what is due.
+    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<ClaimProgress> {
         self.lease.on_tick(cx);
-        self.write_waiting(cx);
+        self.write_claims(cx);
         let mut late = Vec::new();
         for (key, claim) in &mut self.claims {
-            match &mut claim.step {
-                Step::LookingUp { until, .. } | Step::AwaitingLease { until } if until.is_due(cx.now) => {
-                    late.extend(claim.user.map(|user| (*key, user)));
+            match &mut claim.state {
+                ClaimState::LookingUp { until, .. } | ClaimState::AwaitingLease { until }
+                    if until.is_due(cx.now) =>
+                {
+                    late.extend(claim.waiter.map(|waiter| (*key, waiter)));
                 }
-                Step::Doubtful(doubt) if doubt.call.is_none() && doubt.look_at.is_due(cx.now) => {
-                    doubt.call = Some(read(cx, *key));
+                ClaimState::Unconfirmed(recheck)
+                    if recheck.call.is_none() && recheck.lookup_at.is_due(cx.now) =>
+                {
+                    recheck.call = Some(read(cx, *key));
                 }
                 _ => {}
             }
         }
-        let mut learnt = Vec::new();
-        for (key, user) in late {
-            self.release(cx, key, user);
-            learnt.push(Learnt::Unreachable(user));
+        let mut progress = Vec::new();
+        for (key, waiter) in late {
+            self.release(cx, key, waiter);
+            progress.push(ClaimProgress::Unreachable(waiter));
         }
         self.claims
-            .retain(|_, claim| !matches!(&claim.step, Step::Doubtful(doubt) if doubt.until.is_due(cx.now)));
-        learnt
+            .retain(|_, claim| !matches!(&claim.state, ClaimState::Unconfirmed(recheck) if recheck.until.is_due(cx.now)));
+        progress
     }
 
-    /// Takes the result of a call that isn't a write.
-    pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) -> Option<Learnt> {
+    /// Handles the result of a store call that isn't a write.
+    pub(super) fn on_store(
+        &mut self,
+        cx: &mut Cx<'_>,
+        call: CallId,
+        result: &StoreResult,
+    ) -> Option<ClaimProgress> {
         self.failing = result.is_err();
         if self.lease.on_store(cx, call, result) {
-            self.write_waiting(cx);
+            self.write_claims(cx);
             return None;
         }
-        let asked = |claim: &Claim| match &claim.step {
-            Step::LookingUp { call: asked, .. } => *asked == call,
-            Step::Doubtful(doubt) => doubt.call == Some(call),
+        let asked = |claim: &Claim| match &claim.state {
+            ClaimState::LookingUp { call: asked, .. } => *asked == call,
+            ClaimState::Unconfirmed(recheck) => recheck.call == Some(call),
             _ => false,
         };
         let key = *self.claims.iter().find(|(_, claim)| asked(claim))?.0;
-        if matches!(self.claims.get(&key)?.step, Step::LookingUp { .. }) {
+        if matches!(self.claims.get(&key)?.state, ClaimState::LookingUp { .. }) {
             return self.on_looked_up(cx, key, result);
         }
-        self.on_leftover_read(cx, key, result);
+        self.on_orphan_read(cx, key, result);
         None
     }
 
-    /// Takes the outcome of a write.
+    /// Handles the outcome of a write.
     pub(super) fn on_write(
         &mut self,
         cx: &mut Cx<'_>,
         key: Digest,
         outcome: &WriteOutcome,
-    ) -> Option<Learnt> {
-        match self.claims.get(&key)?.step {
-            Step::Writing { lease } => self.on_claim_written(cx, key, lease, outcome),
-            Step::Recording => {
+    ) -> Option<ClaimProgress> {
+        match self.claims.get(&key)?.state {
+            ClaimState::Writing { lease } => self.on_claim_written(cx, key, lease, outcome),
+            ClaimState::Recording => {
                 if !matches!(outcome, WriteOutcome::Done(_)) {
-                    self.unsettled.insert(cx.now, key);
+                    self.unknown_outcomes.insert(cx.now, key);
                     cx.log_event(
                         "once_answer_not_recorded",
                         key,
                         "the request has run; its key stays claimed",
                     );
                 }
-                self.claims.remove(&key)?.user.map(Learnt::Recorded)
+                self.claims.remove(&key)?.waiter.map(ClaimProgress::Recorded)
             }
-            Step::Releasing => self.on_released(cx, key, outcome),
+            ClaimState::Releasing => self.on_released(cx, key, outcome),
             _ => None,
         }
     }
@@ -245,131 +262,133 @@
         key: Digest,
         lease: LeaseId,
         outcome: &WriteOutcome,
-    ) -> Option<Learnt> {
+    ) -> Option<ClaimProgress> {
         let claim = self.claims.get_mut(&key)?;
         match outcome {
             WriteOutcome::Done(written) => {
-                claim.leftover = false;
-                if let Some(user) = claim.user {
-                    claim.step = Step::Held(Claimed { revision: written.revision, lease });
-                    return Some(Learnt::Claimed(user));
+                claim.may_be_orphaned = false;
+                if let Some(waiter) = claim.waiter {
+                    claim.state = ClaimState::Held(HeldClaim { revision: written.revision, lease });
+                    return Some(ClaimProgress::Claimed(waiter));
                 }
-                claim.step = Step::Releasing;
+                claim.state = ClaimState::Releasing;
                 delete(cx, key, written.revision);
                 None
             }
-            WriteOutcome::Conflict(found) => self.on_taken(cx, key, found),
+            WriteOutcome::Conflict(found) => self.on_conflict(cx, key, found),
             WriteOutcome::NotDone => {
-                // The lease may be what the service doesn't know any more.
-                self.lease.drop_current(lease);
-                claim.step = Step::Queued;
-                let Some(user) = claim.user else {
-                    claim.step = Step::doubtful(cx.now);
+                // The store may no longer have the lease.
+                self.lease.discard(lease);
+                claim.state = ClaimState::Queued;
+                let Some(waiter) = claim.waiter else {
+                    claim.state = ClaimState::unconfirmed(cx.now);
                     return None;
                 };
-                self.release(cx, key, user);
-                Some(Learnt::Unreachable(user))
+                self.release(cx, key, waiter);
+                Some(ClaimProgress::Unreachable(waiter))
             }
             WriteOutcome::Unknown => {
-                claim.step = Step::doubtful(cx.now);
-                claim.leftover = true;
-                claim.user.take().map(Learnt::Unreachable)
+                claim.state = ClaimState::unconfirmed(cx.now);
+                claim.may_be_orphaned = true;
+                claim.waiter.take().map(ClaimProgress::Unreachable)
             }
         }
     }
 
-    fn on_released(&mut self, cx: &Cx<'_>, key: Digest, outcome: &WriteOutcome) -> Option<Learnt> {
+    fn on_released(&mut self, cx: &Cx<'_>, key: Digest, outcome: &WriteOutcome) -> Option<ClaimProgress> {
         let claim = self.claims.get_mut(&key)?;
-        let user = claim.user.take();
+        let waiter = claim.waiter.take();
         if matches!(outcome, WriteOutcome::NotDone | WriteOutcome::Unknown) {
-            claim.leftover = true;
-            claim.step = Step::doubtful(cx.now);
+            claim.may_be_orphaned = true;
+            claim.state = ClaimState::unconfirmed(cx.now);
         } else {
             self.claims.remove(&key);
         }
-        user.map(Learnt::Released)
+        waiter.map(ClaimProgress::Released)
     }
 
-    /// Tells whether a record is a claim of this process under which nothing ran.
-    fn is_leftover(&self, cx: &Cx<'_>, key: Digest, record: &OnceRecord) -> bool {
-        let leftover = self.claims.get(&key).is_some_and(|claim| claim.leftover);
-        leftover && is_own_claim(cx, record) && !self.unsettled.may_contain(key)
+    /// Reports whether a record is an orphaned claim of this process, under which nothing
+    /// ran.
+    fn is_orphan(&self, cx: &Cx<'_>, key: Digest, record: &OnceRecord) -> bool {
+        let may_be_orphaned = self.claims.get(&key).is_some_and(|claim| claim.may_be_orphaned);
+        may_be_orphaned && is_own_claim(cx, record) && !self.unknown_outcomes.may_contain(key)
     }
 
-    /// Takes note that something stands under a key that was to be claimed.
-    fn on_taken(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<Learnt> {
+    /// Handles a conflict with an existing record under a key that was to be claimed.
+    fn on_conflict(&mut self, cx: &mut Cx<'_>, key: Digest, found: &Versioned) -> Option<ClaimProgress> {
         let Some(Record::Once(record)) = &found.record else {
-            return self.claims.remove(&key)?.user.map(Learnt::Unreachable);
+            return self.claims.remove(&key)?.waiter.map(ClaimProgress::Unreachable);
         };
-        if self.is_leftover(cx, key, record) {
+        if self.is_orphan(cx, key, record) {
             let claim = self.claims.get_mut(&key)?;
-            // The claim of an earlier try arrived after it was given up. Nothing
-            // ran under it; left there, it would block the key until its lease ends.
-            claim.step = Step::Releasing;
+            // The claim of an earlier try took effect after it was released.
+            // Nothing ran under it; if it stayed, it would block the key until its
+            // lease expires.
+            claim.state = ClaimState::Releasing;
             delete(cx, key, found.revision);
-            return claim.user.take().map(Learnt::Unreachable);
+            return claim.waiter.take().map(ClaimProgress::Unreachable);
         }
-        let request = self.claims.remove(&key)?.user?;
-        Some(Learnt::Used { request, found: record.clone() })
+        let request = self.claims.remove(&key)?.waiter?;
+        Some(ClaimProgress::Used { request, found: record.clone() })
     }
 
-    fn on_looked_up(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) -> Option<Learnt> {
-        let request = self.claims.get(&key)?.user?;
+    fn on_looked_up(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) -> Option<ClaimProgress> {
+        let request = self.claims.get(&key)?.waiter?;
         let Ok(StoreAnswer::One(found)) = result else {
             self.release(cx, key, request);
-            return Some(Learnt::Unreachable(request));
+            return Some(ClaimProgress::Unreachable(request));
         };
         match &found.record {
-            Some(Record::Once(record)) if !self.is_leftover(cx, key, record) => {
+            Some(Record::Once(record)) if !self.is_orphan(cx, key, record) => {
                 self.claims.remove(&key);
-                Some(Learnt::Used { request, found: record.clone() })
+                Some(ClaimProgress::Used { request, found: record.clone() })
             }
             _ => {
-                self.claims.get_mut(&key)?.step = Step::Queued;
-                Some(Learnt::Unused(request))
+                self.claims.get_mut(&key)?.state = ClaimState::Queued;
+                Some(ClaimProgress::Unused(request))
             }
         }
     }
 
-    /// Deletes a claim in doubt that has turned up, or looks again later.
-    fn on_leftover_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
+    /// Deletes an orphaned claim that was found, or schedules the next check.
+    fn on_orphan_read(&mut self, cx: &mut Cx<'_>, key: Digest, result: &StoreResult) {
         let Some(claim) = self.claims.get_mut(&key) else { return };
-        let Step::Doubtful(doubt) = &mut claim.step else { return };
-        doubt.call = None;
-        doubt.pause *= 2;
-        doubt.look_at = cx.now.after(doubt.pause);
+        let ClaimState::Unconfirmed(recheck) = &mut claim.state else { return };
+        recheck.call = None;
+        recheck.pause *= 2;
+        recheck.lookup_at = cx.now.after(recheck.pause);
         let Ok(StoreAnswer::One(found)) = result else { return };
         let Some(Record::Once(record)) = &found.record else { return };
-        if !self.is_leftover(cx, key, record) {
+        if !self.is_orphan(cx, key, record) {
             self.claims.remove(&key);
             return;
         }
         if let Some(claim) = self.claims.get_mut(&key) {
-            claim.step = Step::Releasing;
+            claim.state = ClaimState::Releasing;
         }
         delete(cx, key, found.revision);
     }
 
-    fn write_waiting(&mut self, cx: &mut Cx<'_>) {
+    fn write_claims(&mut self, cx: &mut Cx<'_>) {
         let Some(lease) = self.lease.current() else { return };
-        let patience = self.patience();
+        let claim_timeout = self.claim_timeout();
         for (key, claim) in &mut self.claims {
-            if !matches!(claim.step, Step::AwaitingLease { .. }) {
+            if !matches!(claim.state, ClaimState::AwaitingLease { .. }) {
                 continue;
             }
-            claim.step = Step::Writing { lease };
+            claim.state = ClaimState::Writing { lease };
             let record = Record::Once(once_record(cx, claim.digest, OnceState::Claimed));
             cx.write(WriteRequest {
                 key: Key::Once(*key),
                 expect: Expect::Absent,
                 record: Some(record),
                 lease: Some(lease),
-                deadline: cx.now.after(patience),
+                deadline: cx.now.after(claim_timeout),
             });
         }
     }
 
-    const fn patience(&self) -> Duration {
-        if self.failing { CLAIM_PATIENCE_FAILING } else { CLAIM_PATIENCE }
+    const fn claim_timeout(&self) -> Duration {
+        if self.failing { CLAIM_TIMEOUT_WHILE_FAILING } else { CLAIM_TIMEOUT }
     }
 }
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -1,4 +1,6 @@
-//! The requests that wait for an upstream: bounded, by order of service, fair between callers.
+//! Requests that wait for an upstream: bounded, by order of service, fair between callers.
+//!
+//! Open [`Queue`] first.
 
 use std::collections::VecDeque;
 
@@ -10,49 +12,47 @@
 use crate::serving::request::{Due, Request};
 use crate::time::Time;
 
-/// How urgent a waiting request is; the greatest is the first to be shed.
+/// The urgency of a waiting request; the greatest value is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
-    /// The order of service.
     pub(super) order: ServiceOrder,
-    /// Until when it may wait, and its name.
+    /// Until when it may wait, and its identifier.
     pub(super) due: Due,
 }
 
 impl Urgency {
-    /// Returns how urgent a request is.
     pub(super) fn of(id: RequestId, request: &Request) -> Self {
-        Self { order: request.order, due: Due { at: request.waits_until(), request: id } }
+        Self { order: request.order, due: Due { at: request.queue_deadline(), request: id } }
     }
 }
 
-/// Why a request waits no longer.
+/// Why a request leaves the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Exit {
-    /// It got its turn, so that its caller's next turn comes after the other callers'.
-    Served,
-    /// It was refused or its caller went away.
-    DroppedOut,
+    /// It is dispatched, so its caller's next turn comes after the other callers'.
+    Dispatched,
+    /// It was refused or its caller disconnected.
+    Withdrawn,
 }
 
-/// The waiting requests of one order of service, callers taking turns.
+/// The waiting requests of one order of service, with callers in round-robin order.
 #[derive(Debug, Default)]
-struct Class {
+struct PriorityClass {
     callers: OrderedMap<CallerId, OrderedSet<Due>>,
-    turns: VecDeque<CallerId>,
+    round_robin: VecDeque<CallerId>,
 }
 
-impl Class {
+impl PriorityClass {
     fn push(&mut self, caller: &CallerId, due: Due) {
         let waiting = self.callers.entry(caller.clone()).or_default();
         if waiting.is_empty() {
-            self.turns.push_back(caller.clone());
+            self.round_robin.push_back(caller.clone());
         }
         waiting.insert(due);
     }
 
     fn first(&self) -> Option<Due> {
-        self.callers.get(self.turns.front()?)?.first().copied()
+        self.callers.get(self.round_robin.front()?)?.first().copied()
     }
 
     fn remove(&mut self, caller: &CallerId, due: Due, exit: Exit) {
@@ -62,67 +62,65 @@
         if !more {
             self.callers.remove(caller);
         }
-        if !more || exit == Exit::Served {
-            self.turns.retain(|c| c != caller);
+        if !more || exit == Exit::Dispatched {
+            self.round_robin.retain(|c| c != caller);
         }
-        if more && exit == Exit::Served {
-            self.turns.push_back(caller.clone());
+        if more && exit == Exit::Dispatched {
+            self.round_robin.push_back(caller.clone());
         }
     }
 }
 
-/// How many requests are looked at for one that fits the free upstream best.
-const LOOK_AHEAD: usize = 16;
-/// How often the request whose turn it is may be passed over for one that fits better.
-const MOST_PASSED_OVER: u32 = 8;
+/// Number of requests that are searched for one that fits the free upstream better.
+const MAX_LOOKAHEAD: usize = 16;
+/// Maximum number of times that the next request may be skipped for one that fits better.
+const MAX_SKIPS: u32 = 8;
 
 /// The waiting requests for one model, adapter or service.
 #[derive(Debug, Default)]
-struct Lane {
-    classes: OrderedMap<ServiceOrder, Class>,
-    members: OrderedSet<Urgency>,
+struct TargetQueue {
+    classes: OrderedMap<ServiceOrder, PriorityClass>,
+    entries: OrderedSet<Urgency>,
     deadlines: OrderedSet<Due>,
-    aims: OrderedSet<Due>,
-    /// How often the request whose turn it is has been passed over.
-    passed_over: u32,
+    soft_deadlines: OrderedSet<Due>,
+    /// Times that the next request has been skipped.
+    skips: u32,
 }
 
-/// What waits for one target.
+/// A summary of the requests that wait for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Waiting {
-    /// How many requests.
+pub(super) struct WaitingSummary {
+    /// Number of requests.
     pub(super) count: u32,
-    /// The most urgent order of service among them.
     pub(super) order: ServiceOrder,
-    /// The latest deadline among them.
-    pub(super) patient_until: Time,
-    /// The first time, yet to come, from which on an answer to one of them loses value.
-    pub(super) aim: Option<Time>,
+    pub(super) latest_deadline: Time,
+    /// The earliest future time after which an answer to one of them has reduced value.
+    pub(super) soft_deadline: Option<Time>,
 }
 
-impl Waiting {
-    /// Adds requests that wait elsewhere than in a lane.
+impl WaitingSummary {
+    /// Adds requests that aren't in the queue.
     pub(super) fn add(this: &mut Option<Self>, count: u32, order: ServiceOrder, until: Time) {
-        let sum = this.get_or_insert(Self { count: 0, order, patient_until: until, aim: None });
+        let sum = this.get_or_insert(Self { count: 0, order, latest_deadline: until, soft_deadline: None });
         sum.count = sum.count.saturating_add(count);
         sum.order = sum.order.min(order);
-        sum.patient_until = sum.patient_until.max(until);
+        sum.latest_deadline = sum.latest_deadline.max(until);
     }
 }
 
-/// Why a request found no room.
+/// Which request has no room in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Overflow {
-    /// Another request, which is less urgent, has to go for it.
+    /// Another request, which is less urgent and is shed.
     Shed(RequestId),
-    /// It is the least urgent itself.
-    Itself,
+    /// The new request, which is the least urgent.
+    Rejected,
 }
 
 /// All waiting requests of a process.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    lanes: OrderedMap<Target, Lane>,
+    by_target: OrderedMap<Target, TargetQueue>,
     callers: OrderedMap<CallerId, OrderedSet<Urgency>>,
     all: OrderedSet<Urgency>,
 }
@@ -135,28 +133,28 @@
 
     /// Returns how many requests wait for a target.
     pub(super) fn len_of(&self, target: &Target) -> u32 {
-        self.lanes.get(target).map_or(0, |lane| u32::try_from(lane.members.len()).unwrap_or(u32::MAX))
+        self.by_target.get(target).map_or(0, |queue| u32::try_from(queue.entries.len()).unwrap_or(u32::MAX))
     }
 
-    /// Returns how many requests for the same target go before one.
+    /// Returns how many requests for the same target precede one.
     pub(super) fn ahead_of(&self, target: &Target, urgency: Urgency) -> u32 {
-        let Some(lane) = self.lanes.get(target) else { return 0 };
-        u32::try_from(lane.members.range(..urgency).count()).unwrap_or(u32::MAX)
+        let Some(queue) = self.by_target.get(target) else { return 0 };
+        u32::try_from(queue.entries.range(..urgency).count()).unwrap_or(u32::MAX)
     }
 
-    /// Finds who has to go, if there is no room for one more request.
+    /// Returns the request to shed or reject if the queue has no room for one more.
     pub(super) fn overflow(&self, limits: &Limits, caller: &CallerId, urgency: Urgency) -> Option<Overflow> {
         let own = self.callers.get(caller);
-        let crowded = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
+        let full_set = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
             own?
         } else if self.all.len() >= limits.queue_total {
             &self.all
         } else {
             return None;
         };
-        match crowded.last() {
+        match full_set.last() {
             Some(last) if *last > urgency => Some(Overflow::Shed(last.due.request)),
-            _ => Some(Overflow::Itself),
+            _ => Some(Overflow::Rejected),
         }
     }
 
@@ -164,74 +162,75 @@
     pub(super) fn push(&mut self, id: RequestId, request: &Request) {
         let urgency = Urgency::of(id, request);
         let caller = &request.arrival.caller;
-        let lane = self.lanes.entry(request.arrival.target.clone()).or_default();
-        lane.classes.entry(urgency.order).or_default().push(caller, urgency.due);
-        lane.members.insert(urgency);
-        lane.deadlines.insert(urgency.due);
-        lane.aims.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
+        let queue = self.by_target.entry(request.arrival.target.clone()).or_default();
+        queue.classes.entry(urgency.order).or_default().push(caller, urgency.due);
+        queue.entries.insert(urgency);
+        queue.deadlines.insert(urgency.due);
+        queue.soft_deadlines.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
         self.callers.entry(caller.clone()).or_default().insert(urgency);
         self.all.insert(urgency);
     }
 
-    /// Returns the requests that may go before the one whose turn it is, if they fit better.
+    /// Returns the requests that may be dispatched before the next one if they fit better.
     ///
-    /// They have the same order of service, and it isn't passed over for ever.
-    pub(super) fn may_go_first(&self, target: &Target) -> Vec<RequestId> {
-        let Some(lane) = self.lanes.get(target) else { return Vec::new() };
-        let Some(first) = lane.members.first().filter(|_| lane.passed_over < MOST_PASSED_OVER) else {
+    /// They have the same order of service, and the next one is skipped only a limited
+    /// number of times.
+    pub(super) fn lookahead(&self, target: &Target) -> Vec<RequestId> {
+        let Some(queue) = self.by_target.get(target) else { return Vec::new() };
+        let Some(first) = queue.entries.first().filter(|_| queue.skips < MAX_SKIPS) else {
             return Vec::new();
         };
-        let alike = lane.members.iter().take_while(|member| member.order == first.order);
-        alike.take(LOOK_AHEAD).map(|member| member.due.request).collect()
+        let alike = queue.entries.iter().take_while(|entry| entry.order == first.order);
+        alike.take(MAX_LOOKAHEAD).map(|entry| entry.due.request).collect()
     }
 
-    /// Removes a request that gets its turn.
+    /// Removes a request that is dispatched.
     pub(super) fn take(&mut self, id: RequestId, request: &Request) {
         let target = &request.arrival.target;
         let is_first = self.first(target) == Some(id);
-        if let Some(lane) = self.lanes.get_mut(target) {
-            lane.passed_over = if is_first { 0 } else { lane.passed_over + 1 };
+        if let Some(queue) = self.by_target.get_mut(target) {
+            queue.skips = if is_first { 0 } else { queue.skips + 1 };
         }
-        self.remove(id, request, Exit::Served);
+        self.remove(id, request, Exit::Dispatched);
     }
 
-    /// Removes a request that waits no longer; does nothing if it doesn't wait.
-    pub(super) fn drop_out(&mut self, id: RequestId, request: &Request) {
-        self.remove(id, request, Exit::DroppedOut);
+    /// Removes a request that is no longer to be dispatched, if it is queued.
+    pub(super) fn remove_if_queued(&mut self, id: RequestId, request: &Request) {
+        self.remove(id, request, Exit::Withdrawn);
     }
 
-    /// Returns the request whose turn it is.
+    /// Returns the next request for a target.
     pub(super) fn first(&self, target: &Target) -> Option<RequestId> {
-        let lane = self.lanes.get(target)?;
-        lane.classes.values().find_map(Class::first).map(|due| due.request)
+        let queue = self.by_target.get(target)?;
+        queue.classes.values().find_map(PriorityClass::first).map(|due| due.request)
     }
 
-    /// Returns the targets that requests wait for, the one with the most urgent request first.
+    /// Returns the targets of waiting requests, the one with the most urgent request first.
     pub(super) fn targets(&self) -> Vec<Target> {
         let mut targets: Vec<_> = self
-            .lanes
+            .by_target
             .iter()
-            .filter_map(|(target, lane)| lane.members.first().map(|first| (*first, target)))
+            .filter_map(|(target, queue)| queue.entries.first().map(|first| (*first, target)))
             .collect();
         targets.sort_unstable();
         targets.into_iter().map(|(_, target)| target.clone()).collect()
     }
 
-    /// Returns what waits for a target.
-    pub(super) fn waiting(&self, now: Time, target: &Target) -> Option<Waiting> {
-        let lane = self.lanes.get(target)?;
-        Some(Waiting {
-            count: u32::try_from(lane.members.len()).unwrap_or(u32::MAX),
-            order: lane.members.first()?.order,
-            patient_until: lane.deadlines.last()?.at,
-            aim: lane.aims.iter().map(|due| due.at).find(|at| !at.is_due(now)),
+    /// Summarizes the requests that wait for a target.
+    pub(super) fn waiting(&self, now: Time, target: &Target) -> Option<WaitingSummary> {
+        let queue = self.by_target.get(target)?;
+        Some(WaitingSummary {
+            count: u32::try_from(queue.entries.len()).unwrap_or(u32::MAX),
+            order: queue.entries.first()?.order,
+            latest_deadline: queue.deadlines.last()?.at,
+            soft_deadline: queue.soft_deadlines.iter().map(|due| due.at).find(|at| !at.is_due(now)),
         })
     }
 
     /// Returns the requests that wait for a target.
     pub(super) fn requests(&self, target: &Target) -> Vec<RequestId> {
-        let lane = self.lanes.get(target);
-        lane.into_iter().flat_map(|lane| lane.members.iter().map(|m| m.due.request)).collect()
+        let queue = self.by_target.get(target);
+        queue.into_iter().flat_map(|queue| queue.entries.iter().map(|m| m.due.request)).collect()
     }
 
     fn remove(&mut self, id: RequestId, request: &Request, exit: Exit) {
@@ -247,18 +246,18 @@
             }
         }
         let target = &request.arrival.target;
-        let Some(lane) = self.lanes.get_mut(target) else { return };
-        lane.members.remove(&urgency);
-        lane.deadlines.remove(&urgency.due);
-        lane.aims.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
-        if let Some(class) = lane.classes.get_mut(&urgency.order) {
+        let Some(queue) = self.by_target.get_mut(target) else { return };
+        queue.entries.remove(&urgency);
+        queue.deadlines.remove(&urgency.due);
+        queue.soft_deadlines.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
+        if let Some(class) = queue.classes.get_mut(&urgency.order) {
             class.remove(caller, urgency.due, exit);
             if class.callers.is_empty() {
-                lane.classes.remove(&urgency.order);
+                queue.classes.remove(&urgency.order);
             }
         }
-        if lane.members.is_empty() {
-            self.lanes.remove(target);
+        if queue.entries.is_empty() {
+            self.by_target.remove(target);
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -1,4 +1,6 @@
-//! Which upstreams can take a request, and which of them gets it.
+//! Selection of the upstream for a request, by load, distance and cached prompt prefix.
+//!
+//! Open [`Routes`] first.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -11,46 +13,43 @@
 use crate::cx::Cx;
 use crate::event::{ReportedLoad, Target};
 use crate::id::{Digest, ServiceName, UpstreamId};
-use crate::serving::load::{Millis, OthersLoad};
-use crate::serving::views::{News, Views};
+use crate::serving::others_load::{MilliRequests, OthersLoad};
+use crate::serving::published_views::{Freshness, PublishedViews};
 use crate::time::Time;
 use crate::upstream::{Upstream, UpstreamStatus};
 use crate::view::EngineView;
 
-/// How much fuller an upstream may be than the emptiest, in thousandths, to
-/// get a request whose prompt's beginning it probably has in its cache.
-const PREFIX_SLACK: u64 = 400;
-/// By how many requests it may be fuller at most.
+/// Load above the emptiest upstream, in thousandths, at which a prompt's prefix still decides.
+const PREFIX_LOAD_SLACK: u64 = 400;
+/// The same limit as a number of requests.
 ///
-/// An engine that runs many at a time reads their prompts one after the other
-/// between the steps of all; a few more of them than elsewhere are felt by every
-/// stream on it.
-const PREFIX_SLACK_REQUESTS: u64 = 6;
-/// How full an engine may be, in thousandths of what it runs at a time, to get
-/// a request with a prompt's beginning.
+/// An engine that batches requests reads their prompts one after the other between the steps of
+/// all; a few more requests than elsewhere slow every stream on it.
+const PREFIX_REQUEST_SLACK: u64 = 6;
+/// Load, in thousandths of its concurrency, up to which an engine takes requests with a prompt
+/// prefix.
 ///
-/// When every engine is full, a request that takes whichever place becomes free
-/// seldom finds its prompt in the cache, just when the time it saves is needed most.
-const CROWDED: u64 = 1400;
-/// What being in another data centre weighs, in thousandths of an upstream's load.
-const FAR: u64 = 60;
-/// How long an upstream stays out of use after it said that it was about to go.
-const LEAVING: Duration = Duration::from_mins(5);
-/// The first pause of an upstream that can't be reached or is busy.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause of an upstream.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-
-/// An upstream that gets nothing for a while.
+/// When every engine is full, a request that takes the next free slot rarely finds its prompt
+/// cached, just when the saved time is needed most.
+const MAX_CROWDED_LOAD: u64 = 1400;
+/// Cost of an upstream in another data centre, in thousandths of its load.
+const REMOTE_COST: u64 = 60;
+/// How long an upstream gets no requests after it announced that it is leaving.
+const LEAVING_TTL: Duration = Duration::from_mins(5);
+/// First backoff of an upstream that is busy or can't be reached.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Keeps requests away from an upstream until a time.
 #[derive(Clone, Copy, Debug)]
-struct Pause {
+struct Backoff {
     until: Time,
     failures: u32,
 }
 
-/// A model or adapter on an engine that turned out not to be there.
+/// A model or adapter on one engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct EngineTarget {
     upstream: UpstreamId,
     target: ModelTarget,
 }
@@ -59,16 +58,16 @@
 #[derive(Clone, Debug)]
 struct Candidate {
     upstream: UpstreamId,
-    /// Its expected load in thousandths of what it takes, distance included.
+    /// Its expected load in thousandths of its concurrency, plus the cost of distance.
     cost: u64,
     room: Room,
-    /// How many requests it runs at a time.
+    /// Requests that it runs at a time.
     concurrency: u32,
 }
 
 impl Candidate {
-    /// Returns what some requests weigh, in thousandths of what the upstream takes.
-    fn of_requests(&self, requests: u64) -> u64 {
+    /// Returns the load of some requests in thousandths of the concurrency.
+    fn load_of(&self, requests: u64) -> u64 {
         requests * 1000 / u64::from(self.concurrency.max(1))
     }
 }
@@ -78,28 +77,29 @@
 enum Room {
     /// Fewer requests than it runs at a time.
     Free,
-    /// A few more than it runs at a time, so that another one waits inside it for a little.
+    /// Slightly more than it runs at a time: another request waits inside it for a short
+    /// time.
     Crowded,
     /// No more may be sent.
     Full,
 }
 
-/// What can be expected for a target.
+/// Whether a target is available or will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Prospect {
-    /// An upstream has it, be it busy or not.
+pub(super) enum Availability {
+    /// An upstream has it, whether busy or not.
     Ready,
     /// An engine is loading it.
     Loading {
-        /// When it will probably be ready.
+        /// When the load is expected to finish.
         ready_at: Time,
     },
-    /// Nothing is known of it.
+    /// No engine is known to have it or load it.
     None,
 }
 
-impl Prospect {
-    /// Tells it in a few words, for the log.
+impl Availability {
+    /// Returns the text for the log.
     pub(super) fn describe(self, now: Time) -> String {
         match self {
             Self::Ready => "ready".to_owned(),
@@ -109,91 +109,91 @@
     }
 }
 
-/// What one request asks of routing.
+/// What routing needs to know of a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wish<'a> {
-    /// What it is for.
+pub(super) struct RouteQuery<'a> {
     pub(super) target: &'a Target,
-    /// The digest of the prompt's beginning.
+    /// The digest of the prompt prefix.
     pub(super) prefix: Option<Digest>,
-    /// Where it was tried in vain.
+    /// Upstreams on which an attempt has failed.
     pub(super) tried: &'a OrderedSet<UpstreamId>,
 }
 
-/// What a process knows of the upstreams and has in progress there.
+/// The known state of the upstreams, and the requests of this process on them.
 #[derive(Debug, Default)]
 pub(super) struct Routes {
-    /// The engines as their owners see them.
-    pub(super) views: Views,
+    /// The engine views that owners have published.
+    pub(super) views: PublishedViews,
     in_flight: OrderedMap<UpstreamId, u32>,
     leaving: OrderedMap<UpstreamId, Time>,
-    paused: OrderedMap<UpstreamId, Pause>,
-    missing: OrderedMap<Place, Time>,
-    /// What others have in progress, as the upstreams' answers told.
-    told: OrderedMap<UpstreamId, OthersLoad>,
-    /// Engines on which a suspect of this process runs or is about to run alone.
-    kept_free: OrderedSet<UpstreamId>,
+    backoffs: OrderedMap<UpstreamId, Backoff>,
+    missing: OrderedMap<EngineTarget, Time>,
+    /// The load of other processes, from the upstreams' own reports.
+    reported_loads: OrderedMap<UpstreamId, OthersLoad>,
+    /// Engines on which a suspect of this process runs, or will run, in isolation.
+    held_for_suspect: OrderedSet<UpstreamId>,
 }
 
 impl Routes {
-    /// Tells whether requests for the target may run at the upstream.
-    pub(super) fn concerns(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
+    /// Reports whether requests for the target may run at the upstream.
+    pub(super) fn may_run(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
         match target {
-            Target::Model(model) => self.views.mentions(upstream, model),
+            Target::Model(model) => self.views.lists_model(upstream, model),
             Target::Service(name) => cx.upstreams.get(upstream).and_then(Upstream::service) == Some(name),
         }
     }
 
-    /// Takes an owner's account of an engine over; tells whether it counts.
-    pub(super) fn take_view(&mut self, now: Time, view: EngineView) -> bool {
+    /// Stores an owner's view of an engine; reports whether it is current.
+    pub(super) fn apply_view(&mut self, now: Time, view: EngineView) -> bool {
         let upstream = view.upstream.clone();
         let own = self.in_flight(&upstream);
-        let news = self.views.take(now, view, own);
-        if news == News::Newer {
-            // The newer account settles what an older one got wrong.
-            self.missing.retain(|place, _| place.upstream != upstream);
+        let freshness = self.views.apply(now, view, own);
+        if freshness == Freshness::Newer {
+            // A newer view corrects what an older one got wrong.
+            self.missing.retain(|target_on_engine, _| target_on_engine.upstream != upstream);
         }
-        news != News::Late
+        freshness != Freshness::Stale
     }
 
-    /// Takes over what has changed on the host list, and forgets what it no longer names.
+    /// Applies changes of the host list and removes the state of upstreams that left it.
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         self.views.on_host_list(cx, touched);
         for id in touched.iter().filter(|id| !cx.upstreams.contains(id)) {
-            self.told.remove(id);
+            self.reported_loads.remove(id);
             self.leaving.remove(id);
-            self.paused.remove(id);
+            self.backoffs.remove(id);
         }
     }
 
-    /// Looks again at what the host list tells of engines, as far as that depends on time or catalogue.
-    pub(super) fn review_listed(&mut self, cx: &Cx<'_>) {
-        self.views.review_listed(cx);
+    /// Applies what the host list shows of engines where that depends on time or the
+    /// catalogue.
+    pub(super) fn reapply_host_list(&mut self, cx: &Cx<'_>) {
+        self.views.reapply_host_list(cx);
     }
 
-    /// Forgets pauses that are long over.
-    pub(super) fn forget_old(&mut self, now: Time) {
+    /// Removes entries that have expired.
+    pub(super) fn remove_expired(&mut self, now: Time) {
         self.leaving.retain(|_, until| !until.is_due(now));
-        self.paused.retain(|_, pause| !pause.until.after(LONGEST_PAUSE).is_due(now));
+        self.backoffs.retain(|_, backoff| !backoff.until.after(MAX_BACKOFF).is_due(now));
         self.missing.retain(|_, until| !until.is_due(now));
     }
 
-    /// Returns how many requests of this process an upstream has.
+    /// Returns the number of requests of this process at an upstream.
     pub(super) fn in_flight(&self, upstream: &UpstreamId) -> u32 {
         self.in_flight.get(upstream).copied().unwrap_or(0)
     }
 
-    /// Returns the upstreams that have requests of this process, with their number.
-    pub(super) fn used(&self) -> impl Iterator<Item = (&UpstreamId, u32)> {
+    /// Returns the upstreams with requests of this process, and how many.
+    pub(super) fn upstreams_in_use(&self) -> impl Iterator<Item = (&UpstreamId, u32)> {
         self.in_flight.iter().map(|(upstream, n)| (upstream, *n))
     }
 
-    /// Takes up a place at an upstream.
+    /// Occupies a slot at an upstream.
     pub(super) fn occupy(&mut self, upstream: &UpstreamId) {
         *self.in_flight.entry(upstream.clone()).or_default() += 1;
     }
 
-    /// Gives a place at an upstream back.
+    /// Releases a slot at an upstream.
     pub(super) fn free(&mut self, upstream: &UpstreamId) {
         let Some(n) = self.in_flight.get_mut(upstream) else { return };
         *n = n.saturating_sub(1);
@@ -202,60 +202,60 @@
         }
     }
 
-    /// Takes note of how much an upstream told that it had to do.
-    pub(super) fn note_load(&mut self, now: Time, upstream: &UpstreamId, load: ReportedLoad) {
+    /// Records the load that an upstream reported.
+    pub(super) fn record_load(&mut self, now: Time, upstream: &UpstreamId, load: ReportedLoad) {
         let others = (load.running + load.waiting).saturating_sub(self.in_flight(upstream));
-        let told = self
-            .told
+        let load = self
+            .reported_loads
             .get(upstream)
-            .map_or_else(|| OthersLoad::new(now, others), |told| told.with(now, others));
-        self.told.insert(upstream.clone(), told);
+            .map_or_else(|| OthersLoad::new(now, others), |estimate| estimate.updated(now, others));
+        self.reported_loads.insert(upstream.clone(), load);
     }
 
-    /// Takes note that an upstream is about to go; tells whether that was news.
-    pub(super) fn note_leaving(&mut self, now: Time, upstream: &UpstreamId) -> bool {
-        self.leaving.insert(upstream.clone(), now.after(LEAVING)).is_none()
+    /// Records that an upstream is leaving; reports whether that was new.
+    pub(super) fn record_leaving(&mut self, now: Time, upstream: &UpstreamId) -> bool {
+        self.leaving.insert(upstream.clone(), now.after(LEAVING_TTL)).is_none()
     }
 
-    /// Takes note that an upstream couldn't be reached, died or was too busy.
-    pub(super) fn note_trouble(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
-        let failures = self.paused.get(upstream).map_or(0, |pause| pause.failures);
-        let pause = FIRST_PAUSE.saturating_mul(1 << failures.min(6)).min(LONGEST_PAUSE);
-        let until = cx.now.after(cx.jitter(pause));
-        self.paused.insert(upstream.clone(), Pause { until, failures: failures + 1 });
+    /// Backs off from an upstream that is busy, died or can't be reached.
+    pub(super) fn back_off(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
+        let failures = self.backoffs.get(upstream).map_or(0, |backoff| backoff.failures);
+        let backoff = MIN_BACKOFF.saturating_mul(1 << failures.min(6)).min(MAX_BACKOFF);
+        let until = cx.now.after(cx.jitter(backoff));
+        self.backoffs.insert(upstream.clone(), Backoff { until, failures: failures + 1 });
     }
 
-    /// Takes note that an upstream answered.
-    pub(super) fn note_health(&mut self, upstream: &UpstreamId) {
-        self.paused.remove(upstream);
+    /// Ends the backoff of an upstream that answered.
+    pub(super) fn clear_backoff(&mut self, upstream: &UpstreamId) {
+        self.backoffs.remove(upstream);
     }
 
-    /// Takes note that a model isn't where its owner's last account said.
-    pub(super) fn note_missing(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) {
-        let until = cx.now.after(cx.jitter(LONGEST_PAUSE));
-        self.missing.insert(Place { upstream: upstream.clone(), target: target.clone() }, until);
+    /// Records that a model isn't on the engine that its owner's last view named.
+    pub(super) fn record_missing(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) {
+        let until = cx.now.after(cx.jitter(MAX_BACKOFF));
+        self.missing.insert(EngineTarget { upstream: upstream.clone(), target: target.clone() }, until);
     }
 
-    /// Keeps an engine free for a suspect.
-    pub(super) fn keep_free(&mut self, upstream: &UpstreamId) {
-        self.kept_free.insert(upstream.clone());
+    /// Holds an engine for an isolated suspect.
+    pub(super) fn hold_for_suspect(&mut self, upstream: &UpstreamId) {
+        self.held_for_suspect.insert(upstream.clone());
     }
 
-    /// Opens an engine to all requests again.
-    pub(super) fn open(&mut self, upstream: &UpstreamId) {
-        self.kept_free.remove(upstream);
+    /// Releases an engine that was held for a suspect.
+    pub(super) fn release_held(&mut self, upstream: &UpstreamId) {
+        self.held_for_suspect.remove(upstream);
     }
 
     /// Chooses an upstream with room for a request.
-    pub(super) fn choose(&self, cx: &mut Cx<'_>, wish: Wish<'_>) -> Option<UpstreamId> {
-        let mut free: Vec<Candidate> = self.candidates(cx, wish.target);
-        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && wish.prefix.is_some()));
-        if free.iter().any(|c| !wish.tried.contains(&c.upstream)) {
-            free.retain(|c| !wish.tried.contains(&c.upstream));
+    pub(super) fn choose(&self, cx: &mut Cx<'_>, query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let mut free: Vec<Candidate> = self.candidates(cx, query.target);
+        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && query.prefix.is_some()));
+        if free.iter().any(|c| !query.tried.contains(&c.upstream)) {
+            free.retain(|c| !query.tried.contains(&c.upstream));
         }
         let least = free.iter().map(|c| c.cost).min()?;
-        if let Some(prefix) = wish.prefix {
-            free.retain(|c| c.cost <= least + PREFIX_SLACK.min(c.of_requests(PREFIX_SLACK_REQUESTS)));
+        if let Some(prefix) = query.prefix {
+            free.retain(|c| c.cost <= least + PREFIX_LOAD_SLACK.min(c.load_of(PREFIX_REQUEST_SLACK)));
             return free.iter().max_by_key(|c| affinity(prefix, &c.upstream)).map(|c| c.upstream.clone());
         }
         free.retain(|c| c.cost == least);
@@ -263,27 +263,28 @@
         free.get(chosen).map(|c| c.upstream.clone())
     }
 
-    /// Returns the upstream that most probably has a prompt's beginning in its cache, be it full or not.
-    pub(super) fn preferred(&self, cx: &Cx<'_>, wish: Wish<'_>) -> Option<UpstreamId> {
-        let prefix = wish.prefix?;
-        let candidates = self.candidates(cx, wish.target);
+    /// Returns the upstream that most probably has a prompt prefix cached, even if it is
+    /// full.
+    pub(super) fn preferred(&self, cx: &Cx<'_>, query: RouteQuery<'_>) -> Option<UpstreamId> {
+        let prefix = query.prefix?;
+        let candidates = self.candidates(cx, query.target);
         candidates.into_iter().map(|c| c.upstream).max_by_key(|upstream| affinity(prefix, upstream))
     }
 
-    /// Tells whether a request for a target may still be sent to an upstream.
-    pub(super) fn fits(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    /// Reports whether a request for a target may still be sent to an upstream.
+    pub(super) fn can_take(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         self.candidates(cx, target).iter().any(|c| c.upstream == *upstream)
     }
 
-    /// Tells the same for a suspect, for which the upstream is kept free.
-    pub(super) fn fits_alone(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    /// Reports the same for a suspect for which the upstream is held.
+    pub(super) fn can_take_isolated(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         match target {
             Target::Model(target) => self.ready_engines(cx, target).contains(upstream),
             Target::Service(_) => self.usable(cx, upstream),
         }
     }
 
-    /// Returns the engines on which a suspect may run alone, once they are free.
+    /// Returns the engines on which a suspect can run in isolation once they are idle.
     pub(super) fn ready_engines(&self, cx: &Cx<'_>, target: &ModelTarget) -> Vec<UpstreamId> {
         let usable = self.views.ready(cx, target).filter(|known| {
             let other = known.view.reserved_for.as_ref().is_some_and(|host| *host != cx.cfg.host);
@@ -294,47 +295,48 @@
         usable.map(|known| known.view.upstream.clone()).collect()
     }
 
-    /// Returns the replicas on which a suspect call of a service may run.
+    /// Returns the replicas on which a suspect call of a service can run.
     pub(super) fn idle_replicas(&self, cx: &Cx<'_>, service: &ServiceName) -> Vec<UpstreamId> {
         let replicas = self.replicas(cx, service);
         replicas.filter(|id| self.in_flight(id) == 0).cloned().collect()
     }
 
-    /// Tells whether an engine is reserved for this host and runs nothing.
-    pub(super) fn is_ours_alone(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let reserved = self.views.get(upstream).is_some_and(|known| known.is_ours_alone(cx));
+    /// Reports whether an engine is reserved for this host and runs nothing.
+    pub(super) fn is_reserved_and_idle(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
+        let reserved = self.views.get(upstream).is_some_and(|known| known.is_reserved_and_idle(cx));
         reserved && self.in_flight(upstream) == 0
     }
 
-    /// Tells whether an engine was idle by its owner's last account and runs nothing from here.
+    /// Reports whether an engine was idle in its owner's last view and runs nothing from
+    /// here.
     pub(super) fn seems_idle(&self, upstream: &UpstreamId) -> bool {
         let idle = self.views.get(upstream).is_some_and(|known| known.view.running == 0);
         idle && self.in_flight(upstream) == 0
     }
 
-    /// Tells whether an upstream is known to be about to go.
-    pub(super) fn is_going(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
+    /// Reports whether an upstream is known to be leaving.
+    pub(super) fn is_leaving(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let listed = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
-        let says_so = self.views.get(upstream).is_some_and(|known| known.view.leaving);
-        !listed || says_so || self.leaving.contains_key(upstream)
+        let view_leaving = self.views.get(upstream).is_some_and(|known| known.view.leaving);
+        !listed || view_leaving || self.leaving.contains_key(upstream)
     }
 
-    /// Tells what is known of an upstream's load, for the log.
-    pub(super) fn seen(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> String {
+    /// Summarizes what is known of an upstream's load, for the log.
+    pub(super) fn load_summary(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> String {
         let own = self.in_flight(upstream);
         let view = self.views.get(upstream);
-        let others = self.told.get(upstream).or(view.map(|known| &known.others));
+        let others = self.reported_loads.get(upstream).or(view.map(|known| &known.others));
         let others = others.map_or(0, |others| others.mean(cx.now).0 / 1000);
-        let age = view.map(|known| cx.now.since(known.taken).as_millis());
+        let age = view.map(|known| cx.now.since(known.received).as_millis());
         let age = age.map_or_else(|| "none".to_owned(), |age| age.to_string());
         format!("own={own} others={others} view_age_ms={age}")
     }
 
-    /// Tells in a few words how an upstream is used, for the state dump.
+    /// Describes how an upstream is used, for the state dump.
     pub(super) fn describe(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> &'static str {
-        if self.is_going(cx, upstream) {
+        if self.is_leaving(cx, upstream) {
             "about to go"
-        } else if self.kept_free.contains(upstream) {
+        } else if self.held_for_suspect.contains(upstream) {
             "kept for a suspect"
         } else if self.usable(cx, upstream) {
             "in use"
@@ -343,31 +345,32 @@
         }
     }
 
-    /// Tells what can be expected for a target.
-    pub(super) fn prospect(&self, cx: &Cx<'_>, target: &Target) -> Prospect {
+    /// Returns whether a target is available or being loaded.
+    pub(super) fn availability(&self, cx: &Cx<'_>, target: &Target) -> Availability {
         if !self.candidates(cx, target).is_empty() {
-            return Prospect::Ready;
+            return Availability::Ready;
         }
-        let Target::Model(target) = target else { return Prospect::None };
+        let Target::Model(target) = target else { return Availability::None };
         if self.lacks_only_adapter(cx, target) {
-            return Prospect::None;
+            return Availability::None;
         }
         let ready_at = self.views.loading(cx, target).min();
-        ready_at.map_or(Prospect::None, |ready_at| Prospect::Loading { ready_at })
+        ready_at.map_or(Availability::None, |ready_at| Availability::Loading { ready_at })
     }
 
-    /// Tells whether a target is an adapter whose base is ready on an engine.
+    /// Reports whether a target is an adapter whose base model is ready on an engine.
     ///
-    /// It takes that engine a hundredth of a second. If the load of the base on one
-    /// more engine counted, callers of the adapter would be refused on arrival for
-    /// as long as that lasts, and nobody would be asked for the adapter.
+    /// Loading the adapter there takes about ten milliseconds. If a load of the base model
+    /// on another engine counted instead, callers would be refused on arrival for the whole
+    /// of that load, and no owner would be asked for the adapter.
     fn lacks_only_adapter(&self, cx: &Cx<'_>, target: &ModelTarget) -> bool {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         let mut ready = self.views.ready(cx, &base).map(|known| &known.view.upstream);
         target.adapter.is_some() && ready.any(|engine| self.usable(cx, engine))
     }
 
-    /// Tells whether the host list names a live replica of a service, be it paused or not.
+    /// Reports whether the host list names a live replica of a service, even one that is
+    /// backed off.
     pub(super) fn has_replica(&self, cx: &Cx<'_>, service: &ServiceName) -> bool {
         let mut live = cx.upstreams.replicas(service).filter(|u| u.status == UpstreamStatus::Live);
         live.any(|u| !self.leaving.contains_key(&u.id))
@@ -384,11 +387,11 @@
         self.views
             .ready(cx, target)
             .filter(|known| known.view.reserved_for.is_none())
-            .filter(|known| !self.kept_free.contains(&known.view.upstream))
+            .filter(|known| !self.held_for_suspect.contains(&known.view.upstream))
             .filter(|known| self.usable(cx, &known.view.upstream))
             .filter(|known| !self.is_missing(cx, &known.view.upstream, target))
             .map(|known| {
-                let others = self.told.get(&known.view.upstream).unwrap_or(&known.others);
+                let others = self.reported_loads.get(&known.view.upstream).unwrap_or(&known.others);
                 self.candidate(cx, &known.view.upstream, Some(others), known.view.concurrency)
             })
             .collect()
@@ -398,7 +401,7 @@
         let concurrency = cx.document.catalogue.services.get(service).map_or(0, |s| s.concurrency);
         let candidate = |id: &UpstreamId| {
             let own = cx.upstreams.get(id).and_then(|upstream| upstream.concurrency);
-            self.candidate(cx, id, self.told.get(id), own.unwrap_or(concurrency))
+            self.candidate(cx, id, self.reported_loads.get(id), own.unwrap_or(concurrency))
         };
         self.replicas(cx, service).map(candidate).collect()
     }
@@ -409,13 +412,13 @@
         service: &ServiceName,
     ) -> impl Iterator<Item = &'a UpstreamId> + use<'a> {
         let ids = cx.upstreams.replicas(service).map(|u| &u.id);
-        ids.filter(|id| self.usable(cx, id) && !self.kept_free.contains(*id))
+        ids.filter(|id| self.usable(cx, id) && !self.held_for_suspect.contains(*id))
     }
 
     fn usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let live = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
-        let paused = self.paused.get(upstream).is_some_and(|pause| !pause.until.is_due(cx.now));
-        live && !paused && !self.leaving.contains_key(upstream)
+        let backed_off = self.backoffs.get(upstream).is_some_and(|backoff| !backoff.until.is_due(cx.now));
+        live && !backed_off && !self.leaving.contains_key(upstream)
     }
 
     fn candidate(
@@ -426,27 +429,28 @@
         concurrency: u32,
     ) -> Candidate {
         let near = cx.upstreams.get(upstream).is_some_and(|u| u.data_centre == cx.cfg.data_centre);
-        let distance = if near { 0 } else { FAR };
+        let distance = if near { 0 } else { REMOTE_COST };
         let own = self.in_flight(upstream);
-        let share = |others: Millis| (Millis::of(own).0 + others.0) / u64::from(concurrency.max(1));
-        let others_mean = others.map_or(Millis::default(), |others| others.mean(cx.now));
-        let others_left = others.map_or(Millis::default(), |others| others.left(cx.now));
-        let room = match share(others_left) {
+        let share =
+            |others: MilliRequests| (MilliRequests::of(own).0 + others.0) / u64::from(concurrency.max(1));
+        let others_mean = others.map_or(MilliRequests::default(), |others| others.mean(cx.now));
+        let others_decayed = others.map_or(MilliRequests::default(), |others| others.decayed(cx.now));
+        let room = match share(others_decayed) {
             _ if own >= concurrency => Room::Full,
             0..1000 => Room::Free,
-            1000..CROWDED => Room::Crowded,
+            1000..MAX_CROWDED_LOAD => Room::Crowded,
             _ => Room::Full,
         };
         Candidate { upstream: upstream.clone(), cost: share(others_mean) + distance, room, concurrency }
     }
 
     fn is_missing(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) -> bool {
-        let place = Place { upstream: upstream.clone(), target: target.clone() };
-        self.missing.get(&place).is_some_and(|until| !until.is_due(cx.now))
+        let target_on_engine = EngineTarget { upstream: upstream.clone(), target: target.clone() };
+        self.missing.get(&target_on_engine).is_some_and(|until| !until.is_due(cx.now))
     }
 }
 
-/// Ranks the upstreams for a prompt's beginning, the same at every process.
+/// Ranks the upstreams for a prompt prefix, with the same result at every process.
 fn affinity(prefix: Digest, upstream: &UpstreamId) -> u64 {
     FixedState::default().hash_one((prefix, upstream))
 }
--- a/crates/skylarkshore-core/src/serving/report.rs
+++ b/crates/skylarkshore-core/src/serving/state_dump.rs
@@ -1,13 +1,13 @@
-//! What a process tells of its requests, for the state dump and the metrics.
+//! The state dump and the metrics of this process's requests.
 
 use crate::cx::Cx;
 use crate::dump::{DumpEntry, Gauge};
 use crate::serving::Serving;
-use crate::serving::suspect::Standing;
-use crate::serving::tally::gauge;
+use crate::serving::counters::gauge;
+use crate::serving::suspect::SuspectStatus;
 
 impl Serving {
-    /// Tells of each request, each upstream in use and each suspect.
+    /// Returns an entry for each request, each upstream in use and each suspect.
     pub(super) fn dump_entries(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
         let requests = self.requests.iter().map(|(id, request)| DumpEntry {
             kind: "request",
@@ -15,35 +15,37 @@
             state: request.describe(),
             since: Some(request.since),
         });
-        let routes = self.routes.used().map(|(upstream, n)| DumpEntry {
+        let routes = self.routes.upstreams_in_use().map(|(upstream, n)| DumpEntry {
             kind: "route",
             subject: upstream.to_string(),
             state: format!("{n} requests from here, {}", self.routes.describe(cx, upstream)),
-            since: self.routes.views.get(upstream).map(|known| known.taken),
+            since: self.routes.views.get(upstream).map(|known| known.received),
         });
         let suspects = self.suspects.digests().map(|digest| {
-            let state = match self.suspects.standing(digest) {
-                Standing::Convicted => "crashes upstreams and is refused",
-                Standing::Suspect | Standing::Free => "was in progress when an upstream died and runs alone",
+            let state = match self.suspects.status(digest) {
+                SuspectStatus::Convicted => "crashes upstreams and is refused",
+                SuspectStatus::Suspect | SuspectStatus::Unsuspected => {
+                    "was in progress when an upstream died and runs alone"
+                }
             };
             DumpEntry { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
         });
         requests.chain(routes).chain(suspects).chain(self.quota.dump_entries()).collect()
     }
 
-    /// Returns the numbers for the metrics.
-    pub(super) fn numbers(&self) -> Vec<Gauge> {
+    /// Returns the gauges for the metrics.
+    pub(super) fn collect_gauges(&self) -> Vec<Gauge> {
         let mut gauges = vec![
             gauge("requests_queued", self.queue.len() as u64),
             gauge("requests_queued_alone", self.suspects.waiting.len() as u64),
             gauge("requests_unfinished", self.requests.len() as u64),
             gauge("attempts_in_flight", self.attempts.len() as u64),
-            gauge("suspect_requests", self.suspects.count(Standing::Suspect) as u64),
-            gauge("convicted_requests", self.suspects.count(Standing::Convicted) as u64),
+            gauge("suspect_requests", self.suspects.count(SuspectStatus::Suspect) as u64),
+            gauge("convicted_requests", self.suspects.count(SuspectStatus::Convicted) as u64),
             gauge("once_in_doubt_total", self.once.in_doubt),
-            gauge("late_views_total", self.routes.views.late),
+            gauge("late_views_total", self.routes.views.stale),
         ];
-        gauges.extend(self.tally.gauges());
+        gauges.extend(self.counters.gauges());
         gauges
     }
 }
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -1,4 +1,5 @@
-//! What waiting requests can expect, and what is asked for them.
+//! The availability of targets that requests wait for: asking owners, and refusing what can't
+//! be served.
 
 use std::time::Duration;
 
@@ -10,46 +11,46 @@
 use crate::id::{HostId, RequestId, UpstreamId};
 use crate::peer::CannotLoad;
 use crate::serving::Serving;
-use crate::serving::decide::Step;
-use crate::serving::queue::Waiting;
+use crate::serving::demand::{AskTiming, OwnerRefusal, Supply};
+use crate::serving::disposition::Disposition;
+use crate::serving::queue::WaitingSummary;
 use crate::serving::request::State;
-use crate::serving::routing::Prospect;
-use crate::serving::wanted::{Pace, Refused, Supply};
+use crate::serving::routing::Availability;
 use crate::store::Key;
 use crate::time::Time;
 use crate::view::EngineView;
 
-/// How long requests wait without a word from any owner.
-const UNHEARD_PATIENCE: Duration = Duration::from_secs(25);
-/// When to come back after nobody could take a request.
+/// How long requests wait while no owner responds.
+const OWNER_SILENCE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Retry delay when no upstream could take a request.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Why the less patient requests for a target can't be served in time.
+/// Why the requests with earlier deadlines can't be served in time.
 #[derive(Clone, Debug)]
 struct Shortage {
     reason: RefusalReason,
-    /// Requests with a deadline up to this one can't be served.
-    bar: Time,
+    /// Requests whose deadline is at or before this time can't be served.
+    unservable_until: Time,
     retry_after: Duration,
 }
 
 impl Serving {
-    /// Takes an owner's account of an engine.
+    /// Handles an owner's view of an engine.
     pub(super) fn on_view(&mut self, cx: &mut Cx<'_>, view: &EngineView) {
-        if !self.routes.take_view(cx.now, view.clone()) {
+        if !self.routes.apply_view(cx.now, view.clone()) {
             return;
         }
         self.return_stray_reservation(cx, view);
         for model in self.waiting_models(cx) {
-            if self.routes.views.mentions(&view.upstream, &model) {
-                self.wants.heard(&model);
-                self.review(cx, &Target::Model(model));
+            if self.routes.views.lists_model(&view.upstream, &model) {
+                self.demand.record_response(&model);
+                self.refuse_unservable(cx, &Target::Model(model));
             }
         }
-        self.pump_at(cx, &view.upstream);
+        self.dispatch_for_upstream(cx, &view.upstream);
     }
 
-    /// Takes an owner's refusal to make a target available.
+    /// Handles an owner's refusal to load a target.
     pub(super) fn on_cannot_load(
         &mut self,
         cx: &mut Cx<'_>,
@@ -58,118 +59,138 @@
         reason: &CannotLoad,
         retry_after: Duration,
     ) {
-        // An owner that has just handed the engine over says so; the new one is
-        // asked as soon as the cache names it.
+        // The owner has just handed the engine over; the new one is asked as soon as it
+        // is in the cache.
         if *reason == CannotLoad::NotOwner {
             return;
         }
         if *reason == CannotLoad::Busy {
-            self.wants.busy(cx.now, from, target, retry_after);
-            return self.ask(cx, &Target::Model(target.clone()), Pace::Now);
+            self.demand.record_busy(cx.now, from, target, retry_after);
+            return self.ask(cx, &Target::Model(target.clone()), AskTiming::Now);
         }
         let loaded = self.loaded(cx, target);
-        let next = self.wants.refused(cx, from, target, reason.clone(), retry_after, &loaded);
+        let next = self.demand.record_refusal(cx, from, target, reason.clone(), retry_after, &loaded);
         let target = Target::Model(target.clone());
-        self.review(cx, &target);
+        self.refuse_unservable(cx, &target);
         if next {
-            self.ask(cx, &target, Pace::Now);
+            self.ask(cx, &target, AskTiming::Now);
         }
     }
 
-    /// Refuses the requests for every target that can't be served in time.
-    pub(super) fn review_all(&mut self, cx: &mut Cx<'_>) {
+    /// Refuses the requests that can't be served in time, for every target.
+    pub(super) fn refuse_all_unservable(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
         targets.extend(self.waiting_models(cx).into_iter().map(Target::Model));
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
-            self.review(cx, &target);
+            self.refuse_unservable(cx, &target);
         }
     }
 
     /// Refuses the requests for a target that can't be served in time.
     ///
-    /// A caller that is told at once can ask elsewhere or change its plan; one
-    /// that is kept until its deadline has lost the time.
-    pub(super) fn review(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    /// A caller that is refused immediately can ask another host; one that waits until its
+    /// deadline has lost that time.
+    pub(super) fn refuse_unservable(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Some(shortage) = self.shortage(cx, target) else { return };
         for id in self.waiting_for(target) {
-            let late = self.requests.get(&id).is_some_and(|r| r.waits_until() <= shortage.bar);
-            if late {
-                self.expect_back(cx.now, id, shortage.retry_after);
+            let too_late =
+                self.requests.get(&id).is_some_and(|r| r.queue_deadline() <= shortage.unservable_until);
+            if too_late {
+                self.expect_retry(cx.now, id, shortage.retry_after);
                 let reason = shortage.reason.clone();
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(shortage.retry_after) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(shortage.retry_after) },
+                );
             }
         }
     }
 
-    /// Refuses all that wait: another host has to serve them.
+    /// Refuses every waiting request; another host has to serve them.
     pub(super) fn refuse_waiting(&mut self, cx: &mut Cx<'_>) {
         let mut targets = self.queue.targets();
-        targets.extend(self.alone_targets());
+        targets.extend(self.suspect_targets());
         targets.sort_unstable();
         targets.dedup();
         for target in targets {
             for id in self.waiting_for(&target) {
                 let reason = RefusalReason::Leaving;
-                self.advance(cx, id, Step::Refuse { reason, retry_after: Some(Duration::ZERO) });
+                self.send_or_refuse(
+                    cx,
+                    id,
+                    Disposition::Refuse { reason, retry_after: Some(Duration::ZERO) },
+                );
             }
         }
     }
 
-    fn expect_back(&mut self, now: Time, id: RequestId, retry_after: Duration) {
+    fn expect_retry(&mut self, now: Time, id: RequestId, retry_after: Duration) {
         let Some(request) = self.requests.get(&id) else { return };
         let Target::Model(target) = &request.arrival.target else { return };
-        self.wants.told_to_return(now, target, request.order, retry_after);
+        self.demand.expect_retry(now, target, request.order, retry_after);
     }
 
     fn shortage(&self, cx: &Cx<'_>, target: &Target) -> Option<Shortage> {
-        let everyone =
-            |retry_after| Shortage { reason: RefusalReason::NoUpstream, bar: Time::NEVER, retry_after };
+        let all_unservable = |retry_after| Shortage {
+            reason: RefusalReason::NoUpstream,
+            unservable_until: Time::NEVER,
+            retry_after,
+        };
         let model = match target {
             Target::Service(service) => {
-                return (!self.routes.has_replica(cx, service)).then(|| everyone(RETRY_AFTER));
+                return (!self.routes.has_replica(cx, service)).then(|| all_unservable(RETRY_AFTER));
             }
             Target::Model(target) => target,
         };
-        match self.routes.prospect(cx, target) {
-            Prospect::Ready => return None,
-            Prospect::Loading { ready_at } => {
+        match self.routes.availability(cx, target) {
+            Availability::Ready => return None,
+            Availability::Loading { ready_at } => {
                 let reason = RefusalReason::ColdStartTooLong;
-                return Some(Shortage { reason, bar: ready_at, retry_after: ready_at.remaining(cx.now) });
+                return Some(Shortage {
+                    reason,
+                    unservable_until: ready_at,
+                    retry_after: ready_at.remaining(cx.now),
+                });
             }
-            Prospect::None => {}
+            Availability::None => {}
         }
         if !cx.document.catalogue.models.contains_key(&model.model) {
-            return Some(everyone(RETRY_AFTER));
+            return Some(all_unservable(RETRY_AFTER));
         }
-        if let Some(refused) = self.wants.hopeless(cx, model) {
+        if let Some(refused) = self.demand.all_owners_refusal(cx, model) {
             let retry_after = refused.until.remaining(cx.now);
-            return Some(Shortage { reason: reason_of(&refused.reason), bar: bar_of(refused), retry_after });
+            return Some(Shortage {
+                reason: reason_of(&refused.reason),
+                unservable_until: latest_unservable_deadline(refused),
+                retry_after,
+            });
         }
-        let unheard = self.wants.unheard_since(model)?;
-        unheard.after(UNHEARD_PATIENCE).is_due(cx.now).then(|| everyone(RETRY_AFTER))
+        let silent_since = self.demand.silent_since(model)?;
+        silent_since.after(OWNER_SILENCE_TIMEOUT).is_due(cx.now).then(|| all_unservable(RETRY_AFTER))
     }
 
-    /// Asks the owners for a target, if requests wait for it.
-    pub(super) fn ask_for(&mut self, cx: &mut Cx<'_>, target: &Target) {
+    /// Asks the owners for a target if requests wait for it.
+    pub(super) fn ask_owners_for(&mut self, cx: &mut Cx<'_>, target: &Target) {
         let Target::Model(model) = target else { return };
         if self.waiting(cx, target).is_none() {
-            return self.wants.satisfied(model);
+            return self.demand.reset(model);
         }
-        // Only the first of those that wait may ask out of turn. An owner's answer
-        // brings this here again; were each answer followed by another question, a
-        // host that owns the home itself would never leave this circle, and two
-        // hosts would flood one another, while an engine is away.
-        let first = !self.wants.is_waited_for(model);
-        let cold = first && self.routes.prospect(cx, target) == Prospect::None;
-        self.ask(cx, target, if cold { Pace::Now } else { Pace::WhenDue });
+        // Only the first waiting request may ask before the interval has passed. Each
+        // answer of an owner leads back here. If each answer triggered another question
+        // while an engine is unreachable, a host that owns the home itself would loop
+        // forever, and two hosts would flood each other.
+        let first = !self.demand.has_waiting_requests(model);
+        let cold = first && self.routes.availability(cx, target) == Availability::None;
+        self.ask(cx, target, if cold { AskTiming::Now } else { AskTiming::WhenDue });
     }
 
-    /// Asks the new owners for the targets whose homes have changed hands.
-    pub(super) fn ask_again(&mut self, cx: &mut Cx<'_>, key: &Key) {
+    /// Asks the new owners for the targets whose homes or owners have changed.
+    pub(super) fn ask_new_owners(&mut self, cx: &mut Cx<'_>, key: &Key) {
         for model in self.waiting_models(cx) {
-            let concerned = match key {
+            let affected = match key {
                 Key::Homes(changed) => *changed == model.model,
                 Key::Owner(engine) => {
                     cx.cache.homes(&model.model).is_some_and(|(_, homes)| homes.engines.contains(engine))
@@ -177,57 +198,64 @@
                 _ => false,
             };
             let target = Target::Model(model);
-            if concerned && self.routes.prospect(cx, &target) == Prospect::None {
-                self.ask(cx, &target, Pace::Now);
+            if affected && self.routes.availability(cx, &target) == Availability::None {
+                self.ask(cx, &target, AskTiming::Now);
             }
         }
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, target: &Target, pace: Pace) {
+    fn ask(&mut self, cx: &mut Cx<'_>, target: &Target, timing: AskTiming) {
         let Target::Model(model) = target else { return };
         let Some(waiting) = self.waiting(cx, target) else { return };
-        let supply = match self.routes.prospect(cx, target) {
-            Prospect::Ready => Supply::Full,
-            // What comes only after those who wait have given up is no help to them.
-            Prospect::Loading { ready_at } if ready_at >= waiting.patient_until => Supply::Nothing,
-            Prospect::Loading { .. } => Supply::Coming,
-            Prospect::None => Supply::Nothing,
+        let supply = match self.routes.availability(cx, target) {
+            Availability::Ready => Supply::Saturated,
+            // A load that finishes after every waiting request has timed out is of
+            // no use to them.
+            Availability::Loading { ready_at } if ready_at >= waiting.latest_deadline => Supply::Unavailable,
+            Availability::Loading { .. } => Supply::InProgress,
+            Availability::None => Supply::Unavailable,
         };
-        if supply == Supply::Coming
+        if supply == Supply::InProgress
             && let Some(loader) = self.loader(cx, model)
         {
-            self.wants.taken_on(cx, model, loader);
+            self.demand.assign_loader(cx, model, loader);
         }
         let loaded = self.loaded(cx, model);
-        self.wants.ask(cx, model, waiting, supply, pace, &loaded);
+        self.demand.ask(cx, model, waiting, supply, timing, &loaded);
     }
 
-    /// Returns the owner of the engine that will be the first to be ready with a target.
+    /// Returns the owner of the engine that is expected to be ready with a target first.
     fn loader(&self, cx: &Cx<'_>, target: &ModelTarget) -> Option<HostId> {
         let engine = self.routes.views.first_loading(cx, target)?;
         cx.cache.owner(engine).map(|(_, owner)| owner.host.clone())
     }
 
-    /// Returns the engines on which the base of a target can be used.
+    /// Returns the engines on which a target's base model is ready.
     fn loaded(&self, cx: &Cx<'_>, target: &ModelTarget) -> OrderedSet<UpstreamId> {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         self.routes.views.ready(cx, &base).map(|known| known.view.upstream.clone()).collect()
     }
 
-    /// Returns what waits for a target, with suspects and those who were told when to come back.
-    fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<Waiting> {
+    /// Summarizes the requests that wait for a target, including suspects and expected
+    /// retries.
+    fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<WaitingSummary> {
         let mut waiting = self.queue.waiting(cx.now, target);
         for urgency in &self.suspects.waiting {
             let Some(request) = self.requests.get(&urgency.due.request) else { continue };
             if request.arrival.target == *target {
-                Waiting::add(&mut waiting, 1, urgency.order, urgency.due.at);
+                WaitingSummary::add(&mut waiting, 1, urgency.order, urgency.due.at);
             }
         }
         if let Target::Model(model) = target
-            && let Some(returning) = self.wants.returning(cx, model)
-            && self.routes.prospect(cx, target) != Prospect::Ready
+            && let Some(expected_retries) = self.demand.expected_retries(cx, model)
+            && self.routes.availability(cx, target) != Availability::Ready
         {
-            Waiting::add(&mut waiting, returning.count, returning.order, returning.until);
+            WaitingSummary::add(
+                &mut waiting,
+                expected_retries.count,
+                expected_retries.order,
+                expected_retries.until,
+            );
         }
         waiting
     }
@@ -239,16 +267,16 @@
         ids
     }
 
-    /// Lists the targets to which callers were told to come back, and for which nothing waits.
-    pub(super) fn returning_targets(&self, cx: &Cx<'_>) -> Vec<Target> {
-        let targets = self.wants.returning_targets(cx).cloned().map(Target::Model);
+    /// Returns the targets for which retries are expected and no request is queued.
+    pub(super) fn targets_expecting_retries(&self, cx: &Cx<'_>) -> Vec<Target> {
+        let targets = self.demand.targets_expecting_retries(cx).cloned().map(Target::Model);
         targets.filter(|target| self.queue.len_of(target) == 0).collect()
     }
 
     pub(super) fn waiting_models(&self, cx: &Cx<'_>) -> Vec<ModelTarget> {
         let mut targets = self.queue.targets();
-        targets.extend(self.wants.returning_targets(cx).cloned().map(Target::Model));
-        targets.extend(self.alone_targets());
+        targets.extend(self.demand.targets_expecting_retries(cx).cloned().map(Target::Model));
+        targets.extend(self.suspect_targets());
         targets.sort_unstable();
         targets.dedup();
         let model = |target| match target {
@@ -258,11 +286,11 @@
         targets.into_iter().filter_map(model).collect()
     }
 
-    /// Returns the targets of suspects that wait to run alone.
-    pub(super) fn alone_targets(&self) -> Vec<Target> {
+    /// Returns the targets of suspects that wait for isolation.
+    pub(super) fn suspect_targets(&self) -> Vec<Target> {
         let waiting = self.suspects.waiting.iter().filter_map(|urgency| {
             let request = self.requests.get(&urgency.due.request)?;
-            (request.state == State::QueuedAlone).then(|| request.arrival.target.clone())
+            (request.state == State::QueuedForIsolation).then(|| request.arrival.target.clone())
         });
         waiting.collect()
     }
@@ -270,12 +298,13 @@
 
 /// Returns the latest deadline that can't be met after a refusal.
 ///
-/// An owner that weighed its load against the requests' patience has judged
-/// all that it knew of; one that can't act may be able to when it is asked again.
-fn bar_of(refused: &Refused) -> Time {
+/// An owner that compared the load with the requests' remaining time has considered every
+/// deadline that it was sent. An owner that was unable to act may be able to when it is asked
+/// again.
+fn latest_unservable_deadline(refused: &OwnerRefusal) -> Time {
     match refused.reason {
         CannotLoad::Memory | CannotLoad::Power | CannotLoad::EngineRefuses | CannotLoad::TooSlow => {
-            refused.until.max(refused.patient_until)
+            refused.until.max(refused.latest_deadline)
         }
         CannotLoad::NotOwner
         | CannotLoad::OwnershipInDoubt
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -1,4 +1,7 @@
-//! Requests that were in progress when an upstream died.
+//! Requests that were in progress when an upstream died, and the conviction of those that crash
+//! upstreams.
+//!
+//! Open [`Suspects`] first.
 
 use std::time::Duration;
 
@@ -8,212 +11,213 @@
 use crate::id::{Digest, HostId, Incarnation, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
 use crate::serving::queue::Urgency;
-use crate::serving::request::Company;
+use crate::serving::request::Isolation;
 use crate::time::Time;
 
-/// How long a suspect stays one when nothing is heard of it.
-const SUSPECTED: Duration = Duration::from_hours(1);
-/// How long a lost request is counted with the upstream that ended.
-const COUNTED: Duration = Duration::from_mins(2);
+/// How long a request remains suspect after its last crash.
+const SUSPICION_TTL: Duration = Duration::from_hours(1);
+/// How long a lost request is counted with an upstream that may have terminated.
+const LOSS_TTL: Duration = Duration::from_mins(2);
 /// How long a request that crashes upstreams is refused.
-const CONVICTED: Duration = Duration::from_hours(24);
-/// How long the peers' word is awaited before the caller hears anything.
-const TELL_PATIENCE: Duration = Duration::from_millis(300);
-/// After how long peers that haven't answered are told again.
-const TELL_AGAIN: Duration = Duration::from_millis(100);
-/// The most suspects that are remembered.
-const REMEMBERED: usize = 4096;
-/// On how many different upstreams a suspect dies, in company or not, to be convicted.
+const CONVICTION_TTL: Duration = Duration::from_hours(24);
+/// Longest time that the peers' acknowledgements are awaited before the caller is answered.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval at which a notice is sent again to peers that haven't acknowledged it.
+const NOTICE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of digests that are kept.
+const MAX_SUSPICIONS: usize = 4096;
+/// Number of crashes of different upstreams that convicts a suspect, isolated or not.
 ///
-/// A plain service's replica can't be reserved, so that its suspects never
-/// provably run alone; without this, one call could take them down in turn for ever.
-const CRASHES_THAT_CONVICT: usize = 3;
+/// A plain service's replica can't be reserved, so its suspects never provably run in
+/// isolation. Without this limit, one call could crash all replicas in turn, forever.
+const CONVICTION_THRESHOLD: usize = 3;
 
-/// One life of an upstream.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Life {
+struct UpstreamIncarnation {
     upstream: UpstreamId,
     incarnation: Option<Incarnation>,
 }
 
-impl Life {
-    /// Tells whether the host list shows that this life has ended.
-    fn has_ended(&self, cx: &Cx<'_>) -> bool {
+impl UpstreamIncarnation {
+    /// Reports whether the host list shows that this incarnation has terminated.
+    fn has_terminated(&self, cx: &Cx<'_>) -> bool {
         let listed = cx.upstreams.get(&self.upstream);
         listed.is_none_or(|listed| self.incarnation.is_some_and(|own| own < listed.incarnation))
     }
 }
 
-/// What is known of a request that was in progress when an upstream died.
+/// The crashes that a request was involved in.
 #[derive(Debug)]
 struct Suspicion {
-    crashed: OrderedSet<Life>,
+    crashes: OrderedSet<UpstreamIncarnation>,
     convicted: bool,
     until: Time,
 }
 
-/// A crash of which the peers are being told.
+/// A crash of which the peers have been notified and not all have acknowledged.
 #[derive(Debug)]
-struct Telling {
+struct PendingNotice {
     upstream: UpstreamId,
     digests: Vec<Digest>,
-    company: Company,
-    missing: OrderedSet<HostId>,
-    again_at: Time,
+    isolation: Isolation,
+    unacknowledged: OrderedSet<HostId>,
+    resend_at: Time,
     until: Time,
     held: Vec<RequestId>,
 }
 
-impl Telling {
+impl PendingNotice {
     fn message(&self) -> PeerMessage {
         PeerMessage::Suspects {
             upstream: self.upstream.clone(),
             incarnation: None,
             requests: self.digests.clone(),
-            alone: self.company == Company::Alone,
+            alone: self.isolation == Isolation::Exclusive,
         }
     }
 }
 
-/// The suspect that runs alone, or is the next to do so.
+/// The suspect that runs in isolation, or is the next to do so.
 #[derive(Clone, Debug)]
-pub(super) struct Alone {
-    /// The request.
+pub(super) struct IsolatedRun {
     pub(super) request: RequestId,
-    /// Where.
     pub(super) upstream: UpstreamId,
-    /// Since when the upstream is kept free for it.
+    /// Since when the upstream has been held for it.
     pub(super) since: Time,
-    /// When the upstream's owner was last asked to reserve it.
-    pub(super) asked: Option<Time>,
+    /// When the upstream's owner was last asked for a reservation.
+    pub(super) asked_at: Option<Time>,
 }
 
-/// How a request's digest stands.
+/// Whether a request with this digest may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// Nothing is held against it.
-    Free,
-    /// It runs alone.
+pub(super) enum SuspectStatus {
+    /// It isn't suspect.
+    Unsuspected,
+    /// It runs in isolation.
     Suspect,
     /// It isn't run any more.
     Convicted,
 }
 
-/// The suspects that a process knows of.
+/// The suspects known to a process.
 #[derive(Debug)]
 pub(super) struct Suspects {
     policy: SuspectPolicy,
     known: OrderedMap<Digest, Suspicion>,
-    tellings: Vec<Telling>,
-    heard: OrderedMap<HostId, Time>,
+    pending_notices: Vec<PendingNotice>,
+    last_contact: OrderedMap<HostId, Time>,
     /// The suspect requests that wait for an upstream of their own.
     pub(super) waiting: OrderedSet<Urgency>,
-    /// The one whose turn it is.
-    pub(super) alone: Option<Alone>,
+    /// The one that is dispatched now.
+    pub(super) isolated: Option<IsolatedRun>,
 }
 
 impl Suspects {
-    /// Makes the state of a process that suspects nothing.
+    /// Creates the state of a process without suspects.
     pub(super) const fn new(policy: SuspectPolicy) -> Self {
         Self {
             policy,
             known: OrderedMap::new(),
-            tellings: Vec::new(),
-            heard: OrderedMap::new(),
+            pending_notices: Vec::new(),
+            last_contact: OrderedMap::new(),
             waiting: OrderedSet::new(),
-            alone: None,
+            isolated: None,
         }
     }
 
-    /// Tells how a request's digest stands.
-    pub(super) fn standing(&self, digest: Digest) -> Standing {
+    /// Returns the status of a request's digest.
+    pub(super) fn status(&self, digest: Digest) -> SuspectStatus {
         match self.known.get(&digest) {
-            None => Standing::Free,
-            Some(suspicion) if suspicion.convicted => Standing::Convicted,
-            Some(_) if self.policy == SuspectPolicy::CountEnds => Standing::Free,
-            Some(_) => Standing::Suspect,
+            None => SuspectStatus::Unsuspected,
+            Some(suspicion) if suspicion.convicted => SuspectStatus::Convicted,
+            Some(_) if self.policy == SuspectPolicy::CountEnds => SuspectStatus::Unsuspected,
+            Some(_) => SuspectStatus::Suspect,
         }
     }
 
-    /// Returns how many digests are suspect, and how many of them convicted.
-    pub(super) fn count(&self, standing: Standing) -> usize {
-        self.known.keys().filter(|digest| self.standing(**digest) == standing).count()
+    /// Returns how many digests have a status.
+    pub(super) fn count(&self, status: SuspectStatus) -> usize {
+        self.known.keys().filter(|digest| self.status(**digest) == status).count()
     }
 
-    /// Returns the digests that something is held against.
+    /// Returns the digests that are suspect, convicted or counted.
     pub(super) fn digests(&self) -> impl Iterator<Item = Digest> {
         self.known.keys().copied()
     }
 
-    /// Takes note of a crash and begins to tell the peers of it.
+    /// Records a crash and notifies the peers of it.
     ///
-    /// Were the caller answered first, it could send the request again at once,
-    /// to a host that knows nothing and gives it to the next upstream.
-    pub(super) fn begin_telling(
+    /// If the caller were answered first, it could send the request again immediately, to a
+    /// host that doesn't know of the crash and passes the request to the next upstream.
+    pub(super) fn notify_peers(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
         digests: Vec<Digest>,
-        company: Company,
+        isolation: Isolation,
         held: RequestId,
     ) {
-        self.suspect(cx, upstream, &digests, company);
-        let missing = self.reachable(cx);
-        let telling = Telling {
+        self.record_crash(cx, upstream, &digests, isolation);
+        let unacknowledged = self.peers_to_await(cx);
+        let notice = PendingNotice {
             upstream: upstream.clone(),
             digests,
-            company,
-            missing,
-            again_at: cx.now.after(TELL_AGAIN),
-            until: cx.now.after(TELL_PATIENCE),
+            isolation,
+            unacknowledged,
+            resend_at: cx.now.after(NOTICE_RESEND_INTERVAL),
+            until: cx.now.after(NOTICE_TIMEOUT),
             held: vec![held],
         };
-        cx.broadcast(&telling.message());
-        self.tellings.push(telling);
+        cx.broadcast(&notice.message());
+        self.pending_notices.push(notice);
     }
 
-    /// Lets a request wait for a telling in progress that names it; tells whether there is one.
-    pub(super) fn join_telling(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
-        let telling =
-            self.tellings.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
-        let Some(telling) = telling else { return false };
-        telling.held.push(held);
+    /// Makes a request wait for a pending notice that names it; reports whether there is
+    /// one.
+    pub(super) fn join_notice(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
+        let notice =
+            self.pending_notices.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
+        let Some(notice) = notice else { return false };
+        notice.held.push(held);
         true
     }
 
-    /// Takes note of suspects, from this process or a peer.
-    pub(super) fn suspect(
+    /// Records suspects that this process or a peer has found.
+    pub(super) fn record_crash(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
         digests: &[Digest],
-        company: Company,
+        isolation: Isolation,
     ) {
         for digest in digests {
-            self.make_room();
+            self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashed: OrderedSet::new(),
+                crashes: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashed.insert(Life { upstream: upstream.clone(), incarnation: None });
-            let convicted = company == Company::Alone || suspicion.crashed.len() >= CRASHES_THAT_CONVICT;
+            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation: None });
+            let convicted =
+                isolation == Isolation::Exclusive || suspicion.crashes.len() >= CONVICTION_THRESHOLD;
             if convicted && !suspicion.convicted {
-                cx.log_event("request_convicted", digest, format!("it crashed {upstream}"));
+                cx.log_event("request_convicted", digest, format!("crashed {upstream}"));
             } else if !convicted {
-                cx.log_event("request_suspected", digest, format!("it was in progress when {upstream} died"));
+                cx.log_event("request_suspected", digest, format!("in progress when {upstream} died"));
             }
             suspicion.convicted |= convicted;
-            let kept = if suspicion.convicted { CONVICTED } else { SUSPECTED };
+            let kept = if suspicion.convicted { CONVICTION_TTL } else { SUSPICION_TTL };
             suspicion.until = cx.now.after(kept);
         }
     }
 
-    /// Counts requests that were lost with a life of an upstream, from this process or a peer.
+    /// Records requests that were lost with an incarnation of an upstream, at this process
+    /// or a peer.
     ///
-    /// Only lives that have ended count, as the host list shows; a connection
-    /// that broke says nothing of the request.
-    pub(super) fn count_loss(
+    /// Only incarnations that have terminated according to the host list count; a broken
+    /// connection alone proves nothing about the request.
+    pub(super) fn record_loss(
         &mut self,
         cx: &mut Cx<'_>,
         upstream: &UpstreamId,
@@ -221,117 +225,117 @@
         digests: &[Digest],
     ) {
         for digest in digests {
-            self.make_room();
+            self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashed: OrderedSet::new(),
+                crashes: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashed.insert(Life { upstream: upstream.clone(), incarnation });
-            suspicion.until = cx.now.after(COUNTED);
+            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation });
+            suspicion.until = cx.now.after(LOSS_TTL);
         }
         self.on_host_list(cx);
     }
 
-    /// Tells whether one more loss of a request is taken for its doing.
+    /// Reports whether one more loss is enough to blame the request.
     ///
-    /// The host list tells of an upstream's end only after a while. A request
-    /// that has ended all but one of the upstreams it takes to convict it would
-    /// be sent again in the meantime, and end one more.
-    pub(super) fn is_doubted(&self, cx: &Cx<'_>, digest: Digest) -> bool {
+    /// The host list shows an upstream's termination only after a while. A request that is
+    /// one crash short of conviction would be sent again in the meantime and crash one more
+    /// upstream.
+    pub(super) fn is_one_loss_from_conviction(&self, cx: &Cx<'_>, digest: Digest) -> bool {
         if self.policy != SuspectPolicy::CountEnds {
             return false;
         }
-        let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashed);
-        lives.filter(|life| life.has_ended(cx)).count() + 1 >= CRASHES_THAT_CONVICT
+        let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashes);
+        lives.filter(|life| life.has_terminated(cx)).count() + 1 >= CONVICTION_THRESHOLD
     }
 
-    /// Looks which requests have been lost with too many lives that ended.
+    /// Convicts requests that were lost with too many terminated incarnations.
     pub(super) fn on_host_list(&mut self, cx: &mut Cx<'_>) {
         if self.policy != SuspectPolicy::CountEnds {
             return;
         }
         for (digest, suspicion) in &mut self.known {
-            let ended = suspicion.crashed.iter().filter(|life| life.has_ended(cx)).count();
-            if ended >= CRASHES_THAT_CONVICT && !suspicion.convicted {
+            let ended = suspicion.crashes.iter().filter(|life| life.has_terminated(cx)).count();
+            if ended >= CONVICTION_THRESHOLD && !suspicion.convicted {
                 suspicion.convicted = true;
-                suspicion.until = cx.now.after(CONVICTED);
+                suspicion.until = cx.now.after(CONVICTION_TTL);
                 cx.log_event(
                     "request_convicted",
                     digest,
-                    format!("{ended} upstreams ended while they ran it"),
+                    format!("{ended} upstreams terminated while running it"),
                 );
             }
         }
     }
 
-    /// Takes note that a suspect ran to its end; tells whether it was one.
+    /// Clears a suspect that ran to completion; reports whether it was one.
     pub(super) fn clear(&mut self, digest: Digest) -> bool {
         if self.policy == SuspectPolicy::CountEnds {
             self.known.remove(&digest);
             return false;
         }
-        if self.standing(digest) != Standing::Suspect {
+        if self.status(digest) != SuspectStatus::Suspect {
             return false;
         }
         self.known.remove(&digest);
         true
     }
 
-    /// Takes note that a peer lives.
-    pub(super) fn heard_from(&mut self, now: Time, host: &HostId) {
-        self.heard.insert(host.clone(), now);
+    /// Records that a peer is alive.
+    pub(super) fn record_contact(&mut self, now: Time, host: &HostId) {
+        self.last_contact.insert(host.clone(), now);
     }
 
-    /// Takes a peer's word that it knows of suspects; returns the requests that may go on.
-    pub(super) fn on_noted(&mut self, from: &HostId, digests: &[Digest]) -> Vec<RequestId> {
-        for telling in &mut self.tellings {
-            if telling.digests.iter().all(|digest| digests.contains(digest)) {
-                telling.missing.remove(from);
+    /// Handles a peer's acknowledgement; returns the requests that may proceed.
+    pub(super) fn on_acknowledged(&mut self, from: &HostId, digests: &[Digest]) -> Vec<RequestId> {
+        for notice in &mut self.pending_notices {
+            if notice.digests.iter().all(|digest| digests.contains(digest)) {
+                notice.unacknowledged.remove(from);
             }
         }
-        self.take_told(Time::START)
+        self.take_notified(Time::START)
     }
 
-    /// Forgets old suspicions and peers that are gone.
-    pub(super) fn forget_old(&mut self, cx: &Cx<'_>) {
+    /// Removes expired suspicions and peers that are no longer members.
+    pub(super) fn remove_expired(&mut self, cx: &Cx<'_>) {
         self.known.retain(|_, suspicion| !suspicion.until.is_due(cx.now));
-        self.heard.retain(|host, _| cx.cache.member(host).is_some());
+        self.last_contact.retain(|host, _| cx.cache.member(host).is_some());
     }
 
-    /// Tells silent peers again; returns the requests that may go on.
+    /// Sends pending notices again; returns the requests that may proceed.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<RequestId> {
-        for telling in &mut self.tellings {
-            if !telling.again_at.is_due(cx.now) {
+        for notice in &mut self.pending_notices {
+            if !notice.resend_at.is_due(cx.now) {
                 continue;
             }
-            telling.again_at = cx.now.after(TELL_AGAIN);
-            let message = telling.message();
-            for host in &telling.missing {
+            notice.resend_at = cx.now.after(NOTICE_RESEND_INTERVAL);
+            let message = notice.message();
+            for host in &notice.unacknowledged {
                 cx.send(host, message.clone());
             }
         }
-        self.take_told(cx.now)
+        self.take_notified(cx.now)
     }
 
-    /// Returns the requests whose peers have been told as far as is possible.
-    pub(super) fn take_told(&mut self, now: Time) -> Vec<RequestId> {
-        let told = |t: &mut Telling| t.missing.is_empty() || t.until.is_due(now);
-        self.tellings.extract_if(.., told).flat_map(|t| t.held).collect()
+    /// Returns the requests whose notice is acknowledged by all peers or has timed out.
+    pub(super) fn take_notified(&mut self, now: Time) -> Vec<RequestId> {
+        let is_done = |t: &mut PendingNotice| t.unacknowledged.is_empty() || t.until.is_due(now);
+        self.pending_notices.extract_if(.., is_done).flat_map(|t| t.held).collect()
     }
 
-    /// Returns the peers whose word is worth waiting for.
-    fn reachable(&self, cx: &Cx<'_>) -> OrderedSet<HostId> {
+    /// Returns the peers whose acknowledgement is awaited.
+    fn peers_to_await(&self, cx: &Cx<'_>) -> OrderedSet<HostId> {
         let silent = |host: &HostId| {
-            let heard = self.heard.get(host);
-            heard.is_some_and(|at| at.after(cx.cfg.timings.peer_timeout).is_due(cx.now))
+            let last_contact = self.last_contact.get(host);
+            last_contact.is_some_and(|at| at.after(cx.cfg.timings.peer_timeout).is_due(cx.now))
         };
         let members = cx.cache.members().map(|(host, _)| host);
         members.filter(|host| **host != cx.cfg.host && !silent(host)).cloned().collect()
     }
 
-    fn make_room(&mut self) {
-        if self.known.len() < REMEMBERED {
+    fn evict_if_full(&mut self) {
+        if self.known.len() < MAX_SUSPICIONS {
             return;
         }
         let first = self.known.iter().min_by_key(|(_, s)| (s.convicted, s.until)).map(|(digest, _)| *digest);
