--- a/crates/skylarkshore-core/src/headcount.rs
+++ b/crates/skylarkshore-core/src/headcount.rs
@@ -1,36 +1,36 @@
-//! How many processes share what is allowed to all of them together.
+//! Number of processes that share a fleet-wide limit.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// How long the largest number that was seen is believed.
+/// How long the largest observed count stays in effect.
 ///
-/// In an outage the members' keys may vanish while every process lives. If each
-/// then took the whole for itself, all together would pass it.
-const BELIEVED: Duration = Duration::from_secs(30);
+/// In an outage the members' keys may expire while all processes live. If each
+/// process then claimed the whole limit, together they would exceed it.
+const PEAK_LIFETIME: Duration = Duration::from_secs(30);
 
-/// The largest number of processes seen lately.
+/// The largest number of processes observed recently.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Headcount {
-    most: u64,
-    seen: Time,
+    peak: u64,
+    observed_at: Time,
 }
 
 impl Headcount {
-    /// Nobody else is known.
-    pub(crate) const ALONE: Self = Self { most: 1, seen: Time::START };
+    /// Count of a process that knows no other.
+    pub(crate) const ALONE: Self = Self { peak: 1, observed_at: Time::START };
 
-    /// Takes note of a number that was seen.
+    /// Records an observed count.
     pub(crate) fn note(&mut self, now: Time, hosts: usize) {
         let hosts = u64::try_from(hosts).unwrap_or(u64::MAX).max(1);
-        if hosts >= self.most || self.seen.after(BELIEVED).is_due(now) {
-            *self = Self { most: hosts, seen: now };
+        if hosts >= self.peak || self.observed_at.after(PEAK_LIFETIME).is_due(now) {
+            *self = Self { peak: hosts, observed_at: now };
         }
     }
 
-    /// Returns the number, one at least.
+    /// Returns the count, at least one.
     pub(crate) const fn get(self) -> u64 {
-        self.most
+        self.peak
     }
 }
--- a/crates/skylarkshore-core/src/lib.rs
+++ b/crates/skylarkshore-core/src/lib.rs
@@ -1,9 +1,10 @@
-//! Every decision of skylarkshore, without input or output.
+//! Decision logic of skylarkshore, free of I/O.
 //!
-//! A [`Node`] is one process's state. It takes an [`Event`] and the time, and
-//! returns the [`Effect`]s that its surroundings have to carry out. It reads no
-//! clock, opens no socket, starts no task and draws its randomness from a seed,
-//! so that a test can hold nine of them and strike a fault after any effect.
+//! A [`Node`] is the state machine of one process. It takes an [`Event`] and the
+//! current time and returns the [`Effect`]s for the runtime to execute. It reads
+//! no clock, opens no socket, spawns no task and seeds its random number
+//! generator from the configuration, so that a test can run nine nodes in one
+//! process and inject a fault after any effect.
 
 pub mod accounts;
 pub mod authority;
@@ -17,11 +18,11 @@
 pub mod event;
 mod headcount;
 pub mod id;
-mod listing;
 pub mod loading;
 pub mod node;
 pub mod peer;
 pub mod quota;
+mod removal_grace;
 pub mod rules;
 pub mod serving;
 pub mod store;
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -1,4 +1,6 @@
-//! One process's state, and the order in which its parts hear of an event.
+//! State machine of one process: dispatches each event to the subsystems in a fixed order.
+//!
+//! [`Node`] is the entry point.
 
 use std::sync::Arc;
 
@@ -14,9 +16,9 @@
 use crate::effect::Effect;
 use crate::event::Event;
 use crate::id::{HostId, StoreRevision};
-use crate::listing::Listing;
 use crate::loading::Loading;
 use crate::peer::{Envelope, PeerMessage};
+use crate::removal_grace::RemovalGrace;
 use crate::rules::MinuteOfDay;
 use crate::serving::Serving;
 use crate::store::{
@@ -25,7 +27,7 @@
 use crate::time::Time;
 use crate::upstream::{UpstreamChanges, UpstreamList};
 
-/// One process's state.
+/// State machine of one process.
 #[derive(Debug)]
 pub struct Node {
     cfg: NodeConfig,
@@ -33,7 +35,7 @@
     document: Arc<Document>,
     cache: StoreCache,
     upstreams: UpstreamList,
-    listing: Listing,
+    removal_grace: RemovalGrace,
     counters: Counters,
     rng: SmallRng,
     writes: Writes,
@@ -46,16 +48,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shutdown {
     No,
-    /// Callers may still hold this host's address until the time.
+    /// Callers may use a cached address of this host until `until`.
     Draining {
         until: Time,
     },
-    /// No new requests come in any more.
+    /// New connections and requests are no longer accepted.
     Closed,
     Exited,
 }
 
-/// The parts that a decision changes, beside the surroundings that it reads.
+/// Subsystems that an event handler may modify, alongside the context it reads.
 struct Parts<'a> {
     writes: &'a mut Writes,
     control: &'a mut Control,
@@ -64,14 +66,14 @@
 }
 
 impl Node {
-    /// Makes a process's state and the effects with which it starts.
+    /// Creates the state of a process and returns it with its initial effects.
     pub fn start(cfg: NodeConfig, now: Time) -> (Self, Vec<Effect>) {
         let mut node = Self {
             at: MinuteOfDay::default(),
             document: Arc::new(Document { rules: cfg.default_rules.clone(), ..Document::default() }),
             cache: StoreCache::default(),
             upstreams: UpstreamList::default(),
-            listing: Listing::new(),
+            removal_grace: RemovalGrace::new(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(cfg.seed),
             writes: Writes::default(),
@@ -82,52 +84,52 @@
             cfg,
         };
         let mut effects = Vec::new();
-        node.with(now, &mut effects, |cx, parts| parts.control.start(cx));
+        node.with_context(now, &mut effects, |cx, parts| parts.control.start(cx));
         (node, effects)
     }
 
-    /// Takes an event and returns what has to be done.
+    /// Handles an event and returns the effects to execute.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.dispatch(now, event, &mut effects);
-        self.hand_over_ownership(now, &mut effects);
-        self.take_own_messages(now, &mut effects);
+        self.apply_ownership_changes(now, &mut effects);
+        self.deliver_messages_to_self(now, &mut effects);
         effects
     }
 
-    /// Returns the operators' document in force.
+    /// Returns the active operator document (rules and catalogue).
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 
-    /// Returns what the process was told about itself.
+    /// Returns the process's configuration.
     pub const fn config(&self) -> &NodeConfig {
         &self.cfg
     }
 
-    /// Returns the shared keys as this process knows them.
+    /// Returns the local cache of the shared keys.
     pub const fn cache(&self) -> &StoreCache {
         &self.cache
     }
 
-    /// Returns the host list as last read.
+    /// Returns the upstreams of the host list.
     pub const fn upstreams(&self) -> &UpstreamList {
         &self.upstreams
     }
 
-    /// Tells whether the process has been asked to end.
+    /// Reports whether shutdown has been requested.
     pub fn is_leaving(&self) -> bool {
         self.shutdown != Shutdown::No
     }
 
-    /// Tells whether the process knows enough to serve.
+    /// Reports whether the process has a document and upstreams and isn't shutting down.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.document.is_known() && !self.upstreams.is_empty()
     }
 
-    /// Tells what the process believes.
+    /// Returns the state dump.
     pub fn dump(&mut self, now: Time) -> Vec<Belief> {
-        self.with(now, &mut Vec::new(), |cx, parts| {
+        self.with_context(now, &mut Vec::new(), |cx, parts| {
             let mut beliefs = parts.control.dump(cx);
             beliefs.extend(parts.loading.dump(cx));
             beliefs.extend(parts.serving.dump(cx));
@@ -135,9 +137,9 @@
         })
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the current gauge metrics.
     pub fn gauges(&mut self, now: Time) -> Vec<Gauge> {
-        self.with(now, &mut Vec::new(), |cx, parts| {
+        self.with_context(now, &mut Vec::new(), |cx, parts| {
             let mut gauges = parts.control.gauges(cx);
             gauges.extend(parts.loading.gauges(cx));
             gauges.extend(parts.serving.gauges(cx));
@@ -156,103 +158,105 @@
             Event::Shutdown => self.on_shutdown(now, effects),
             Event::HostList(list) => {
                 let grace = self.cfg.timings.list_grace;
-                let changes = self.listing.compare(now, grace, list, &self.upstreams);
-                self.change_upstreams(now, changes, effects);
+                let changes = self.removal_grace.changes_for_list(now, grace, list, &self.upstreams);
+                self.apply_upstream_changes(now, changes, effects);
             }
             Event::Upstreams(changes) => {
                 let grace = self.cfg.timings.list_grace;
-                let changes = self.listing.weigh(now, grace, changes, &self.upstreams);
-                self.change_upstreams(now, changes, effects);
+                let changes = self.removal_grace.filter_changes(now, grace, changes, &self.upstreams);
+                self.apply_upstream_changes(now, changes, effects);
             }
             Event::Store { call, result } => {
                 match &result {
-                    Ok(_) => self.listing.answered(now),
-                    Err(_failure) => self.listing.silent(),
+                    Ok(_) => self.removal_grace.record_success(now),
+                    Err(_failure) => self.removal_grace.record_failure(),
                 }
                 if let Ok(StoreAnswer::Shared { revision, records }) = &result {
-                    self.take_snapshot(now, *revision, records.clone(), effects);
+                    self.apply_snapshot(now, *revision, records.clone(), effects);
                 }
                 if let Ok(StoreAnswer::Members(records)) = &result {
-                    self.take_records(now, records.clone(), effects);
+                    self.apply_records(now, records.clone(), effects);
                 }
                 if let Ok(StoreAnswer::One(found)) = &result
                     && !matches!(found.key, Key::Once(_))
                 {
-                    self.take_records(now, vec![found.clone()], effects);
+                    self.apply_records(now, vec![found.clone()], effects);
                 }
-                let ended = self.with(now, effects, |cx, parts| {
+                let outcome = self.with_context(now, effects, |cx, parts| {
                     parts.control.on_store(cx, call, &result);
                     parts.serving.on_store(cx, call, &result);
                     parts.writes.on_result(cx, call, &result)
                 });
-                if let Some((key, outcome)) = ended {
-                    self.on_written(now, &key, &outcome, effects);
+                if let Some((key, outcome)) = outcome {
+                    self.on_write_outcome(now, &key, &outcome, effects);
                 }
             }
             Event::Watched { changes, upto } => {
-                self.take_records(now, changes.clone(), effects);
-                self.with(now, effects, |cx, parts| parts.control.on_watched(cx, changes, upto));
+                self.apply_records(now, changes.clone(), effects);
+                self.with_context(now, effects, |cx, parts| parts.control.on_watched(cx, changes, upto));
             }
             Event::NewsRead(news) => {
-                self.with(now, effects, |cx, parts| parts.control.on_news_read(cx, &news));
+                self.with_context(now, effects, |cx, parts| parts.control.on_news_read(cx, &news));
             }
             Event::State { upto, records } => {
-                self.take_snapshot(now, upto, records, effects);
-                self.with(now, effects, |cx, parts| parts.control.on_state(cx, upto));
+                self.apply_snapshot(now, upto, records, effects);
+                self.with_context(now, effects, |cx, parts| parts.control.on_state(cx, upto));
             }
             Event::UnknownPeer => {
-                self.with(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
+                self.with_context(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
             }
             Event::NewsMissed { lasts } => {
-                self.with(now, effects, |cx, parts| parts.control.on_news_missed(cx, lasts));
+                self.with_context(now, effects, |cx, parts| parts.control.on_news_missed(cx, lasts));
             }
             Event::WatchUnanswered => {
-                self.listing.silent();
+                self.removal_grace.record_failure();
                 self.control.on_watch_unanswered();
             }
             Event::WatchBroken => {
-                self.listing.silent();
-                self.with(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
+                self.removal_grace.record_failure();
+                self.with_context(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
             }
             Event::Peer { from, message } => self.on_peer(now, &from, message, effects),
             Event::PeerRefused { host, incarnation } => {
-                self.with(now, effects, |cx, parts| parts.control.on_peer_refused(cx, &host, incarnation));
+                self.with_context(now, effects, |cx, parts| {
+                    parts.control.on_peer_refused(cx, &host, incarnation)
+                });
             }
             Event::Order { upstream, order, answer } => {
-                self.with(now, effects, |cx, parts| {
+                self.with_context(now, effects, |cx, parts| {
                     parts.loading.on_order(cx, &*parts.control, &upstream, order, &answer);
                 });
             }
-            Event::Report { upstream, asked, report } => self.with(now, effects, |cx, parts| {
+            Event::Report { upstream, asked, report } => self.with_context(now, effects, |cx, parts| {
                 parts.control.on_report(cx, &upstream, report.is_some());
                 parts.loading.on_report(cx, &*parts.control, &upstream, asked, report.as_ref());
             }),
             Event::Arrived { request, arrival } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_arrived(cx, request, arrival));
+                self.with_context(now, effects, |cx, parts| parts.serving.on_arrived(cx, request, arrival));
             }
             Event::CallerGone { request } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
+                self.with_context(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
             }
             Event::LoadTold { upstream, load } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_load_told(cx, &upstream, load));
+                self.with_context(now, effects, |cx, parts| parts.serving.on_load_told(cx, &upstream, load));
             }
             Event::AnswerStarted { attempt } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
+                self.with_context(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
             }
             Event::AttemptEnded { attempt, end } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_attempt_ended(cx, attempt, end));
+                self.with_context(now, effects, |cx, parts| parts.serving.on_attempt_ended(cx, attempt, end));
             }
         }
     }
 
     fn on_tick(&mut self, now: Time, at: MinuteOfDay, effects: &mut Vec<Effect>) {
         self.at = at;
-        let ended = self.with(now, effects, |cx, parts| parts.writes.on_tick(cx));
-        for (key, outcome) in ended {
-            self.on_written(now, &key, &outcome, effects);
+        let outcomes = self.with_context(now, effects, |cx, parts| parts.writes.on_tick(cx));
+        for (key, outcome) in outcomes {
+            self.on_write_outcome(now, &key, &outcome, effects);
         }
-        self.drop_gone_upstreams(now, effects);
-        self.with(now, effects, |cx, parts| {
+        self.remove_missing_upstreams(now, effects);
+        self.with_context(now, effects, |cx, parts| {
             parts.control.on_tick(cx, &*parts.loading);
             parts.loading.on_tick(cx, &*parts.control);
             parts.serving.on_tick(cx);
@@ -265,83 +269,84 @@
             return;
         }
         self.shutdown = Shutdown::Draining { until: now.after(self.cfg.timings.entry_kept) };
-        self.with(now, effects, |cx, parts| {
+        self.with_context(now, effects, |cx, parts| {
             parts.control.on_shutdown(cx);
             parts.serving.on_shutdown(cx);
         });
     }
 
-    /// Ends the process once callers' answers have run out, nothing is in progress and nothing is owned.
+    /// Closes the intake when callers' cached addresses have expired, and exits when no request is in
+    /// progress and no engine is owned.
     fn exit_when_done(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if let Shutdown::Draining { until } = self.shutdown
             && until.is_due(now)
         {
             self.shutdown = Shutdown::Closed;
             effects.push(Effect::CloseIntake);
-            self.with(now, effects, |cx, parts| parts.serving.on_intake_closed(cx));
+            self.with_context(now, effects, |cx, parts| parts.serving.on_intake_closed(cx));
         }
         if self.shutdown != Shutdown::Closed || !self.serving.is_idle() {
             return;
         }
-        self.with(now, effects, |cx, parts| parts.control.on_drained(cx));
+        self.with_context(now, effects, |cx, parts| parts.control.on_drained(cx));
         if self.control.has_left() {
             self.shutdown = Shutdown::Exited;
             effects.push(Effect::Exit);
         }
     }
 
-    fn drop_gone_upstreams(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let gone = self.listing.take_gone(now, self.cfg.timings.list_grace);
+    fn remove_missing_upstreams(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let gone = self.removal_grace.take_expired(now, self.cfg.timings.list_grace);
         let gone = gone.into_iter().collect();
-        self.change_upstreams(now, UpstreamChanges { changed: Vec::new(), gone }, effects);
+        self.apply_upstream_changes(now, UpstreamChanges { changed: Vec::new(), gone }, effects);
     }
 
-    fn change_upstreams(&mut self, now: Time, changes: UpstreamChanges, effects: &mut Vec<Effect>) {
-        let touched = self.upstreams.apply(changes);
-        if touched.is_empty() {
+    fn apply_upstream_changes(&mut self, now: Time, changes: UpstreamChanges, effects: &mut Vec<Effect>) {
+        let changed = self.upstreams.apply(changes);
+        if changed.is_empty() {
             return;
         }
-        self.with(now, effects, |cx, parts| {
-            parts.control.on_host_list(cx, &touched);
-            parts.serving.on_host_list(cx, &touched);
+        self.with_context(now, effects, |cx, parts| {
+            parts.control.on_host_list(cx, &changed);
+            parts.serving.on_host_list(cx, &changed);
         });
     }
 
     fn on_peer(&mut self, now: Time, from: &HostId, message: PeerMessage, effects: &mut Vec<Effect>) {
         if let PeerMessage::Records(batch) = message {
-            self.take_batch(now, from, batch, effects);
+            self.apply_batch(now, from, batch, effects);
             return;
         }
         if let PeerMessage::News(news) = &message {
             effects.push(Effect::TakeNews(news.clone()));
         }
         if let PeerMessage::Spread { origin, message: inner } = &message {
-            let is_own = *origin == self.cfg.host;
+            let is_from_self = *origin == self.cfg.host;
             let inner = (**inner).clone();
-            self.with(now, effects, |cx, parts| parts.control.on_peer(cx, from, &message));
-            if !is_own {
+            self.with_context(now, effects, |cx, parts| parts.control.on_peer(cx, from, &message));
+            if !is_from_self {
                 self.on_peer(now, &origin.clone(), inner, effects);
             }
             return;
         }
-        self.with(now, effects, |cx, parts| {
+        self.with_context(now, effects, |cx, parts| {
             parts.control.on_peer(cx, from, &message);
             parts.loading.on_peer(cx, &*parts.control, from, &message);
             parts.serving.on_peer(cx, from, &message);
         });
     }
 
-    fn take_batch(&mut self, now: Time, from: &HostId, batch: RecordBatch, effects: &mut Vec<Effect>) {
+    fn apply_batch(&mut self, now: Time, from: &HostId, batch: RecordBatch, effects: &mut Vec<Effect>) {
         let RecordBatch { after, upto, records } = batch;
         if after.is_some() {
-            self.take_records(now, records, effects);
+            self.apply_records(now, records, effects);
         } else {
-            self.take_snapshot(now, upto, records, effects);
+            self.apply_snapshot(now, upto, records, effects);
         }
-        self.with(now, effects, |cx, parts| parts.control.on_records(cx, from, after, upto));
+        self.with_context(now, effects, |cx, parts| parts.control.on_records(cx, from, after, upto));
     }
 
-    fn take_snapshot(
+    fn apply_snapshot(
         &mut self,
         now: Time,
         revision: StoreRevision,
@@ -349,10 +354,10 @@
         effects: &mut Vec<Effect>,
     ) {
         let changed = self.cache.apply_all(revision, records);
-        self.announce(now, &changed, effects);
+        self.notify_changed_keys(now, &changed, effects);
     }
 
-    fn take_records(&mut self, now: Time, records: Vec<Versioned>, effects: &mut Vec<Effect>) {
+    fn apply_records(&mut self, now: Time, records: Vec<Versioned>, effects: &mut Vec<Effect>) {
         let mut changed = Vec::new();
         for record in records {
             let key = record.key.clone();
@@ -360,38 +365,38 @@
                 changed.push(key);
             }
         }
-        self.announce(now, &changed, effects);
+        self.notify_changed_keys(now, &changed, effects);
     }
 
-    fn on_written(&mut self, now: Time, key: &Key, outcome: &WriteOutcome, effects: &mut Vec<Effect>) {
+    fn on_write_outcome(&mut self, now: Time, key: &Key, outcome: &WriteOutcome, effects: &mut Vec<Effect>) {
         if matches!(key, Key::Once(_)) {
-            self.with(now, effects, |cx, parts| parts.serving.on_write(cx, key, outcome));
+            self.with_context(now, effects, |cx, parts| parts.serving.on_write(cx, key, outcome));
             return;
         }
         if let WriteOutcome::Done(found) | WriteOutcome::Conflict(found) = outcome {
-            self.take_records(now, vec![found.clone()], effects);
+            self.apply_records(now, vec![found.clone()], effects);
         }
-        self.with(now, effects, |cx, parts| parts.control.on_write(cx, key, outcome));
+        self.with_context(now, effects, |cx, parts| parts.control.on_write(cx, key, outcome));
     }
 
-    fn announce(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
+    fn notify_changed_keys(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
         for key in changed {
             if matches!(key, Key::Document | Key::Catalogue) {
-                self.adopt_document();
+                self.activate_newer_document();
             }
-            self.with(now, effects, |cx, parts| {
+            self.with_context(now, effects, |cx, parts| {
                 parts.control.on_change(cx, key);
                 parts.serving.on_change(cx, key);
             });
         }
     }
 
-    /// Puts the cached document and catalogue into force where their revisions are higher.
+    /// Activates the cached document and catalogue if their own revisions are higher.
     ///
-    /// A restored or stale key-value service can show an older document under a
-    /// newer store revision. Operators would see refused rules act again; so
-    /// the operators' own revision has to rise too.
-    fn adopt_document(&mut self) {
+    /// A key-value service that was restored from a backup or is stale can return
+    /// an older document under a newer store revision. Comparing the operators'
+    /// own revision keeps withdrawn rules from taking effect again.
+    fn activate_newer_document(&mut self) {
         let mut document = Arc::clone(&self.document);
         if let Some(Record::Document(newer)) = self.record(&Key::Document)
             && newer.revision > document.revision
@@ -410,22 +415,22 @@
         self.cache.get(key)?.record.as_ref()
     }
 
-    fn hand_over_ownership(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn apply_ownership_changes(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let changes: Vec<OwnershipChange> = self.control.take_changes();
         for change in changes {
-            self.with(now, effects, |cx, parts| parts.loading.on_ownership(cx, &change));
+            self.with_context(now, effects, |cx, parts| parts.loading.on_ownership(cx, &change));
         }
     }
 
-    fn take_own_messages(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn deliver_messages_to_self(&mut self, now: Time, effects: &mut Vec<Effect>) {
         loop {
             let to_self = |effect: &mut Effect| matches!(effect, Effect::Peer(e) if e.to == self.cfg.host);
-            let own: Vec<Effect> = effects.extract_if(.., to_self).collect();
-            if own.is_empty() {
+            let local: Vec<Effect> = effects.extract_if(.., to_self).collect();
+            if local.is_empty() {
                 return;
             }
             let from = self.cfg.host.clone();
-            for effect in own {
+            for effect in local {
                 if let Effect::Peer(Envelope { message, .. }) = effect {
                     self.on_peer(now, &from, message, effects);
                 }
@@ -433,13 +438,13 @@
         }
     }
 
-    fn with<T>(
+    fn with_context<T>(
         &mut self,
         now: Time,
         effects: &mut Vec<Effect>,
         f: impl FnOnce(&mut Cx<'_>, Parts<'_>) -> T,
     ) -> T {
-        let mut wanted: Vec<WriteRequest> = Vec::new();
+        let mut write_requests: Vec<WriteRequest> = Vec::new();
         let mut cx = Cx {
             now,
             at: self.at,
@@ -448,7 +453,7 @@
             cache: &self.cache,
             upstreams: &self.upstreams,
             effects,
-            writes: &mut wanted,
+            writes: &mut write_requests,
             counters: &mut self.counters,
             rng: &mut self.rng,
         };
