--- a/crates/skylarkshore-core/src/cx.rs
+++ b/crates/skylarkshore-core/src/cx.rs
@@ -1,4 +1,4 @@
-//! What every decision may use: the time, the settings, the shared keys, and a place for its effects.
+//! Context of an event handler: [`Cx`] gives access to time, configuration and cached state, and collects effects.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -13,7 +13,7 @@
 use crate::time::Time;
 use crate::upstream::UpstreamList;
 
-/// The numbers that a process has given out.
+/// Last identifiers allocated by the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     call: CallId,
@@ -21,28 +21,28 @@
     attempt: AttemptId,
 }
 
-/// The surroundings of one decision.
+/// Context in which one event is handled.
 #[derive(Debug)]
 pub struct Cx<'a> {
     /// The time of the event.
     pub now: Time,
-    /// The time of day.
+    /// Time of day, which rules may depend on.
     pub at: MinuteOfDay,
-    /// What the process was told about itself.
+    /// Configuration of the process.
     pub cfg: &'a NodeConfig,
-    /// The operators' document in force.
+    /// Active operator document (rules and catalogue).
     pub document: &'a Document,
-    /// The shared keys as this process knows them.
+    /// Local cache of the shared keys.
     pub cache: &'a StoreCache,
-    /// The host list as last read.
+    /// Upstreams of the host list.
     pub upstreams: &'a UpstreamList,
-    /// Where the effects go.
+    /// Collected effects.
     pub effects: &'a mut Vec<Effect>,
-    /// Where the wanted writes go.
+    /// Collected write requests.
     pub writes: &'a mut Vec<WriteRequest>,
-    /// The numbers given out so far.
+    /// Last allocated identifiers.
     pub counters: &'a mut Counters,
-    /// The seeded source of randomness.
+    /// Seeded random number generator.
     pub rng: &'a mut SmallRng,
 }
 
@@ -52,19 +52,19 @@
         self.effects.push(effect);
     }
 
-    /// Sends a message to a process; one to this process itself is taken at once.
+    /// Sends a message to a process; a message to this process is delivered when the event has been handled.
     pub fn tell(&mut self, to: &HostId, message: PeerMessage) {
         self.push(Effect::Peer(Envelope { to: to.clone(), message }));
     }
 
-    /// Begins a write; its outcome comes to whoever looks after the key.
+    /// Queues a write; its outcome is passed to the subsystem that owns the key.
     ///
-    /// Writes of the same key are carried out one after the other.
+    /// Writes to the same key are executed sequentially.
     pub fn write(&mut self, req: WriteRequest) {
         self.writes.push(req);
     }
 
-    /// Sends a message to every other live member.
+    /// Sends a message to every other member.
     pub fn tell_all(&mut self, message: &PeerMessage) {
         let own = &self.cfg.host;
         let peers: Vec<HostId> =
@@ -74,36 +74,36 @@
         }
     }
 
-    /// Notes something that operators ought to know.
-    #[expect(clippy::needless_pass_by_value, reason = "names and formatted texts are passed alike")]
+    /// Logs and counts an event for the operators.
+    #[expect(clippy::needless_pass_by_value, reason = "accepts names and formatted strings alike")]
     pub fn note(&mut self, event: &'static str, subject: impl ToString, detail: impl ToString) {
         self.push(Effect::Note(Note { event, subject: subject.to_string(), detail: detail.to_string() }));
     }
 
-    /// Notes a decision on a request, with what decided it.
+    /// Logs a decision on a request with its inputs.
     pub fn decided(&mut self, request: RequestId, event: &'static str, detail: String) {
         self.push(Effect::Decision(Decision { request, event, detail }));
     }
 
-    /// Gives out the number of a call to the key-value service.
+    /// Allocates an identifier for a call to the key-value service.
     pub const fn next_call(&mut self) -> CallId {
         self.counters.call = self.counters.call.next();
         self.counters.call
     }
 
-    /// Gives out the number of an order.
+    /// Allocates an identifier for an order.
     pub const fn next_order(&mut self) -> OrderId {
         self.counters.order = self.counters.order.next();
         self.counters.order
     }
 
-    /// Gives out the number of an attempt.
+    /// Allocates an identifier for an attempt.
     pub const fn next_attempt(&mut self) -> AttemptId {
         self.counters.attempt = self.counters.attempt.next();
         self.counters.attempt
     }
 
-    /// Returns a duration between half of `d` and one and a half of it.
+    /// Returns a random duration between 0.5 and 1.5 times `d`.
     pub fn jitter(&mut self, d: std::time::Duration) -> std::time::Duration {
         d.mul_f64(self.rng.random_range(0.5..1.5))
     }
--- a/crates/skylarkshore-core/src/dump.rs
+++ b/crates/skylarkshore-core/src/dump.rs
@@ -1,25 +1,25 @@
-//! What a process believes, for whoever asks.
+//! Entries of the state dump and gauge metrics, as returned by [`Node`](crate::Node).
 
 use crate::time::Time;
 
-/// One belief of a process.
+/// One entry of the state dump.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Belief {
-    /// What kind of thing it is about, such as `engine` or `request`.
+    /// Kind of the subject, such as `engine` or `request`.
     pub kind: &'static str,
-    /// The thing's name.
+    /// Name of the subject.
     pub subject: String,
-    /// What is believed of it, in a few words.
+    /// Its state as this process knows it, as a short text.
     pub state: String,
-    /// Since when.
+    /// When it entered this state.
     pub since: Option<Time>,
 }
 
-/// A number that changes, for the metrics.
+/// A gauge metric.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gauge {
-    /// The metric's name without the program's prefix, with its unit.
+    /// Name of the metric, with its unit and without the program's prefix.
     pub name: &'static str,
-    /// Its value now.
+    /// Current value.
     pub value: f64,
 }
--- a/crates/skylarkshore-core/src/effect.rs
+++ b/crates/skylarkshore-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a process's surroundings have to do for it.
+//! Outputs of the state machine, which the runtime executes. [`Effect`] is the type to start with.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use crate::time::Time;
 use crate::upstream::Order;
 
-/// What a refusal says about whether the request was run.
+/// Whether a refused request was run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RefusalOutcome {
-    /// It was not run, and won't be.
+    /// It was not run and won't be.
     #[display("not_run")]
     NotRun,
     /// It may have been run.
     #[display("unknown")]
     Unknown,
-    /// It was run, and failed.
+    /// It was run and failed.
     #[display("failed")]
     Failed,
 }
@@ -31,234 +31,234 @@
 /// Why a request is refused.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// A rule refuses it, in the operators' words.
+    /// A rule refuses it; carries the operators' message.
     #[display("a rule refuses it: {_0}")]
     Rule(String),
-    /// The model can't be made available within the time that the caller gives.
+    /// The model can't be loaded before the caller's deadline.
     #[display("the model can't be loaded within the time-out; allow more time or ask again later")]
     ColdStartTooLong,
-    /// Memory, power or loads are short, and others go first.
+    /// Memory, power or load slots are exhausted by requests served earlier.
     #[display("the site is short of {_0}; ask again later")]
     Short(&'static str),
     /// The queue is full.
     #[display("too many requests wait; ask again later")]
     QueueFull,
-    /// The time ran out while it waited.
+    /// The deadline passed while it was queued.
     #[display("the time-out passed while the request waited; allow more time or ask again later")]
     DeadlinePassed,
-    /// The time ran out while it ran.
+    /// The deadline passed while it was running.
     #[display("the time-out passed while the request ran")]
     DeadlinePassedRunning,
-    /// No upstream can take it.
+    /// No upstream is available.
     #[display("no upstream can take it now; ask again later")]
     NoUpstream,
-    /// The upstream died or its answer was cut short.
+    /// The upstream crashed or its answer was truncated.
     #[display("the upstream was lost while it ran the request")]
     UpstreamLost,
-    /// The key-value service can't be reached, so that a single run can't be assured.
+    /// The key-value service is unreachable, so at-most-once execution can't be guaranteed.
     #[display(
         "the key-value service can't be reached, so that a single run can't be assured; ask again later"
     )]
     StoreUnreachable,
-    /// The same key is in use with another request.
+    /// The idempotency key was used with another request.
     #[display("the idempotency key was used for another request; choose a new key")]
     KeyConflict,
-    /// The same key is in progress or its outcome isn't known.
+    /// A request with the same idempotency key was begun and its outcome is unknown.
     #[display("a request with this idempotency key was begun before, and its outcome isn't known here")]
     KeyInDoubt,
-    /// The same key is being run by a live process.
+    /// A live process is running a request with the same idempotency key.
     #[display("a request with this idempotency key is in progress; ask again for its answer")]
     KeyInProgress,
-    /// It ran, but the answer was too large to be kept.
+    /// It ran, but its answer was too large to record.
     #[display("the request was run, but its answer wasn't kept")]
     AnswerNotKept,
-    /// The caller closed its connection, so that nobody hears this but the log.
+    /// The caller closed its connection; this reason appears only in the log.
     #[display("the caller closed its connection")]
     CallerGone,
     /// It has crashed upstreams before.
     #[display("this request has crashed the upstreams that ran it; do not send it again")]
     CrashesUpstreams,
-    /// The process is about to end.
+    /// The process is shutting down.
     #[display("this host is about to go; use another one")]
     Leaving,
-    /// The client account has used up its limit.
+    /// The client account has reached its limit.
     #[display("the client account is over its limit; ask again later")]
     OverLimit,
-    /// The client account's limit is lower than what the request counts.
+    /// The request costs more than the client account's limit ever allows.
     #[display("the request is larger than the client account's limit ever allows; make it smaller")]
     BeyondLimit,
-    /// The key was taken from its client account while the request waited.
+    /// The API key was revoked while the request was queued.
     #[display("the key isn't valid any more; use another one")]
     KeyWithdrawn,
-    /// The key was given to another client account while the request waited.
+    /// The API key was assigned to another client account while the request was queued.
     #[display("the key was given to another client account; ask again")]
     AccountChanged,
 }
 
-/// A final answer without the wanted result.
+/// A final refusal of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Whether the request was run.
     pub outcome: RefusalOutcome,
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When to ask again, where that helps.
+    /// Delay before a retry can succeed, if one can.
     pub retry_after: Option<Duration>,
 }
 
-/// Something that a process's surroundings have to do.
+/// An action for the runtime to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Call the key-value service.
     Store {
-        /// The number under which the result comes back.
+        /// Identifies the result.
         call: CallId,
-        /// The call.
+        /// The operation.
         request: StoreCall,
     },
-    /// Watch the shared keys from here on.
+    /// Start watching the shared keys.
     Watch {
-        /// The first revision to be told of.
+        /// First revision to deliver.
         from: StoreRevision,
     },
     /// Stop watching.
     Unwatch,
-    /// Take news that a peer has read.
+    /// Apply changes that a peer read and relayed.
     TakeNews(News),
-    /// Read news often, since others wait for it, or as seldom as for this process alone.
+    /// Poll for changes at the short interval of a relay root (`true`) or for this process alone (`false`).
     ReadNewsForOthers(bool),
-    /// Tell peers all that the key-value service holds.
+    /// Send the full state of the key-value service to peers.
     TellState {
-        /// Whom to tell.
+        /// The receivers.
         to: Vec<HostId>,
-        /// What the parts are to have in common.
+        /// Identifies the parts that belong together.
         series: u64,
-        /// The revision up to which nothing is missing.
+        /// Revision up to which the state is complete.
         upto: StoreRevision,
-        /// The shared keys; the platform's part adds what it knows beside them.
+        /// The shared keys; the platform adapter adds its own keys.
         records: Vec<Versioned>,
     },
-    /// Take a part of all that the key-value service holds, from a peer.
+    /// Apply a part of the full state that a peer sent.
     TakeState(StatePart),
-    /// Go on waiting for a peer's state.
+    /// Keep waiting for the full state from a peer.
     AwaitState,
-    /// Read what news from peers have left out.
+    /// Read the changes that are missing from the relayed ones.
     ReadOn,
     /// Send a message to a peer.
     Peer(Envelope),
-    /// Find out whether a life of a process has ended for certain.
+    /// Check whether an incarnation of a process has certainly ended.
     ///
-    /// It has when its host refuses connections to the address, or when a later
-    /// life answers there; silence proves nothing.
+    /// This is proved by a refused connection to its address or by an answer from
+    /// a later incarnation there; a time-out proves nothing.
     Probe {
         /// The host.
         host: HostId,
-        /// The life that is in question.
+        /// The incarnation to check.
         incarnation: Incarnation,
-        /// Where callers reached it.
+        /// Its address for callers.
         address: SocketAddr,
     },
-    /// Give an order to an engine.
+    /// Send an order to an engine.
     Order {
         /// The engine.
         upstream: UpstreamId,
-        /// The number under which the answer comes back.
+        /// Identifies the answer.
         order: OrderId,
-        /// The owner's fence.
+        /// The owner's fencing token.
         fence: Fence,
-        /// The time after which it may not be sent any more; checked right before sending.
+        /// Time after which the order must not be sent; checked right before sending.
         not_after: Time,
-        /// How many orders the engine must have accepted before, where it numbers them.
+        /// Number of orders the engine must have accepted before, if it numbers them.
         after: Option<u64>,
         /// The order.
         action: Order,
     },
-    /// Ask an engine how it stands.
+    /// Request a status report from an engine.
     AskReport {
         /// The engine.
         upstream: UpstreamId,
     },
-    /// Send a request to an upstream and pass its answer on.
+    /// Send a request to an upstream and forward its answer.
     Send {
         /// The request.
         request: RequestId,
-        /// The number of this try.
+        /// The attempt.
         attempt: AttemptId,
         /// The upstream.
         upstream: UpstreamId,
-        /// By when the answer has to be complete.
+        /// Deadline for the complete answer.
         deadline: Time,
-        /// The order of service, for engines that honour priorities.
+        /// Order of service, for engines that support priorities.
         order: ServiceOrder,
-        /// Whether to go on where an earlier attempt's stream broke off.
+        /// Whether to resume the interrupted stream of an earlier attempt.
         resume: bool,
-        /// Whether to hold the answer back until it is recorded.
+        /// Whether to hold back the answer until it is recorded.
         hold: bool,
-        /// Whether the request may not run a second time.
+        /// Whether the request may run at most once.
         once: bool,
-        /// Whether to keep an answer that says that the upstream failed, since
-        /// another one may be asked.
+        /// Whether to keep an answer that reports a failure of the upstream, because
+        /// another upstream may be tried.
         keep_failure: bool,
     },
-    /// Pass on the answer that is kept of a request's last attempt.
+    /// Forward the kept failure answer of a request's last attempt.
     PassOn {
         /// The request.
         request: RequestId,
     },
-    /// Stop an attempt, and its work at the upstream.
+    /// Cancel an attempt, including its work at the upstream.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Give the caller a kept answer.
+    /// Send a recorded answer to the caller.
     Answer {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: RecordedAnswer,
     },
-    /// Refuse a request for good.
+    /// Refuse a request.
     Refuse {
         /// The request.
         request: RequestId,
-        /// What the caller is told.
+        /// Refusal to send to the caller.
         refusal: Refusal,
     },
-    /// Break off an answer that was partly passed on and can't be completed.
+    /// Abort an answer that was partly forwarded and can't be completed.
     Abort {
         /// The request.
         request: RequestId,
-        /// What the caller is told, where the protocol still can.
+        /// Refusal to send to the caller, if the protocol still allows it.
         refusal: Refusal,
     },
-    /// Note something that operators ought to know.
+    /// Log and count an event for the operators.
     Note(Note),
-    /// Note a decision on a request.
+    /// Log a decision on a request.
     Decision(Decision),
-    /// Take no new connections and no new requests; those in progress go on.
+    /// Stop accepting connections and requests; requests in progress continue.
     CloseIntake,
-    /// Everything is finished; the process may end.
+    /// Exit the process; all work is finished.
     Exit,
 }
 
-/// A decision on a request; becomes a log line.
+/// A decision on a request, written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The request.
     pub request: RequestId,
-    /// A short fixed name of the decision, such as `request_sent`.
+    /// Event name in the log, such as `request_sent`.
     pub event: &'static str,
-    /// What decided it, with ages in milliseconds.
+    /// Inputs to the decision, with ages in milliseconds.
     pub detail: String,
 }
 
-/// Something that operators ought to know; becomes a log line and a counter.
+/// An event for the operators, written to the log and counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// A short fixed name of the event, such as `engine_taken_over`.
+    /// Event name in the log and the counter, such as `engine_taken_over`.
     pub event: &'static str,
-    /// What it is about, such as an engine's or a model's name.
+    /// Subject of the event, such as the name of an engine or model.
     pub subject: String,
-    /// Further detail in a few words.
+    /// Short detail text.
     pub detail: String,
 }
--- a/crates/skylarkshore-core/src/event.rs
+++ b/crates/skylarkshore-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a process.
+//! Inputs to the state machine. [`Event`] is the type to start with; [`Arrival`] describes a request.
 
 use derive_more::Display;
 
@@ -15,100 +15,100 @@
 use crate::time::Time;
 use crate::upstream::{EngineReport, OrderAnswer, Upstream, UpstreamChanges};
 
-/// What a request is for.
+/// Destination of a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    /// A model or an adapter.
+    /// A model or an adapter on it.
     Model(ModelTarget),
     /// A plain service.
     Service(ServiceName),
 }
 
-/// Whether a request may run a second time.
+/// How often a request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may be sent again when its outcome is unknown.
+    /// May be retried when the outcome of an attempt is unknown.
     Allowed,
-    /// It runs at most once under this key.
+    /// Runs at most once per idempotency key.
     Once {
-        /// The digest of the idempotency key, the caller and the service.
+        /// Digest of the idempotency key, the caller and the service.
         key: Digest,
     },
-    /// It runs at most once for this arrival; its caller asks again under a new name.
+    /// Runs at most once per arrival; a retry by the caller is a new request.
     AtMostOnce,
 }
 
-/// What the operators want of requests of a kind.
+/// Limits that the operators set for a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// On how many upstreams it may run at most.
+    /// Maximum number of upstreams on which the request may run.
     pub tries: u32,
-    /// Until when an answer has its full value.
+    /// Soft deadline: a later answer has reduced value.
     pub aim: Time,
-    /// Until when an answer has to begin; its caller waits no longer.
+    /// Deadline for the start of the answer, after which the caller gives up.
     pub begins_by: Time,
-    /// How much earlier (below zero) or later it is served than the rules say.
+    /// Offset added to the order of service from the rules; negative values are served earlier.
     pub rank: i16,
-    /// Whether another upstream may go on with a stream that broke off.
+    /// Whether another upstream may resume an interrupted stream.
     pub resumable: bool,
 }
 
 impl Terms {
-    /// The terms of a request of which nothing special is wanted.
+    /// Returns the default limits.
     pub const fn plain(deadline: Time, resumable: bool) -> Self {
         Self { tries: u32::MAX, aim: deadline, begins_by: Time::NEVER, rank: 0, resumable }
     }
 }
 
-/// A checked request of a caller.
+/// A validated request from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Who asks.
+    /// The caller.
     pub caller: CallerId,
-    /// What it is for.
+    /// Destination of the request.
     pub target: Target,
-    /// Whether it may run a second time.
+    /// How often it may run.
     pub repeat: Repeat,
-    /// The digest of method, path and body.
+    /// Digest of method, path and body.
     pub digest: Digest,
-    /// The digest of the prompt's beginning, which engines cache; for routing.
+    /// Digest of the prompt prefix, which engines cache; used for prefix-affinity routing.
     pub prefix: Option<Digest>,
-    /// By when it has to be answered.
+    /// Deadline for the complete answer.
     pub deadline: Time,
-    /// What is wanted of its kind.
+    /// Limits of its class.
     pub terms: Terms,
-    /// Its client account, where callers have one.
+    /// Client account and cost to charge, if client accounts are in use.
     pub charge: Option<Charge>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer came, and was passed on unless it is kept here.
+    /// The complete answer was received, and forwarded unless it is held here.
     Whole {
-        /// The answer, where it is held back to be recorded first.
+        /// The answer, if it is held back until it is recorded.
         held: Option<RecordedAnswer>,
     },
-    /// The whole answer came but is larger than what may be held; it was passed on.
+    /// The complete answer exceeds the size that may be held and was forwarded directly.
     WholeTooLarge,
-    /// The whole answer came, says that the upstream failed, and is kept to be
-    /// passed on unless another upstream is asked.
+    /// The complete answer reports a failure of the upstream and is kept, to be
+    /// forwarded if no other upstream is tried.
     FailedWhole,
-    /// Nothing of the request reached the upstream.
+    /// No part of the request reached the upstream.
     NotSent,
-    /// The upstream said that it did nothing.
+    /// The upstream rejected the request without running it.
     Rejected(Rejection),
-    /// The connection broke, the answer was cut short or the time ran out.
+    /// The connection broke, the answer was truncated or the deadline passed.
     Lost {
-        /// Whether a part of the answer was passed on to the caller.
+        /// Whether part of the answer was forwarded to the caller.
         passed_on: bool,
-        /// Whether the upstream seems to have died, and not just to be slow.
+        /// Whether the upstream appears to have crashed rather than to be slow.
         died: bool,
     },
 }
 
 impl AttemptEnd {
-    /// Returns a short fixed word for it, for logs and counters.
+    /// Returns the fixed label of the outcome in logs and counters.
     pub const fn word(&self) -> &'static str {
         match self {
             Self::Whole { .. } => "whole",
@@ -125,132 +125,133 @@
     }
 }
 
-/// Why an upstream did nothing.
+/// Why an upstream rejected a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// The model or adapter isn't loaded there.
     NotLoaded,
-    /// It has too much to do.
+    /// The upstream is overloaded.
     Busy,
-    /// It is about to go.
+    /// The upstream is shutting down.
     Leaving,
-    /// Another upstream, or another life of it, has its address now.
+    /// Another upstream, or another incarnation of this one, now uses the address.
     Replaced,
 }
 
-/// How much an upstream had to do when it answered.
+/// Load that an upstream reports with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadTold {
-    /// Requests that ran.
+    /// Running requests.
     pub running: u32,
-    /// Requests that waited inside it.
+    /// Requests queued inside the upstream.
     pub waiting: u32,
-    /// How many it runs at a time.
+    /// Maximum number of requests it runs concurrently.
     pub concurrency: u32,
 }
 
-/// Something that happens to a process.
+/// An input to the state machine of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time has passed; comes about twenty times a second.
+    /// Timer tick, about twenty times a second.
     Tick {
-        /// The time of day, for the rules.
+        /// Time of day, which rules may depend on.
         at: MinuteOfDay,
     },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Settings(Box<Settings>),
-    /// The process is asked to end.
+    /// Shutdown was requested.
     Shutdown,
-    /// The host list was read.
+    /// The complete host list was read.
     HostList(Vec<Upstream>),
-    /// Some upstreams of the host list have changed.
+    /// Some entries of the host list changed.
     Upstreams(UpstreamChanges),
     /// A call to the key-value service ended.
     Store {
         /// The call.
         call: CallId,
-        /// What became of it.
+        /// Its result.
         result: StoreResult,
     },
-    /// A process has connected whose certificate no known member has published.
+    /// A process connected with a certificate that no known member has published.
     UnknownPeer,
-    /// A peer has told all that the key-value service holds.
+    /// A peer sent the full state of the key-value service.
     State {
-        /// The revision up to which nothing is missing.
+        /// Revision up to which the state is complete.
         upto: StoreRevision,
         /// Every shared key that has a value.
         records: Vec<Versioned>,
     },
-    /// News from peers doesn't go on where the last one ended.
+    /// Changes relayed by peers have a gap.
     NewsMissed {
-        /// Whether that has been so for a while; messages may overtake each other.
+        /// Whether the gap persists; reordered messages cause short gaps.
         lasts: bool,
     },
-    /// The watch has seen changes.
+    /// The watch delivered changes.
     Watched {
         /// The changes.
         changes: Vec<Versioned>,
-        /// The revision up to which nothing is missing.
+        /// Revision up to which the state is complete.
         upto: StoreRevision,
     },
-    /// The watch has told something that other processes may want to know.
+    /// The watch read changes to relay to other processes.
     NewsRead(News),
-    /// The watch had no answer in time, and is asked again from where it stood.
+    /// The watch call timed out and is repeated from the same revision.
     WatchUnanswered,
-    /// The watch broke and may have missed changes.
+    /// The watch ended and may have missed changes.
     WatchBroken,
-    /// A message from a peer, whose identity was checked.
+    /// A message from an authenticated peer.
     Peer {
         /// The sender.
         from: HostId,
-        /// What it tells.
+        /// The message.
         message: PeerMessage,
     },
-    /// Nothing accepts connections any more where a live host had this life of a process.
+    /// A running host refuses connections to the address of this incarnation of its process, which has
+    /// therefore ended.
     PeerRefused {
         /// The host.
         host: HostId,
-        /// The life of the process that has ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
     },
-    /// An order ended.
+    /// An order to an engine was answered or lost.
     Order {
         /// The engine.
         upstream: UpstreamId,
         /// The order.
         order: OrderId,
-        /// How it ended.
+        /// Its outcome.
         answer: OrderAnswer,
     },
-    /// An engine was asked how it stands.
+    /// A status request to an engine completed.
     Report {
         /// The engine.
         upstream: UpstreamId,
-        /// When it was asked, so that older orders are known to be older.
+        /// When the report was requested, to tell which orders precede it.
         asked: Time,
-        /// Its answer, or none when it can't be reached.
+        /// The report, or `None` if the engine is unreachable.
         report: Option<EngineReport>,
     },
-    /// A caller's request.
+    /// A request arrived.
     Arrived {
         /// The request.
         request: RequestId,
-        /// What is asked.
+        /// Its contents.
         arrival: Arrival,
     },
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone {
         /// The request.
         request: RequestId,
     },
-    /// An upstream's answer told how much it has to do.
+    /// An upstream reported its load with an answer.
     LoadTold {
         /// The upstream.
         upstream: UpstreamId,
-        /// What it told.
+        /// The reported load.
         load: LoadTold,
     },
-    /// The first part of an answer came.
+    /// The first part of an answer was received.
     AnswerStarted {
         /// The attempt.
         attempt: AttemptId,
@@ -259,7 +260,7 @@
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Its outcome.
         end: AttemptEnd,
     },
 }
