--- a/crates/skylarkshore-core/src/authority.rs
+++ b/crates/skylarkshore-core/src/authority.rs
@@ -1,61 +1,61 @@
-//! The border between who may act on an engine and what is done with it.
+//! Interface between engine ownership ([`Authority`], implemented by control) and the use of the owned
+//! engines ([`EngineUse`], implemented by loading).
 
 use crate::id::{Fence, ModelName, UpstreamId};
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 use crate::units::{Mebibytes, Watts};
 
-/// Leave to give orders to an engine.
+/// Permission to send orders to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The fence that orders carry.
+    /// Fencing token for the orders.
     pub fence: Fence,
-    /// The time after which no order may be sent.
+    /// Time after which no order may be sent.
     pub not_after: Time,
 }
 
-/// A change in what this process owns.
+/// A change in the ownership of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnershipChange {
-    /// The process has become an engine's owner.
+    /// This process became the owner.
     Acquired {
         /// The engine.
         engine: UpstreamId,
-        /// The fence of the new ownership.
+        /// Fencing token of the new ownership.
         fence: Fence,
-        /// Until when an order of the former owner may still reach the engine;
-        /// [`Time::NEVER`] when only the engine's reports can tell.
+        /// Time until which an order of the former owner may still reach the engine;
+        /// [`Time::NEVER`] if only the engine's reports can show it.
         late_orders_until: Time,
     },
-    /// The process is the engine's owner no longer.
+    /// This process is no longer the owner.
     Lost {
         /// The engine.
         engine: UpstreamId,
     },
 }
 
-/// What this process may do, as those who load models see it.
+/// What this process is allowed to do with the engines it owns.
 pub trait Authority {
-    /// Returns leave to give orders to the engine now, if there is any.
-    ///
-    /// There is none while the engine is being handed over.
+    /// Returns the permission to send orders to the engine, or `None`, also while the engine is being
+    /// handed over.
     fn permit(&self, now: Time, engine: &UpstreamId) -> Option<Permit>;
 
-    /// Tells whether the model may be loaded on the engine.
+    /// Reports whether the model may be loaded on the engine.
     ///
-    /// False from the moment at which this process begins to give the home up.
+    /// Returns `false` as soon as this process starts to remove the home.
     fn is_home(&self, engine: &UpstreamId, model: &ModelName) -> bool;
 
-    /// Tells whether a loaded model has to be unloaded from the engine once its requests have ended.
+    /// Reports whether a loaded model has to be unloaded from the engine after its requests have ended.
     ///
-    /// True where the rules allow fewer replicas than there are, where the engine
-    /// isn't a home of the model, is about to go, or has to draw less. No new
-    /// requests may be sent to such a replica.
+    /// Returns `true` if the rules allow fewer replicas than exist, or if the
+    /// engine isn't a home of the model, is leaving or has to reduce its power.
+    /// Such a replica receives no new requests.
     fn must_close(&self, _engine: &UpstreamId, _model: &ModelName) -> bool {
         false
     }
 
-    /// Returns the power that the engine may draw for certain.
+    /// Returns the power that is guaranteed to the engine.
     fn granted(&self, engine: &UpstreamId) -> Watts;
 }
 
@@ -64,27 +64,27 @@
 pub struct HomeWish {
     /// The model.
     pub model: ModelName,
-    /// The crowded home that it should leave, if it is to move rather than to spread.
+    /// The overloaded home to move away from; `None` to add a home.
     pub leave: Option<UpstreamId>,
 }
 
-/// What is done with the engines that this process owns, as those who decide on ownership see it.
+/// How the engines that this process owns are used.
 pub trait EngineUse {
-    /// Tells whether the model is neither loaded nor loading nor possibly so on the engine.
+    /// Reports whether the model is certainly neither loaded nor loading on the engine.
     fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool;
 
-    /// Tells whether no order to the engine is in progress or of unknown outcome.
+    /// Reports whether no order to the engine is in progress or of unknown outcome.
     fn is_settled(&self, engine: &UpstreamId) -> bool;
 
-    /// Returns the power that the engine may be drawing now.
+    /// Returns an upper bound of the power that the engine draws now.
     fn drawn(&self, engine: &UpstreamId) -> Watts;
 
-    /// Returns the power that the engine lacks for a load, with the order of those who wait for it.
+    /// Returns the power that the engine lacks for a load, with the order of service of the waiting requests.
     fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)>;
 
-    /// Returns the memory that isn't spoken for on the engine.
+    /// Returns the unreserved memory of the engine.
     fn free_memory(&self, engine: &UpstreamId) -> Mebibytes;
 
-    /// Returns the models on this process's engines that need another home.
+    /// Returns the models on the owned engines that need another home.
     fn home_wishes(&self) -> Vec<HomeWish>;
 }
--- a/crates/skylarkshore-core/src/peer.rs
+++ b/crates/skylarkshore-core/src/peer.rs
@@ -1,4 +1,4 @@
-//! What processes tell one another.
+//! Messages between processes. [`PeerMessage`] is the type to start with.
 
 mod credit;
 
@@ -17,222 +17,222 @@
 /// Why an owner can't make a model available in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CannotLoad {
-    /// The engine's memory is taken by what may not be unloaded yet.
+    /// The engine's memory is occupied by models that can't be unloaded yet.
     Memory,
-    /// The site's power is taken by others.
+    /// The site's power is allocated to other engines.
     Power,
     /// The receiver doesn't own a home of the model.
     NotOwner,
-    /// The owner may not act: its lease is in doubt.
+    /// The owner can't confirm its lease and therefore may not act.
     OwnershipInDoubt,
-    /// The engine can't be reached.
+    /// The engine is unreachable.
     EngineUnreachable,
-    /// The engine refuses to load it.
+    /// The engine refuses the load.
     EngineRefuses,
-    /// The load would take longer than any waiting request can wait.
+    /// The load would outlast the deadlines of all waiting requests.
     TooSlow,
-    /// The load would take longer than those who wait would like; another home may be faster.
+    /// The load would outlast the soft deadline of the waiting requests; another home may be faster.
     Busy,
 }
 
 /// A message from one process to another.
 ///
-/// Messages may be lost, doubled, late or out of order; every one is safe to
-/// take again, and whoever needs an answer asks again.
+/// Messages may be lost, duplicated, delayed or reordered. Handling is
+/// idempotent, and a sender that needs an answer repeats its message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// The sender lives, and this is how far its knowledge goes.
+    /// Periodic heartbeat with the revisions that the sender has reached.
     Heartbeat {
-        /// Which life of its process.
+        /// Incarnation of the sender's process.
         incarnation: Incarnation,
-        /// The rules in force there.
+        /// Revision of the sender's active rules.
         rules: RulesRevision,
-        /// The revision of the key-value service up to which it has missed nothing.
+        /// Revision of the key-value service up to which the sender has all changes.
         store: StoreRevision,
-        /// Whether its last call to the key-value service succeeded.
+        /// Whether the sender's last call to the key-value service succeeded.
         store_reachable: bool,
-        /// Whether it is about to go.
+        /// Whether the sender is shutting down.
         leaving: bool,
     },
-    /// The sender may have missed changes after this revision.
+    /// Requests the changes that the sender may have missed.
     RecordsWanted {
-        /// The revision up to which it has missed nothing.
+        /// Revision up to which the sender has all changes.
         after: StoreRevision,
     },
-    /// Shared keys that the receiver may not have seen yet.
+    /// Shared keys that the receiver may lack.
     Records(RecordBatch),
-    /// Requests wait for a model at the sender, which wants to hear of it for a while.
+    /// Requests for a model wait at the sender; subscribes the sender to views of the model for a while.
     Wanted {
         /// The model or adapter.
         target: ModelTarget,
-        /// How many requests wait.
+        /// Number of waiting requests.
         waiting: u32,
-        /// The most urgent order of service among them.
+        /// The earliest order of service among them.
         order: ServiceOrder,
-        /// How long the most patient of them can still wait.
+        /// The longest time that any of them can still wait.
         patience: Duration,
-        /// How long the least patient of them can wait for its answer to have its full value.
+        /// Time until the next of their soft deadlines.
         aim: Option<Duration>,
     },
-    /// A model is used from the sender, which wants to hear of it for a while.
+    /// Use of a model from the sender; subscribes the sender to views of the model for a while.
     Used {
         /// The model or adapter.
         target: ModelTarget,
-        /// How many requests for it arrived at the sender since it last told.
+        /// Requests that arrived at the sender since its last message.
         arrived: u32,
-        /// How many answers since then began late although their requests hadn't waited there.
+        /// Answers since then that began late although their requests had not waited at the sender.
         late: u32,
-        /// For how long its requests from there have run since then, added up.
+        /// Total running time of the sender's requests since then.
         worked: Duration,
-        /// Whether requests wait there.
+        /// Whether requests for it wait at the sender.
         waited_for: bool,
     },
-    /// How an engine stands, from its owner.
+    /// State of an engine, published by its owner.
     View(EngineView),
     /// The owner can't make the model available in time.
     CannotLoad {
         /// The model or adapter.
         target: ModelTarget,
-        /// Why.
+        /// The reason.
         reason: CannotLoad,
-        /// When to ask again.
+        /// Delay before the next request.
         retry_after: Duration,
     },
-    /// The sender has a load to make and asks for a share of the weight store.
+    /// Requests a slot of the weight store for a load.
     LoadSlotWanted {
-        /// The engine that is to load.
+        /// The loading engine.
         upstream: UpstreamId,
         /// The model.
         model: ModelName,
-        /// The order of service of those who wait.
+        /// Order of service of the waiting requests.
         order: ServiceOrder,
-        /// How long those who wait can still wait.
+        /// The longest time that the waiting requests can still wait.
         patience: Duration,
     },
-    /// The load has to wait for its turn; the gate works.
+    /// The load is queued for a slot; also shows that the gate is alive.
     LoadSlotQueued {
-        /// The engine that is to load.
+        /// The loading engine.
         upstream: UpstreamId,
         /// The model.
         model: ModelName,
-        /// How long it is expected to wait.
+        /// Expected waiting time.
         wait: Duration,
     },
-    /// The load may begin.
+    /// The load may start.
     LoadSlotGranted {
-        /// The engine that is to load.
+        /// The loading engine.
         upstream: UpstreamId,
         /// The model.
         model: ModelName,
     },
-    /// The load has ended or isn't wanted any more.
+    /// The load has ended or is no longer needed.
     LoadSlotReturned {
         /// The engine.
         upstream: UpstreamId,
         /// The model.
         model: ModelName,
     },
-    /// The sender has an engine that needs more power than it is granted.
+    /// An engine of the sender needs more power than it is granted.
     PowerWanted {
         /// The site.
         site: SiteName,
-        /// How much is missing.
+        /// The missing power.
         watts: Watts,
-        /// The order of service of those who wait.
+        /// Order of service of the waiting requests.
         order: ServiceOrder,
     },
-    /// Requests were in progress at an upstream when it died.
+    /// Requests that were in progress at an upstream when it crashed.
     Suspects {
         /// The upstream.
         upstream: UpstreamId,
-        /// Which life of the upstream died, where that is known.
+        /// Incarnation of the upstream that crashed, if known.
         incarnation: Option<Incarnation>,
-        /// The digests of the requests.
+        /// Digests of the requests.
         requests: Vec<Digest>,
-        /// Whether they ran alone, so that one who ran alone is convicted.
+        /// Whether they ran in isolation; a request that crashes an upstream in isolation is convicted.
         alone: bool,
     },
-    /// The receiver's suspects have been taken note of.
+    /// Acknowledges the receiver's suspects.
     SuspectsNoted {
         /// The digests.
         requests: Vec<Digest>,
     },
-    /// A suspect ran to its end and is one no longer.
+    /// A suspect completed and is cleared.
     Cleared {
         /// The digest.
         request: Digest,
     },
-    /// The sender wants to run a suspect alone on an engine that the receiver owns.
+    /// Requests exclusive use of an engine that the receiver owns, to run a suspect in isolation.
     ReservationWanted {
         /// The engine.
         upstream: UpstreamId,
-        /// How long it can still wait.
+        /// The longest time that the suspect can still wait.
         patience: Duration,
     },
-    /// The sender needs the engine for itself no longer.
+    /// Ends the exclusive use of an engine.
     ReservationReturned {
         /// The engine.
         upstream: UpstreamId,
     },
-    /// An upstream is about to go and gets no new work.
+    /// An upstream is leaving and receives no new requests.
     UpstreamLeaving {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// An upstream doesn't answer the sender.
+    /// An upstream is unreachable from the sender.
     UpstreamUnreachable {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The load is in progress and still uses its share of the weight store.
+    /// The load is in progress and still occupies its slot of the weight store.
     LoadSlotHeld {
         /// The engine that loads.
         upstream: UpstreamId,
         /// The model.
         model: ModelName,
     },
-    /// About the credit of client accounts.
+    /// Credit of client accounts.
     Credit(CreditMessage),
-    /// What the sender has read of the key-value service.
+    /// Changes at the key-value service, read or relayed by the sender.
     News(News),
-    /// The sender has just started and asks for all that the key-value service holds.
+    /// Requests the full state of the key-value service, after a start or a gap.
     StateWanted,
-    /// The sender doesn't know all of that itself yet, and will tell once it does.
+    /// Acknowledges the request; the state follows when the sender has it.
     StateComing,
-    /// A part of all that the key-value service holds.
+    /// A part of the full state of the key-value service.
     State(StatePart),
-    /// Something that all processes are to hear; whoever hears it from its parent passes it on.
+    /// A broadcast; a process that receives it from its parent in the relay tree forwards it to its children.
     Spread {
-        /// Who says it.
+        /// The original sender.
         origin: HostId,
-        /// What is said.
+        /// The message.
         message: Box<PeerMessage>,
     },
 }
 
-/// Changes at the key-value service, as it told them.
+/// Changes at the key-value service, in the order it delivered them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct News {
-    /// The revision after which they came.
+    /// Revision that precedes the changes.
     pub after: StoreRevision,
-    /// The revision up to which nothing is missing.
+    /// Revision up to which the changes are complete.
     pub upto: StoreRevision,
-    /// The changes as the platform's part packs them; empty where nothing has changed.
+    /// The changes in the encoding of the platform adapter; empty if nothing changed.
     pub body: Arc<[u8]>,
 }
 
-/// A part of all that the key-value service holds.
+/// A part of the full state of the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatePart {
-    /// What parts have in common that were told together.
+    /// Identifies the parts that belong together.
     pub series: u64,
-    /// The revision up to which nothing is missing.
+    /// Revision up to which the state is complete.
     pub upto: StoreRevision,
-    /// Which part it is, from 0 on.
+    /// Index of the part, starting at 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Total number of parts.
     pub parts: u32,
-    /// The keys and values as the platform's part packs them.
+    /// Keys and values in the encoding of the platform adapter.
     pub body: Arc<[u8]>,
 }
 
@@ -241,6 +241,6 @@
 pub struct Envelope {
     /// The receiver.
     pub to: HostId,
-    /// What it is told.
+    /// The message.
     pub message: PeerMessage,
 }
--- a/crates/skylarkshore-core/src/peer/credit.rs
+++ b/crates/skylarkshore-core/src/peer/credit.rs
@@ -1,54 +1,54 @@
-//! What hosts tell one another about the credit of client accounts.
+//! Messages about the credit of client accounts, between hosts and the keepers of the accounts' limits.
 
 use std::time::Duration;
 
 use crate::id::AccountName;
 use crate::units::Credits;
 
-/// A message between a host and a keeper of books.
+/// A message between a host and a keeper, the host that accounts for the limit of a client account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CreditMessage {
-    /// The sender counts on the receiver, or asks whether it answers.
+    /// Registers the sender with the receiver as its keeper, or probes the receiver.
     SignOn {
-        /// Whether it brings its share of all limits.
+        /// Whether the sender transfers its share of all limits.
         with_share: bool,
     },
-    /// The sender keeps books and answers.
+    /// Acknowledges the registration; the sender is an active keeper.
     SignedOn,
-    /// The sender leaves, and its share of all limits with it.
+    /// Ends the registration and withdraws the sender's share of all limits.
     SignOff,
-    /// A request at the sender needs credit.
+    /// Requests credit for a request at the sender.
     Wanted {
-        /// The sender's number of the question.
+        /// Identifies the credit request at the sender.
         ask: u64,
         /// The client account.
         account: AccountName,
-        /// How much.
+        /// The amount.
         cost: Credits,
     },
-    /// The credit is the receiver's.
+    /// Grants the credit.
     Lent {
-        /// The receiver's number of the question.
+        /// Identifies the credit request at the receiver.
         ask: u64,
         /// The client account.
         account: AccountName,
-        /// How much.
+        /// The amount.
         cost: Credits,
-        /// After how long it may be used.
+        /// Delay before the credit may be used.
         wait: Duration,
     },
     /// The client account is over its limit.
     Denied {
-        /// The receiver's number of the question.
+        /// Identifies the credit request at the receiver.
         ask: u64,
-        /// When there will be enough; none where there never is.
+        /// Delay until there is enough credit; `None` if there never will be.
         retry_after: Option<Duration>,
     },
-    /// Credit wasn't used.
+    /// Returns unused credit.
     Returned {
         /// The client account.
         account: AccountName,
-        /// How much.
+        /// The amount.
         cost: Credits,
     },
 }
--- a/crates/skylarkshore-core/src/view.rs
+++ b/crates/skylarkshore-core/src/view.rs
@@ -1,15 +1,15 @@
-//! What an engine's owner tells the routers of it.
+//! Views of engines that their owners publish to the routers. [`EngineView`] is the type to start with.
 
 use std::time::Duration;
 
 use crate::id::{AdapterName, Fence, HostId, Incarnation, ModelName, ModelVersion, UpstreamId};
 
-/// The order of an owner's accounts of one engine; later ones replace earlier ones.
+/// Version of a published view of one engine; a higher version replaces a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewVersion {
-    /// The owner's fence, so that a new owner's account beats the old one's.
+    /// Fencing token of the owner, so that the views of a new owner replace those of the former one.
     pub fence: Fence,
-    /// Counts the owner's accounts.
+    /// Sequence number of the owner's views.
     pub number: u64,
 }
 
@@ -18,12 +18,12 @@
 pub enum Readiness {
     /// New requests may be sent.
     Ready,
-    /// It is being loaded.
+    /// The model is being loaded.
     Loading {
-        /// How long the load is still expected to take.
+        /// Expected remaining load time.
         remaining: Duration,
     },
-    /// No new requests may be sent: it is about to be unloaded.
+    /// No new requests may be sent, because the model will be unloaded.
     Closing,
 }
 
@@ -32,33 +32,33 @@
 pub struct ModelView {
     /// The model.
     pub model: ModelName,
-    /// Which weights.
+    /// Version of its weights.
     pub version: ModelVersion,
-    /// Whether it can be used.
+    /// Whether it accepts requests.
     pub readiness: Readiness,
-    /// The adapters that answer requests.
+    /// Loaded adapters.
     pub adapters: Vec<AdapterName>,
-    /// Requests in progress at the engine's last report.
+    /// Requests in progress as of the engine's last report.
     pub running: u32,
 }
 
-/// One engine as its owner sees it.
+/// State of one engine as published by its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
     /// The engine.
     pub upstream: UpstreamId,
-    /// Its place among the accounts of this engine.
+    /// Version of the view.
     pub version: ViewVersion,
-    /// Which life of the engine it speaks of.
+    /// Incarnation of the engine that the view describes.
     pub incarnation: Incarnation,
     /// The models on it.
     pub models: Vec<ModelView>,
-    /// How many requests it runs at a time.
+    /// Maximum number of requests it runs concurrently.
     pub concurrency: u32,
-    /// Requests in progress at its last report.
+    /// Requests in progress as of its last report.
     pub running: u32,
-    /// Whether it gets no new work.
+    /// Whether it is leaving and receives no new requests.
     pub leaving: bool,
-    /// The only host that may send to it now, while a suspect request runs alone.
+    /// The only host that may send requests to it, while a suspect request runs in isolation.
     pub reserved_for: Option<HostId>,
 }
