--- a/crates/skylarkshore-core/src/collections.rs
+++ b/crates/skylarkshore-core/src/collections.rs
@@ -1,8 +1,8 @@
-//! Hash collections with a fast, fixed hasher.
+//! Hash collections with a fast hasher and a fixed seed, and ordered collections.
 //!
-//! The seed is fixed so that a run can be repeated exactly. Text that callers
-//! choose is digested or checked against the catalogue before it becomes a key,
-//! so that nobody can pick keys that collide.
+//! The fixed seed makes runs reproducible. Text that callers choose is hashed or
+//! checked against the catalogue before it becomes a key, so that callers can't
+//! construct colliding keys.
 
 use foldhash::fast::FixedState;
 
@@ -12,8 +12,8 @@
 /// A hash set with a fast hasher.
 pub type HashSet<T> = std::collections::HashSet<T, FixedState>;
 
-/// An ordered map, for whatever is iterated to make a decision.
+/// An ordered map, for iteration that influences a decision.
 pub type OrderedMap<K, V> = std::collections::BTreeMap<K, V>;
 
-/// An ordered set, for whatever is iterated to make a decision.
+/// An ordered set, for iteration that influences a decision.
 pub type OrderedSet<T> = std::collections::BTreeSet<T>;
--- a/crates/skylarkshore-core/src/id.rs
+++ b/crates/skylarkshore-core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own.
+//! Identifier types: names, numbers and digests, each a distinct type.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The longest name that is accepted, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_LEN: usize = 128;
 
-/// A text that can't be a name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("'{text}' is not a name; use 1 to {MAX_NAME_LEN} letters, digits or any of . _ : / @ -")]
 pub struct InvalidName {
     text: String,
 }
 
-fn check(s: &str) -> Result<(), InvalidName> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"._:/@-".contains(&b);
-    if s.is_empty() || s.len() > MAX_NAME_LEN || !s.bytes().all(plain) {
+fn validate_name(s: &str) -> Result<(), InvalidName> {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"._:/@-".contains(&b);
+    if s.is_empty() || s.len() > MAX_NAME_LEN || !s.bytes().all(is_allowed) {
         let text = s.chars().take(MAX_NAME_LEN).collect();
         return Err(InvalidName { text });
     }
@@ -43,7 +43,7 @@
             type Err = InvalidName;
 
             fn from_str(s: &str) -> Result<Self, Self::Err> {
-                check(s)?;
+                validate_name(s)?;
                 Ok(Self(s.into()))
             }
         }
@@ -75,7 +75,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Returns the number that follows.
+            /// Returns the next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -93,7 +93,7 @@
     DataCentre
 }
 name! {
-    /// A site that lies under one power cap.
+    /// A site with a common power cap.
     SiteName
 }
 name! {
@@ -130,23 +130,23 @@
 }
 
 number! {
-    /// One life of a process; a later life has a higher number.
+    /// An incarnation of a process or upstream; a restart has a higher number.
     Incarnation
 }
 number! {
-    /// A fencing number; an engine that checks it refuses lower ones.
+    /// A fencing token; an engine that checks it refuses lower ones.
     Fence
 }
 number! {
-    /// The key-value service's revision at which a key was last changed.
+    /// A revision of the key-value service.
     StoreRevision
 }
 number! {
-    /// The operators' revision of the rules document.
+    /// Revision of the rules document, assigned by the operators.
     RulesRevision
 }
 number! {
-    /// The revision of a catalogue that is configured apart from the rules.
+    /// Revision of a catalogue that is configured separately from the rules.
     CatalogueRevision
 }
 number! {
@@ -158,11 +158,11 @@
     OrderId
 }
 number! {
-    /// A request of a caller, unique within a process.
+    /// A caller's request, unique within a process.
     RequestId
 }
 number! {
-    /// One try at having a request answered by an upstream.
+    /// An attempt to run a request on an upstream, unique within a process.
     AttemptId
 }
 number! {
@@ -181,14 +181,14 @@
         use std::fmt::Write;
 
         self.0.iter().fold(String::with_capacity(64), |mut hex, byte| {
-            // Writing to a string can't fail.
+            // Writing to a `String` can't fail.
             _ = write!(hex, "{byte:02x}");
             hex
         })
     }
 }
 
-/// A text that is no digest.
+/// Error for a text that is not a digest.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("a digest has 64 hexadecimal digits; read it again from its source")]
 pub struct InvalidDigest;
--- a/crates/skylarkshore-core/src/units.rs
+++ b/crates/skylarkshore-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes and power, checked and printed with their units.
+//! Quantities with units: memory, power, capacity, credits and rates.
 
 use std::iter::Sum;
 use std::str::FromStr;
@@ -51,7 +51,7 @@
 #[serde(transparent)]
 pub struct Watts(pub u64);
 
-/// What a host can do beside others: the share of a core that it has, in thousandths.
+/// Processing capacity of a host relative to other hosts, in thousandths of a core.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -59,7 +59,7 @@
 #[serde(transparent)]
 pub struct Capacity(pub u32);
 
-/// What the limit of a client account counts: tokens, or whole requests.
+/// Unit of a client account's limit: tokens or requests.
 #[derive(
     Clone,
     Copy,
@@ -81,29 +81,30 @@
 #[serde(transparent)]
 pub struct Credits(pub u64);
 
-/// How many credits come in a thousand seconds.
+/// Rate at which credits accrue, per thousand seconds.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{_0}credits/ks")]
 #[serde(transparent)]
 pub struct CreditRate(pub u64);
 
 impl CreditRate {
-    /// Returns the whole credits that come in a second.
+    /// Returns the whole credits that accrue per second.
     pub const fn per_second(self) -> Credits {
         Credits(self.0 / 1000)
     }
 }
 
-/// How many loads a weight store lets begin in a thousand seconds.
+/// Rate at which a weight store allows loads to start, per thousand seconds.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{_0}/ks")]
 #[serde(transparent)]
 pub struct LoadRate(pub u32);
 
 impl LoadRate {
-    /// Returns the span over which starts are counted, and how many may be in it.
+    /// Returns the length of the rate window and the number of starts allowed in it.
     ///
-    /// A second where that holds one or more, else the time that one takes.
+    /// The window is one second if that allows at least one start, otherwise the interval between two
+    /// starts.
     pub fn window(self) -> (Duration, usize) {
         const KILOSECOND_MILLIS: u64 = 1_000_000;
         let per_kilosecond = u64::from(self.0.max(1));
@@ -114,7 +115,7 @@
     }
 }
 
-/// A text that is no size or power.
+/// Error for a text that is not an amount with its unit.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("'{text}' is not an amount; write a whole number followed by {unit}, for example 80{unit}")]
 pub struct InvalidAmount {
@@ -124,7 +125,7 @@
 
 const MEBIBYTES_PER_GIBIBYTE: u64 = 1024;
 
-fn parse(s: &str, unit: &'static str) -> Result<u64, InvalidAmount> {
+fn parse_amount(s: &str, unit: &'static str) -> Result<u64, InvalidAmount> {
     s.strip_suffix(unit)
         .and_then(|n| n.trim().parse().ok())
         .ok_or_else(|| InvalidAmount { text: s.to_owned(), unit })
@@ -134,10 +135,10 @@
     type Err = InvalidAmount;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        if let Ok(gib) = parse(s, "GiB") {
+        if let Ok(gib) = parse_amount(s, "GiB") {
             return Ok(Self(gib.saturating_mul(MEBIBYTES_PER_GIBIBYTE)));
         }
-        parse(s, "MiB").map(Self)
+        parse_amount(s, "MiB").map(Self)
     }
 }
 
@@ -145,7 +146,7 @@
     type Err = InvalidAmount;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        parse(s, "W").map(Self)
+        parse_amount(s, "W").map(Self)
     }
 }
 
@@ -153,7 +154,7 @@
     type Err = InvalidAmount;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        parse(s, "credits").map(Self)
+        parse_amount(s, "credits").map(Self)
     }
 }
 
@@ -161,7 +162,7 @@
     type Err = InvalidAmount;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        parse(s, "mcores").map(|mcores| Self(u32::try_from(mcores).unwrap_or(u32::MAX)))
+        parse_amount(s, "mcores").map(|mcores| Self(u32::try_from(mcores).unwrap_or(u32::MAX)))
     }
 }
 
@@ -169,12 +170,12 @@
     type Err = InvalidAmount;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        parse(s, "credits/ks").map(Self)
+        parse_amount(s, "credits/ks").map(Self)
     }
 }
 
 impl Mebibytes {
-    /// Subtracts, stopping at zero.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
@@ -182,7 +183,7 @@
 }
 
 impl Watts {
-    /// Subtracts, stopping at zero.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
