--- a/crates/skylarkshore-core/tests/fleet_size.rs
+++ b/crates/skylarkshore-core/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! What each process of a fleet has to do as the fleet grows.
+//! How the work of each process grows with the size of the fleet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use skylarkshore_core::units::Capacity;
 use skylarkshore_core::{Effect, Event, Node, Time};
 
-/// The most messages that one process may send to pass something on.
-const MOST_SENT: usize = 16;
+/// Maximum number of messages that one process may send to relay something.
+const MAX_SENT: usize = 16;
 const NOW: Time = Time::from_millis(1000);
 const TICK: Duration = Duration::from_millis(50);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// One host in twenty is large.
+/// Makes one host in twenty large.
 fn capacity(number: usize) -> Capacity {
     if number.is_multiple_of(20) { Capacity(500) } else { Capacity(120) }
 }
@@ -72,29 +72,30 @@
     })
 }
 
-fn told(effects: &[Effect]) -> Vec<Envelope> {
-    let told = |effect: &Effect| match effect {
+fn sent_envelopes(effects: &[Effect]) -> Vec<Envelope> {
+    let envelope = |effect: &Effect| match effect {
         Effect::Peer(envelope) => Some(envelope.clone()),
         _ => None,
     };
-    effects.iter().filter_map(told).collect()
+    effects.iter().filter_map(envelope).collect()
 }
 
 fn tick(node: &mut Node, now: Time) -> Vec<Effect> {
     node.handle(now, Event::Tick { at: MinuteOfDay::default() })
 }
 
-/// Starts a process and answers its first question, who the members are.
+/// Starts a process and answers its first call, which reads the members.
 fn start(number: usize, hosts: usize) -> (Node, Vec<Effect>) {
     let (mut node, effects) = Node::start(config(number), NOW);
-    let call = call_of(&effects, |call| *call == StoreCall::ReadMembers).expect("it asks for the members");
+    let call =
+        call_of(&effects, |call| *call == StoreCall::ReadMembers).expect("the process reads the members");
     let result = Ok(StoreAnswer::Members(members(hosts)));
     let effects = node.handle(NOW, Event::Store { call, result });
     (node, effects)
 }
 
-/// Makes a process that knows everything.
-fn settled(number: usize, hosts: usize) -> (Node, bool) {
+/// Starts a process with the full state, and returns whether it is the relay root.
+fn synced(number: usize, hosts: usize) -> (Node, bool) {
     let (mut node, _) = start(number, hosts);
     node.handle(NOW, Event::State { upto: upto(hosts), records: members(hosts) });
     let effects = tick(&mut node, NOW);
@@ -106,72 +107,79 @@
     News { after, upto: after.next(), body: Vec::from([1]).into() }
 }
 
-/// What became of something that one process passes on to all.
+/// Result of relaying a message to all processes.
 #[derive(Debug, Default)]
-struct Course {
-    heard: BTreeMap<HostId, usize>,
-    most_sent: usize,
-    most_steps: usize,
+struct Propagation {
+    deliveries: BTreeMap<HostId, usize>,
+    max_sent: usize,
+    max_hops: usize,
 }
 
-/// Delivers messages until none is left.
-fn deliver(nodes: &mut BTreeMap<HostId, Node>, from: &HostId, effects: &[Effect]) -> Course {
-    let mut course = Course::default();
-    let mut wire: VecDeque<(HostId, Envelope, usize)> = VecDeque::new();
-    let sent = |course: &mut Course, wire: &mut VecDeque<_>, from: &HostId, effects: &[Effect], step| {
-        let envelopes = told(effects);
-        course.most_sent = course.most_sent.max(envelopes.len());
-        wire.extend(envelopes.into_iter().map(|envelope| (from.clone(), envelope, step)));
+/// Delivers messages until none is in flight.
+fn deliver(nodes: &mut BTreeMap<HostId, Node>, from: &HostId, effects: &[Effect]) -> Propagation {
+    let mut propagation = Propagation::default();
+    let mut in_flight: VecDeque<(HostId, Envelope, usize)> = VecDeque::new();
+    let sent = |propagation: &mut Propagation,
+                in_flight: &mut VecDeque<_>,
+                from: &HostId,
+                effects: &[Effect],
+                hop| {
+        let envelopes = sent_envelopes(effects);
+        propagation.max_sent = propagation.max_sent.max(envelopes.len());
+        in_flight.extend(envelopes.into_iter().map(|envelope| (from.clone(), envelope, hop)));
     };
-    sent(&mut course, &mut wire, from, effects, 1);
-    while let Some((from, envelope, step)) = wire.pop_front() {
-        *course.heard.entry(envelope.to.clone()).or_default() += 1;
-        course.most_steps = course.most_steps.max(step);
-        let node = nodes.get_mut(&envelope.to).expect("it is a member");
+    sent(&mut propagation, &mut in_flight, from, effects, 1);
+    while let Some((from, envelope, hop)) = in_flight.pop_front() {
+        *propagation.deliveries.entry(envelope.to.clone()).or_default() += 1;
+        propagation.max_hops = propagation.max_hops.max(hop);
+        let node = nodes.get_mut(&envelope.to).expect("the receiver is a member");
         let effects = node.handle(NOW, Event::Peer { from, message: envelope.message });
-        sent(&mut course, &mut wire, &envelope.to, &effects, step + 1);
+        sent(&mut propagation, &mut in_flight, &envelope.to, &effects, hop + 1);
     }
-    course
+    propagation
 }
 
 /// Guards against a reader that sends all news to every host of its data
-/// centre, whose link is too small for that where they are hundreds.
+/// centre; with hundreds of hosts that exceeds the capacity of its link.
 #[test]
-fn news_reaches_all_once_and_nobody_sends_more_of_it_as_the_fleet_grows() {
+fn news_reaches_each_host_once_with_bounded_fan_out_as_the_fleet_grows() {
     for hosts in [10, 100, 300] {
         let mut nodes = BTreeMap::new();
         let mut roots = Vec::new();
         for number in 0..hosts {
-            let (node, is_root) = settled(number, hosts);
+            let (node, is_root) = synced(number, hosts);
             nodes.insert(host(number), node);
             roots.extend(is_root.then(|| host(number)));
         }
-        let [root] = roots.as_slice() else { panic!("{roots:?} read for {hosts} hosts") };
-        let reader = nodes.get_mut(root).expect("it is a member");
+        let [root] = roots.as_slice() else { panic!("{roots:?} are roots of {hosts} hosts") };
+        let reader = nodes.get_mut(root).expect("the root is a member");
         let effects = reader.handle(NOW, Event::NewsRead(news(hosts)));
-        let course = deliver(&mut nodes, root, &effects);
-        assert_eq!(course.heard.len(), hosts - 1, "{course:?}");
-        assert!(course.heard.values().all(|times| *times == 1), "{course:?}");
-        assert!(course.most_sent <= MOST_SENT && course.most_steps <= 4, "{hosts} hosts: {course:?}");
+        let propagation = deliver(&mut nodes, root, &effects);
+        assert_eq!(propagation.deliveries.len(), hosts - 1, "{propagation:?}");
+        assert!(propagation.deliveries.values().all(|times| *times == 1), "{propagation:?}");
+        assert!(
+            propagation.max_sent <= MAX_SENT && propagation.max_hops <= 4,
+            "{hosts} hosts: {propagation:?}"
+        );
     }
 }
 
-/// Guards against news that goes round for ever among hosts that know different members.
+/// Guards against news that circulates for ever among hosts with different member lists.
 #[test]
-fn news_that_is_known_is_passed_on_only_from_the_parent() {
+fn duplicate_news_is_relayed_only_from_the_parent() {
     let hosts = 100;
-    let (mut node, _) = settled(0, hosts);
-    let parent_or_not: Vec<usize> = (1..hosts)
+    let (mut node, _) = synced(0, hosts);
+    let sent_per_sender: Vec<usize> = (1..hosts)
         .map(|number| {
             let message = PeerMessage::News(news(hosts));
-            told(&node.handle(NOW, Event::Peer { from: host(number), message })).len()
+            sent_envelopes(&node.handle(NOW, Event::Peer { from: host(number), message })).len()
         })
         .collect();
-    let passing = parent_or_not.iter().filter(|sent| **sent > 0).count();
-    assert!(passing <= 2, "passed on {passing} times");
+    let relayed = sent_per_sender.iter().filter(|sent| **sent > 0).count();
+    assert!(relayed <= 2, "relayed {relayed} times");
 }
 
-/// Lets a process that has started go on until something holds, answering its questions who the members are.
+/// Starts a process and runs it until `done` holds, answering its reads of the members.
 fn run_start(
     number: usize,
     hosts: usize,
@@ -181,10 +189,10 @@
     let (mut node, mut effects) = start(number, hosts);
     let mut now = NOW;
     while !done(&effects) {
-        assert!(now < NOW.after(within), "it waits for too long");
-        let asked = call_of(&effects, |call| *call == StoreCall::ReadMembers);
+        assert!(now < NOW.after(within), "the process didn't finish within {within:?}");
+        let member_read = call_of(&effects, |call| *call == StoreCall::ReadMembers);
         now = now.after(TICK);
-        effects = match asked {
+        effects = match member_read {
             Some(call) => {
                 node.handle(now, Event::Store { call, result: Ok(StoreAnswer::Members(members(hosts))) })
             }
@@ -194,69 +202,71 @@
     (node, effects)
 }
 
-fn reads_everything(effects: &[Effect]) -> bool {
+fn reads_full_state(effects: &[Effect]) -> bool {
     call_of(effects, |call| *call == StoreCall::ReadShared).is_some()
 }
 
-/// Returns whom a process asks for everything.
-fn asked(effects: &[Effect]) -> Option<HostId> {
-    let wanted = told(effects).into_iter().find(|envelope| envelope.message == PeerMessage::StateWanted);
-    wanted.map(|envelope| envelope.to)
+/// Returns the peer from which a process requests the full state.
+fn requested_peer(effects: &[Effect]) -> Option<HostId> {
+    let request =
+        sent_envelopes(effects).into_iter().find(|envelope| envelope.message == PeerMessage::StateWanted);
+    request.map(|envelope| envelope.to)
 }
 
-fn not_the_root(hosts: usize) -> usize {
-    (0..hosts).find(|number| !settled(*number, hosts).1).expect("not all are the root")
+fn non_root(hosts: usize) -> usize {
+    (0..hosts).find(|number| !synced(*number, hosts).1).expect("only one host is the root")
 }
 
-/// Guards against hosts that all read everything from the service when they
-/// start together, which takes its link longer than callers wait.
+/// Guards against hosts that all read the full state from the key-value service
+/// when they start together, which occupies its link for longer than callers wait.
 #[test]
-fn where_members_are_many_a_host_that_starts_asks_one_of_them() {
+fn in_a_large_fleet_a_starting_host_requests_the_state_from_a_peer() {
     let hosts = 100;
-    let done = |effects: &[Effect]| asked(effects).is_some() || reads_everything(effects);
-    let (mut node, effects) = run_start(not_the_root(hosts), hosts, Duration::from_secs(2), done);
-    let parent = asked(&effects).expect("it asks nobody");
+    let done = |effects: &[Effect]| requested_peer(effects).is_some() || reads_full_state(effects);
+    let (mut node, effects) = run_start(non_root(hosts), hosts, Duration::from_secs(2), done);
+    let parent = requested_peer(&effects).expect("no peer was asked for the state");
     let part = StatePart { series: 1, upto: upto(hosts), part: 0, parts: 1, body: Vec::new().into() };
     let effects = node.handle(NOW, Event::Peer { from: parent, message: PeerMessage::State(part) });
     assert!(effects.iter().any(|effect| matches!(effect, Effect::TakeState(_))), "{effects:?}");
 }
 
-/// Guards against a host that never serves because those whom it asks are gone.
+/// Guards against a host that never serves because the peers it asks are gone.
 #[test]
-fn a_host_whose_peers_are_silent_reads_everything_itself() {
+fn a_starting_host_reads_the_state_itself_if_no_peer_answers() {
     let hosts = 100;
-    run_start(not_the_root(hosts), hosts, Duration::from_secs(10), reads_everything);
+    run_start(non_root(hosts), hosts, Duration::from_secs(10), reads_full_state);
 }
 
-/// Guards against hosts that turn a new one away for as long as no news tells them of it.
+/// Guards against hosts that reject a new host until news of its registration
+/// arrives, and against a read of the members for each of its connections.
 #[test]
-fn a_host_that_does_not_know_who_connects_looks_it_up_at_most_once_a_second() {
-    let (mut node, _) = settled(0, 100);
-    let mut looks = 0;
+fn an_unknown_peer_triggers_at_most_one_read_of_the_members_per_second() {
+    let (mut node, _) = synced(0, 100);
+    let mut reads = 0;
     for millis in (0..3000).step_by(100) {
         let effects = node.handle(NOW.after(Duration::from_millis(millis)), Event::UnknownPeer);
-        looks += usize::from(call_of(&effects, |call| *call == StoreCall::ReadMembers).is_some());
+        reads += usize::from(call_of(&effects, |call| *call == StoreCall::ReadMembers).is_some());
     }
-    assert_eq!(looks, 3);
+    assert_eq!(reads, 3);
 }
 
-/// Guards against a small site whose hosts wait for one another at their start.
+/// Guards against hosts of a small fleet that wait for one another when they start.
 #[test]
-fn where_members_are_few_a_host_that_starts_reads_at_once() {
+fn in_a_small_fleet_a_starting_host_reads_the_state_at_once() {
     let (_, effects) = start(0, 10);
     assert!(call_of(&effects, |call| *call == StoreCall::ReadShared).is_some(), "{effects:?}");
 }
 
-/// Guards against a small site that waits for a peer to tell what its news left
-/// out, while a new configuration has to be in force within two seconds.
+/// Guards against a small fleet that waits for a peer to send missed news,
+/// although a new configuration has to be active within two seconds.
 #[test]
-fn what_news_left_out_is_read_at_once_where_members_are_few_and_asked_for_where_they_are_many() {
-    let (mut node, _) = settled(1, 10);
+fn missed_news_is_read_at_once_in_a_small_fleet_and_requested_from_a_peer_in_a_large_one() {
+    let (mut node, _) = synced(1, 10);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
     assert!(effects.contains(&Effect::ReadOn), "{effects:?}");
-    let (mut node, _) = settled(not_the_root(100), 100);
+    let (mut node, _) = synced(non_root(100), 100);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
     assert_eq!(effects, []);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: true });
-    assert!(asked(&effects).is_some(), "{effects:?}");
+    assert!(requested_peer(&effects).is_some(), "{effects:?}");
 }
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Many hosts' limits of one client account, with a network between them that loses messages.
+//! Simulated fleet that shares the limit of one client account. [`Fleet`] runs the hosts' quota state over a
+//! network that delays messages and loses them at faults.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -28,7 +29,7 @@
 const OVERAGE_PERCENT: u32 = 10;
 const SLACK: Credits = Credits(17_000);
 
-/// Something that happens to hosts.
+/// A fault injected into hosts or their network.
 #[derive(Clone, Debug)]
 enum Fault {
     Kill { host: usize, back: Time },
@@ -37,14 +38,14 @@
     Heal,
 }
 
-/// What happens when.
+/// Faults with the times at which they occur.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     faults: Vec<(Time, Fault)>,
 }
 
 impl Plan {
-    /// Draws faults for half a minute.
+    /// Generates random faults for a run of half a minute.
     pub fn random(seed: u64, hosts: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut faults = Vec::new();
@@ -82,37 +83,37 @@
     quota: Quota,
     rng: SmallRng,
     counters: Counters,
-    /// Until when it does nothing; what is sent to it waits.
+    /// Time until which the process is paused; messages to it are delayed.
     frozen_until: Time,
-    /// Until when it has no process.
+    /// Time until which the host has no process.
     down_until: Time,
-    island: u8,
+    partition: u8,
     next_tick: Time,
 }
 
-struct Letter {
+struct Packet {
     from: usize,
     to: usize,
     message: PeerMessage,
 }
 
-/// Hosts that keep the limit of one client account together.
+/// Hosts that jointly enforce the limit of one client account.
 pub struct Fleet {
     now: Time,
     hosts: Vec<Host>,
     cache: StoreCache,
     document: Document,
-    wire: BTreeMap<(Time, u64), Letter>,
-    letters: u64,
+    in_flight: BTreeMap<(Time, u64), Packet>,
+    packets: u64,
     requests: u64,
     rng: SmallRng,
     per_second: u64,
-    largest: u64,
-    asked_per_second: u64,
-    owed: f64,
-    gives_back: bool,
+    max_cost: u64,
+    requested_per_second: u64,
+    pending_cost: f64,
+    returns_credit: bool,
     waiting: BTreeMap<(usize, RequestId), u64>,
-    /// When credit was used, and how much.
+    /// Times and amounts of used credit.
     used: Vec<(Time, u64)>,
     refused: Vec<Time>,
 }
@@ -123,14 +124,14 @@
 
 fn document(per_second: u64) -> Document {
     let limit = AccountLimit { rate: CreditRate(per_second * 1000), burst: Credits(per_second) };
-    let held = Account {
+    let entry = Account {
         keys: [KeyDigest(Digest([1; 32]))].into(),
         priority: None,
         measure: Measure::Tokens { plain: Credits(200) },
         limit: Some(limit),
     };
     let mut document = Document { catalogue_revision: CatalogueRevision(1), ..Document::default() };
-    document.catalogue.accounts.add(account(), held).unwrap();
+    document.catalogue.accounts.add(account(), entry).unwrap();
     document
 }
 
@@ -162,15 +163,15 @@
             counters: Counters::default(),
             frozen_until: Time::START,
             down_until: Time::START,
-            island: 0,
+            partition: 0,
             next_tick: Time::START,
         }
     }
 }
 
 impl Fleet {
-    /// Makes hosts that all know one another.
-    pub fn new(hosts: usize, per_second: u64, largest: u64, seed: u64) -> Self {
+    /// Creates hosts that all know one another as members.
+    pub fn new(hosts: usize, per_second: u64, max_cost: u64, seed: u64) -> Self {
         let mut cache = StoreCache::default();
         for number in 0..hosts {
             let record = MemberRecord {
@@ -194,29 +195,29 @@
             hosts: (0..hosts).map(|number| Host::new(number, seed)).collect(),
             cache,
             document: document(per_second),
-            wire: BTreeMap::new(),
-            letters: 0,
+            in_flight: BTreeMap::new(),
+            packets: 0,
             requests: 0,
             rng: SmallRng::seed_from_u64(seed),
             per_second,
-            largest,
-            asked_per_second: 0,
-            owed: 0.0,
-            gives_back: false,
+            max_cost,
+            requested_per_second: 0,
+            pending_cost: 0.0,
+            returns_credit: false,
             waiting: BTreeMap::new(),
             used: Vec::new(),
             refused: Vec::new(),
         }
     }
 
-    /// Has callers ask for so much in a second from now on.
+    /// Sets the credit that callers request per second.
     pub fn ask_for(&mut self, per_second: u64) {
-        self.asked_per_second = per_second;
+        self.requested_per_second = per_second;
     }
 
-    /// Has every request end without having been run.
+    /// Makes every granted request end without running, so that its credit is returned.
     pub fn give_back_all(&mut self) {
-        self.gives_back = true;
+        self.returns_credit = true;
     }
 
     pub fn set_limit(&mut self, per_second: u64) {
@@ -229,19 +230,19 @@
         host_state.quota = Quota::new();
         host_state.down_until = back;
         self.waiting.retain(|(at, _), _| *at != host);
-        self.wire.retain(|_, letter| letter.to != host);
+        self.in_flight.retain(|_, packet| packet.to != host);
     }
 
     pub fn cut(&mut self, hosts: Range<usize>) {
         for (number, host) in self.hosts.iter_mut().enumerate() {
-            host.island = u8::from(hosts.contains(&number));
+            host.partition = u8::from(hosts.contains(&number));
         }
     }
 
-    /// Cuts every host off from every other one.
+    /// Isolates every host from all others.
     pub fn isolate_all(&mut self) {
         for (number, host) in self.hosts.iter_mut().enumerate() {
-            host.island = u8::try_from(number).unwrap();
+            host.partition = u8::try_from(number).unwrap();
         }
     }
 
@@ -253,12 +254,12 @@
         self.cut(0..0);
     }
 
-    /// Returns the host that was asked last for the account's credit.
+    /// Runs until a credit request is in flight and returns its receiver, the keeper of the account.
     pub fn keeper(&mut self) -> usize {
-        let asks =
-            |letter: &&Letter| matches!(letter.message, PeerMessage::Credit(CreditMessage::Wanted { .. }));
+        let is_credit_request =
+            |packet: &&Packet| matches!(packet.message, PeerMessage::Credit(CreditMessage::Wanted { .. }));
         loop {
-            if let Some(to) = self.wire.values().find(asks).map(|letter| letter.to) {
+            if let Some(to) = self.in_flight.values().find(is_credit_request).map(|packet| packet.to) {
                 return to;
             }
             self.step();
@@ -273,16 +274,16 @@
         let mut faults = plan.faults.into_iter().peekable();
         while self.now < until {
             while let Some((_, fault)) = faults.next_if(|(at, _)| at.is_due(self.now)) {
-                self.strike(fault);
+                self.inject(fault);
             }
             self.step();
         }
     }
 
-    /// Returns the most that may be used in any window.
+    /// Returns the maximum credit that may be used in any window.
     pub fn allowed(&self) -> u64 {
-        let within = self.per_second * WINDOW.as_secs() + self.per_second;
-        within + within * u64::from(OVERAGE_PERCENT) / 100 + SLACK.0
+        let limit = self.per_second * WINDOW.as_secs() + self.per_second;
+        limit + limit * u64::from(OVERAGE_PERCENT) / 100 + SLACK.0
     }
 
     pub fn most_in_a_window(&self) -> u64 {
@@ -292,23 +293,23 @@
     pub fn most_in_a_window_since(&self, since: Time) -> u64 {
         let mut used: Vec<(Time, u64)> = self.used.iter().copied().filter(|(at, _)| *at >= since).collect();
         used.sort_unstable();
-        let (mut first, mut sum, mut most) = (0, 0, 0);
+        let (mut first, mut sum, mut peak) = (0, 0, 0);
         for &(at, cost) in &used {
             sum += cost;
             while used[first].0.after(WINDOW).is_due(at) {
                 sum -= used[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            peak = peak.max(sum);
         }
-        most
+        peak
     }
 
     pub fn refused_since(&self, since: Time) -> usize {
         self.refused.iter().filter(|at| **at >= since).count()
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Kill { host, back } => self.kill(host, back),
             Fault::Freeze { host, until } => self.hosts[host].frozen_until = until,
@@ -322,50 +323,52 @@
         self.deliver();
         for number in 0..self.hosts.len() {
             let host = &mut self.hosts[number];
-            let idle = !host.frozen_until.is_due(self.now) || !host.down_until.is_due(self.now);
-            if idle || !host.next_tick.is_due(self.now) {
+            let is_stopped = !host.frozen_until.is_due(self.now) || !host.down_until.is_due(self.now);
+            if is_stopped || !host.next_tick.is_due(self.now) {
                 continue;
             }
             host.next_tick = self.now.after(TICK);
-            let verdicts = self.with(number, Quota::on_tick);
+            let verdicts = self.with_context(number, Quota::on_tick);
             for verdict in verdicts {
-                self.rule(number, verdict);
+                self.apply_verdict(number, verdict);
             }
         }
         self.arrive();
     }
 
     fn deliver(&mut self) {
-        let mut late = Vec::new();
-        while let Some(entry) = self.wire.first_entry() {
+        let mut delayed = Vec::new();
+        while let Some(entry) = self.in_flight.first_entry() {
             if !entry.key().0.is_due(self.now) {
                 break;
             }
-            let letter = entry.remove();
-            let to = &self.hosts[letter.to];
-            if !to.down_until.is_due(self.now) || to.island != self.hosts[letter.from].island {
+            let packet = entry.remove();
+            let to = &self.hosts[packet.to];
+            if !to.down_until.is_due(self.now) || to.partition != self.hosts[packet.from].partition {
                 continue;
             }
             if !to.frozen_until.is_due(self.now) {
-                late.push(letter);
+                delayed.push(packet);
                 continue;
             }
-            let from = host_name(letter.from);
-            let PeerMessage::Credit(message) = letter.message else { continue };
-            if let Some(verdict) = self.with(letter.to, |quota, cx| quota.on_peer(cx, &from, &message)) {
-                self.rule(letter.to, verdict);
+            let from = host_name(packet.from);
+            let PeerMessage::Credit(message) = packet.message else { continue };
+            if let Some(verdict) =
+                self.with_context(packet.to, |quota, cx| quota.on_peer(cx, &from, &message))
+            {
+                self.apply_verdict(packet.to, verdict);
             }
         }
-        for letter in late {
-            self.post(letter);
+        for packet in delayed {
+            self.enqueue(packet);
         }
     }
 
     fn arrive(&mut self) {
-        self.owed += self.asked_per_second as f64 * STEP.as_secs_f64();
-        while self.owed > 0.0 {
-            let cost = self.rng.random_range(200..=self.largest);
-            self.owed -= cost as f64;
+        self.pending_cost += self.requested_per_second as f64 * STEP.as_secs_f64();
+        while self.pending_cost > 0.0 {
+            let cost = self.rng.random_range(200..=self.max_cost);
+            self.pending_cost -= cost as f64;
             let number = self.rng.random_range(0..self.hosts.len());
             let host = &self.hosts[number];
             if !host.down_until.is_due(self.now) || !host.frozen_until.is_due(self.now) {
@@ -375,32 +378,32 @@
             let request = RequestId(self.requests);
             let charge = Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
             self.waiting.insert((number, request), cost);
-            if let Some(ruling) = self.with(number, |quota, cx| quota.ask(cx, request, &charge)) {
-                self.rule(number, Verdict { request, ruling });
+            if let Some(ruling) = self.with_context(number, |quota, cx| quota.ask(cx, request, &charge)) {
+                self.apply_verdict(number, Verdict { request, ruling });
             }
         }
     }
 
-    fn rule(&mut self, number: usize, verdict: Verdict) {
+    fn apply_verdict(&mut self, number: usize, verdict: Verdict) {
         let Some(cost) = self.waiting.remove(&(number, verdict.request)) else { return };
         match verdict.ruling {
-            Ruling::Granted { .. } if self.gives_back => {
+            Ruling::Granted { .. } if self.returns_credit => {
                 let charge =
                     Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
-                self.with(number, |quota, cx| quota.give_back(cx, &charge));
+                self.with_context(number, |quota, cx| quota.give_back(cx, &charge));
             }
             Ruling::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
             Ruling::Over { .. } | Ruling::TooLarge => self.refused.push(self.now),
         }
     }
 
-    fn post(&mut self, letter: Letter) {
-        self.letters += 1;
+    fn enqueue(&mut self, packet: Packet) {
+        self.packets += 1;
         let delay = Duration::from_millis(self.rng.random_range(2..12));
-        self.wire.insert((self.now.after(delay), self.letters), letter);
+        self.in_flight.insert((self.now.after(delay), self.packets), packet);
     }
 
-    fn with<T>(&mut self, number: usize, f: impl FnOnce(&mut Quota, &mut Cx<'_>) -> T) -> T {
+    fn with_context<T>(&mut self, number: usize, f: impl FnOnce(&mut Quota, &mut Cx<'_>) -> T) -> T {
         let mut effects = Vec::new();
         let mut writes = Vec::new();
         let upstreams = UpstreamList::default();
@@ -421,7 +424,7 @@
         for effect in effects {
             let Effect::Peer(Envelope { to, message }) = effect else { continue };
             let to = (0..self.hosts.len()).find(|number| host_name(*number) == to).unwrap();
-            self.post(Letter { from: number, to, message });
+            self.enqueue(Packet { from: number, to, message });
         }
         value
     }
--- a/crates/skylarkshore-core/tests/support/process.rs
+++ b/crates/skylarkshore-core/tests/support/process.rs
@@ -1,4 +1,5 @@
-//! One process's control part, with what it would know of engines and the key-value service.
+//! Control state of one simulated process with its cache and fake engines. [`Process`] is the type to start
+//! with.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -20,17 +21,17 @@
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::UpstreamList;
 
-/// What an engine draws with nothing loaded.
+/// Power of an engine with nothing loaded.
 pub const SLEEP_WATTS: Watts = Watts(50);
-/// What an engine draws with something loaded.
+/// Power of an engine with a model loaded.
 pub const ACTIVE_WATTS: Watts = Watts(400);
 
-/// What the fake loading part of one process does with its engines.
+/// Fake of the loading subsystem of one process.
 #[derive(Debug, Default)]
 pub struct FakeEngines {
-    /// Engines that draw power, with what is loaded on them.
+    /// Loaded models with their engines, which therefore draw active power.
     pub loaded: BTreeSet<(UpstreamId, ModelName)>,
-    /// Engines for which requests wait.
+    /// Engines with waiting requests, which lack power for a load while nothing is loaded.
     pub lacking: BTreeSet<UpstreamId>,
     pub unsettled: BTreeSet<UpstreamId>,
     pub wishes: Vec<HomeWish>,
@@ -46,8 +47,8 @@
     }
 
     fn drawn(&self, engine: &UpstreamId) -> Watts {
-        let at_work = self.loaded.iter().any(|(loaded, _)| loaded == engine);
-        if at_work { ACTIVE_WATTS } else { SLEEP_WATTS }
+        let is_active = self.loaded.iter().any(|(loaded, _)| loaded == engine);
+        if is_active { ACTIVE_WATTS } else { SLEEP_WATTS }
     }
 
     fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
@@ -64,7 +65,7 @@
     }
 }
 
-/// One process.
+/// One simulated process.
 pub struct Process {
     pub cfg: NodeConfig,
     pub control: Control,
@@ -78,16 +79,16 @@
     pub counters: Counters,
     pub rng: SmallRng,
     pub watched: Option<StoreRevision>,
-    /// Neither runs nor ends; what is sent to it waits.
+    /// The process is paused; messages to it are delayed.
     pub frozen: bool,
-    /// Can't reach the key-value service.
+    /// The process can't reach the key-value service.
     pub cut: bool,
-    /// Hears neither its watch nor its peers, though its calls are answered.
+    /// The process receives neither watch events nor peer messages, but its calls are answered.
     pub deaf: bool,
     pub inbox: VecDeque<Inbound>,
 }
 
-/// Something that reaches a process.
+/// Input to a process.
 pub enum Inbound {
     Result(CallId, StoreResult),
     Watched(Vec<Versioned>, StoreRevision),
@@ -96,14 +97,14 @@
 }
 
 impl Process {
-    /// Runs one step of the process, and takes up what it wants written.
+    /// Runs one step of the process and starts the writes that it requests.
     pub fn with<T>(
         &mut self,
         now: Time,
         effects: &mut Vec<Effect>,
         f: impl FnOnce(&mut Cx<'_>, Parts<'_>) -> T,
     ) -> T {
-        let mut wanted = Vec::new();
+        let mut write_requests = Vec::new();
         let mut cx = Cx {
             now,
             at: MinuteOfDay::default(),
@@ -112,7 +113,7 @@
             cache: &self.cache,
             upstreams: &self.upstreams,
             effects,
-            writes: &mut wanted,
+            writes: &mut write_requests,
             counters: &mut self.counters,
             rng: &mut self.rng,
         };
@@ -125,7 +126,7 @@
         value
     }
 
-    fn take_changed(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
+    fn notify_changed_keys(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
         for key in changed {
             if let Some(Record::Document(document)) =
                 self.cache.get(&Key::Document).and_then(|entry| entry.record.as_ref())
@@ -145,7 +146,7 @@
                 self.cache.apply(record).then_some(key)
             })
             .collect();
-        self.take_changed(now, &keys, effects);
+        self.notify_changed_keys(now, &keys, effects);
     }
 
     pub fn take_written(&mut self, now: Time, ended: Option<(Key, WriteOutcome)>, effects: &mut Vec<Effect>) {
@@ -156,13 +157,13 @@
         self.with(now, effects, |cx, parts| parts.control.on_write(cx, &key, &outcome));
     }
 
-    /// Hands over what has reached the process.
+    /// Handles one input of the process.
     pub fn take(&mut self, now: Time, inbound: Inbound, effects: &mut Vec<Effect>) {
         match inbound {
             Inbound::Result(call, result) => {
                 if let Ok(StoreAnswer::Shared { revision, records }) = &result {
                     let changed = self.cache.apply_all(*revision, records.clone());
-                    self.take_changed(now, &changed, effects);
+                    self.notify_changed_keys(now, &changed, effects);
                 }
                 if let Ok(StoreAnswer::One(found)) = &result {
                     self.take_records(now, vec![found.clone()], effects);
@@ -182,7 +183,7 @@
                     self.take_records(now, batch.records, effects);
                 } else {
                     let changed = self.cache.apply_all(batch.upto, batch.records);
-                    self.take_changed(now, &changed, effects);
+                    self.notify_changed_keys(now, &changed, effects);
                 }
                 self.with(now, effects, |cx, parts| {
                     parts.control.on_records(cx, &from, batch.after, batch.upto);
@@ -201,12 +202,12 @@
         self.control.permit(now, engine).is_some_and(|permit| !permit.not_after.is_due(now))
     }
 
-    /// Tells whether the answer to a call about the lease waits to be taken.
+    /// Reports whether the answer to a lease call is in the inbox.
     pub fn has_lease_answer(&self) -> bool {
         self.inbox.iter().any(|inbound| matches!(inbound, Inbound::Result(_, Ok(StoreAnswer::Lease { .. }))))
     }
 
-    /// Returns what the process believes, a line for each thing.
+    /// Returns the state dump, one line per entry.
     pub fn beliefs(&mut self, now: Time) -> String {
         let beliefs = self.with(now, &mut Vec::new(), |cx, parts| parts.control.dump(cx));
         let lines: Vec<String> =
@@ -223,7 +224,7 @@
     }
 }
 
-/// What a process is made of, as long as it runs.
+/// Subsystems that a step of the process may access.
 pub struct Parts<'a> {
     pub control: &'a mut Control,
     pub writes: &'a mut Writes,
