--- a/crates/skylarkshore-core/src/cx.rs
+++ b/crates/skylarkshore-core/src/cx.rs
@@ -1,4 +1,5 @@
-//! Context of an event handler: [`Cx`] gives access to time, configuration and cached state, and collects effects.
+//! Context of an event handler. [`Cx`] gives access to time, configuration and cached state, and collects
+//! effects.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shutdown {
-    No,
+    NotRequested,
     /// Callers may use a cached address of this host until `until`.
     Draining {
         until: Time,
@@ -80,7 +80,7 @@
             control: Control::new(&cfg),
             loading: Loading::new(&cfg),
             serving: Serving::new(&cfg),
-            shutdown: Shutdown::No,
+            shutdown: Shutdown::NotRequested,
             cfg,
         };
         let mut effects = Vec::new();
@@ -119,7 +119,7 @@
 
     /// Reports whether shutdown has been requested.
     pub fn is_leaving(&self) -> bool {
-        self.shutdown != Shutdown::No
+        self.shutdown != Shutdown::NotRequested
     }
 
     /// Reports whether the process has a document and upstreams and isn't shutting down.
--- a/crates/skylarkshore-core/src/peer/credit.rs
+++ b/crates/skylarkshore-core/src/peer/credit.rs
@@ -1,19 +1,19 @@
-//! Messages about the credit of client accounts, between hosts and the keepers of the accounts' limits.
+//! Messages about the credit of client accounts, between hosts and the coordinators that grant it.
 
 use std::time::Duration;
 
 use crate::id::AccountName;
 use crate::units::Credits;
 
-/// A message between a host and a keeper, the host that accounts for the limit of a client account.
+/// A message between a host and a coordinator, the host that grants the credit of a client account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CreditMessage {
-    /// Registers the sender with the receiver as its keeper, or probes the receiver.
+    /// Registers the sender with the receiver as its coordinator, or probes the receiver.
     SignOn {
         /// Whether the sender transfers its share of all limits.
         with_share: bool,
     },
-    /// Acknowledges the registration; the sender is an active keeper.
+    /// Acknowledges the registration; the sender is an active coordinator.
     SignedOn,
     /// Ends the registration and withdraws the sender's share of all limits.
     SignOff,
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -254,7 +254,7 @@
         self.cut(0..0);
     }
 
-    /// Runs until a credit request is in flight and returns its receiver, the keeper of the account.
+    /// Runs until a credit request is in flight and returns its receiver, the account's coordinator.
     pub fn keeper(&mut self) -> usize {
         let is_credit_request =
             |packet: &&Packet| matches!(packet.message, PeerMessage::Credit(CreditMessage::Wanted { .. }));
