--- a/crates/skylarkshore-core/src/authority.rs
+++ b/crates/skylarkshore-core/src/authority.rs
@@ -51,40 +51,40 @@
     /// Returns `true` if the rules allow fewer replicas than exist, or if the
     /// engine isn't a home of the model, is leaving or has to reduce its power.
     /// Such a replica receives no new requests.
-    fn must_close(&self, _engine: &UpstreamId, _model: &ModelName) -> bool {
+    fn must_unload(&self, _engine: &UpstreamId, _model: &ModelName) -> bool {
         false
     }
 
     /// Returns the power that is guaranteed to the engine.
-    fn granted(&self, engine: &UpstreamId) -> Watts;
+    fn granted_power(&self, engine: &UpstreamId) -> Watts;
 }
 
 /// A model that needs another home.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HomeWish {
+pub struct HomeRequest {
     /// The model.
     pub model: ModelName,
     /// The overloaded home to move away from; `None` to add a home.
-    pub leave: Option<UpstreamId>,
+    pub move_from: Option<UpstreamId>,
 }
 
 /// How the engines that this process owns are used.
 pub trait EngineUse {
     /// Reports whether the model is certainly neither loaded nor loading on the engine.
-    fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool;
+    fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool;
 
     /// Reports whether no order to the engine is in progress or of unknown outcome.
-    fn is_settled(&self, engine: &UpstreamId) -> bool;
+    fn has_no_open_orders(&self, engine: &UpstreamId) -> bool;
 
     /// Returns an upper bound of the power that the engine draws now.
-    fn drawn(&self, engine: &UpstreamId) -> Watts;
+    fn power_draw(&self, engine: &UpstreamId) -> Watts;
 
     /// Returns the power that the engine lacks for a load, with the order of service of the waiting requests.
-    fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)>;
+    fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)>;
 
     /// Returns the unreserved memory of the engine.
     fn free_memory(&self, engine: &UpstreamId) -> Mebibytes;
 
     /// Returns the models on the owned engines that need another home.
-    fn home_wishes(&self) -> Vec<HomeWish>;
+    fn home_requests(&self) -> Vec<HomeRequest>;
 }
--- a/crates/skylarkshore-core/src/cx.rs
+++ b/crates/skylarkshore-core/src/cx.rs
@@ -6,7 +6,7 @@
 
 use crate::catalogue::Document;
 use crate::config::NodeConfig;
-use crate::effect::{Decision, Effect, Note};
+use crate::effect::{Decision, Effect, LogEvent};
 use crate::id::{AttemptId, CallId, HostId, OrderId, RequestId};
 use crate::peer::{Envelope, PeerMessage};
 use crate::rules::MinuteOfDay;
@@ -54,7 +54,7 @@
     }
 
     /// Sends a message to a process; a message to this process is delivered when the event has been handled.
-    pub fn tell(&mut self, to: &HostId, message: PeerMessage) {
+    pub fn send(&mut self, to: &HostId, message: PeerMessage) {
         self.push(Effect::Peer(Envelope { to: to.clone(), message }));
     }
 
@@ -66,23 +66,27 @@
     }
 
     /// Sends a message to every other member.
-    pub fn tell_all(&mut self, message: &PeerMessage) {
+    pub fn broadcast(&mut self, message: &PeerMessage) {
         let own = &self.cfg.host;
         let peers: Vec<HostId> =
             self.cache.members().filter(|(host, _)| *host != own).map(|(host, _)| host.clone()).collect();
         for peer in peers {
-            self.tell(&peer, message.clone());
+            self.send(&peer, message.clone());
         }
     }
 
     /// Logs and counts an event for the operators.
     #[expect(clippy::needless_pass_by_value, reason = "accepts names and formatted strings alike")]
-    pub fn note(&mut self, event: &'static str, subject: impl ToString, detail: impl ToString) {
-        self.push(Effect::Note(Note { event, subject: subject.to_string(), detail: detail.to_string() }));
+    pub fn log_event(&mut self, event: &'static str, subject: impl ToString, detail: impl ToString) {
+        self.push(Effect::LogEvent(LogEvent {
+            event,
+            subject: subject.to_string(),
+            detail: detail.to_string(),
+        }));
     }
 
     /// Logs a decision on a request with its inputs.
-    pub fn decided(&mut self, request: RequestId, event: &'static str, detail: String) {
+    pub fn log_decision(&mut self, request: RequestId, event: &'static str, detail: String) {
         self.push(Effect::Decision(Decision { request, event, detail }));
     }
 
--- a/crates/skylarkshore-core/src/dump.rs
+++ b/crates/skylarkshore-core/src/dump.rs
@@ -4,7 +4,7 @@
 
 /// One entry of the state dump.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct DumpEntry {
     /// Kind of the subject, such as `engine` or `request`.
     pub kind: &'static str,
     /// Name of the subject.
--- a/crates/skylarkshore-core/src/effect.rs
+++ b/crates/skylarkshore-core/src/effect.rs
@@ -124,11 +124,11 @@
     /// Stop watching.
     Unwatch,
     /// Apply changes that a peer read and relayed.
-    TakeNews(News),
+    ApplyNews(News),
     /// Poll for changes at the short interval of a relay root (`true`) or for this process alone (`false`).
     ReadNewsForOthers(bool),
     /// Send the full state of the key-value service to peers.
-    TellState {
+    SendState {
         /// The receivers.
         to: Vec<HostId>,
         /// Identifies the parts that belong together.
@@ -139,11 +139,11 @@
         records: Vec<Versioned>,
     },
     /// Apply a part of the full state that a peer sent.
-    TakeState(StatePart),
+    ApplyStatePart(StatePart),
     /// Keep waiting for the full state from a peer.
-    AwaitState,
+    ExtendStateWait,
     /// Read the changes that are missing from the relayed ones.
-    ReadOn,
+    ReadMissedNews,
     /// Send a message to a peer.
     Peer(Envelope),
     /// Check whether an incarnation of a process has certainly ended.
@@ -174,7 +174,7 @@
         action: Order,
     },
     /// Request a status report from an engine.
-    AskReport {
+    RequestReport {
         /// The engine.
         upstream: UpstreamId,
     },
@@ -201,7 +201,7 @@
         keep_failure: bool,
     },
     /// Forward the kept failure answer of a request's last attempt.
-    PassOn {
+    ForwardHeldAnswer {
         /// The request.
         request: RequestId,
     },
@@ -232,7 +232,7 @@
         refusal: Refusal,
     },
     /// Log and count an event for the operators.
-    Note(Note),
+    LogEvent(LogEvent),
     /// Log a decision on a request.
     Decision(Decision),
     /// Stop accepting connections and requests; requests in progress continue.
@@ -254,7 +254,7 @@
 
 /// An event for the operators, written to the log and counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEvent {
     /// Event name in the log and the counter, such as `engine_taken_over`.
     pub event: &'static str,
     /// Subject of the event, such as the name of an engine or model.
--- a/crates/skylarkshore-core/src/event.rs
+++ b/crates/skylarkshore-core/src/event.rs
@@ -40,23 +40,29 @@
 
 /// Limits that the operators set for a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestPolicy {
     /// Maximum number of upstreams on which the request may run.
-    pub tries: u32,
+    pub max_runs: u32,
     /// Soft deadline: a later answer has reduced value.
-    pub aim: Time,
+    pub soft_deadline: Time,
     /// Deadline for the start of the answer, after which the caller gives up.
-    pub begins_by: Time,
+    pub first_byte_deadline: Time,
     /// Offset added to the order of service from the rules; negative values are served earlier.
-    pub rank: i16,
+    pub order_offset: i16,
     /// Whether another upstream may resume an interrupted stream.
     pub resumable: bool,
 }
 
-impl Terms {
+impl RequestPolicy {
     /// Returns the default limits.
     pub const fn plain(deadline: Time, resumable: bool) -> Self {
-        Self { tries: u32::MAX, aim: deadline, begins_by: Time::NEVER, rank: 0, resumable }
+        Self {
+            max_runs: u32::MAX,
+            soft_deadline: deadline,
+            first_byte_deadline: Time::NEVER,
+            order_offset: 0,
+            resumable,
+        }
     }
 }
 
@@ -76,24 +82,24 @@
     /// Deadline for the complete answer.
     pub deadline: Time,
     /// Limits of its class.
-    pub terms: Terms,
+    pub policy: RequestPolicy,
     /// Client account and cost to charge, if client accounts are in use.
     pub charge: Option<Charge>,
 }
 
 /// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The complete answer was received, and forwarded unless it is held here.
-    Whole {
+    Completed {
         /// The answer, if it is held back until it is recorded.
         held: Option<RecordedAnswer>,
     },
     /// The complete answer exceeds the size that may be held and was forwarded directly.
-    WholeTooLarge,
+    CompletedTooLarge,
     /// The complete answer reports a failure of the upstream and is kept, to be
     /// forwarded if no other upstream is tried.
-    FailedWhole,
+    CompletedWithFailure,
     /// No part of the request reached the upstream.
     NotSent,
     /// The upstream rejected the request without running it.
@@ -107,13 +113,13 @@
     },
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// Returns the fixed label of the outcome in logs and counters.
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
-            Self::Whole { .. } => "whole",
-            Self::WholeTooLarge => "whole_too_large",
-            Self::FailedWhole => "failed",
+            Self::Completed { .. } => "whole",
+            Self::CompletedTooLarge => "whole_too_large",
+            Self::CompletedWithFailure => "failed",
             Self::NotSent => "not_sent",
             Self::Rejected(Rejection::NotLoaded) => "rejected_not_loaded",
             Self::Rejected(Rejection::Busy) => "rejected_busy",
@@ -140,7 +146,7 @@
 
 /// Load that an upstream reports with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadTold {
+pub struct ReportedLoad {
     /// Running requests.
     pub running: u32,
     /// Requests queued inside the upstream.
@@ -196,7 +202,7 @@
     /// The watch read changes to relay to other processes.
     NewsRead(News),
     /// The watch call timed out and is repeated from the same revision.
-    WatchUnanswered,
+    WatchTimedOut,
     /// The watch ended and may have missed changes.
     WatchBroken,
     /// A message from an authenticated peer.
@@ -208,7 +214,7 @@
     },
     /// A running host refuses connections to the address of this incarnation of its process, which has
     /// therefore ended.
-    PeerRefused {
+    PeerConnectionRefused {
         /// The host.
         host: HostId,
         /// The incarnation that ended.
@@ -245,11 +251,11 @@
         request: RequestId,
     },
     /// An upstream reported its load with an answer.
-    LoadTold {
+    LoadReported {
         /// The upstream.
         upstream: UpstreamId,
         /// The reported load.
-        load: LoadTold,
+        load: ReportedLoad,
     },
     /// The first part of an answer was received.
     AnswerStarted {
@@ -261,6 +267,6 @@
         /// The attempt.
         attempt: AttemptId,
         /// Its outcome.
-        end: AttemptEnd,
+        end: AttemptOutcome,
     },
 }
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -12,7 +12,7 @@
 use crate::config::NodeConfig;
 use crate::control::Control;
 use crate::cx::{Counters, Cx};
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::effect::Effect;
 use crate::event::Event;
 use crate::id::{HostId, StoreRevision};
@@ -22,7 +22,7 @@
 use crate::rules::MinuteOfDay;
 use crate::serving::Serving;
 use crate::store::{
-    Key, Record, RecordBatch, StoreAnswer, StoreCache, Versioned, WriteOutcome, WriteRequest, Writes,
+    Key, Record, RecordBatch, StoreAnswer, StoreCache, Versioned, WriteOutcome, WriteQueue, WriteRequest,
 };
 use crate::time::Time;
 use crate::upstream::{UpstreamChanges, UpstreamList};
@@ -38,7 +38,7 @@
     removal_grace: RemovalGrace,
     counters: Counters,
     rng: SmallRng,
-    writes: Writes,
+    writes: WriteQueue,
     control: Control,
     loading: Loading,
     serving: Serving,
@@ -59,7 +59,7 @@
 
 /// Subsystems that an event handler may modify, alongside the context it reads.
 struct Parts<'a> {
-    writes: &'a mut Writes,
+    writes: &'a mut WriteQueue,
     control: &'a mut Control,
     loading: &'a mut Loading,
     serving: &'a mut Serving,
@@ -76,7 +76,7 @@
             removal_grace: RemovalGrace::new(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(cfg.seed),
-            writes: Writes::default(),
+            writes: WriteQueue::default(),
             control: Control::new(&cfg),
             loading: Loading::new(&cfg),
             serving: Serving::new(&cfg),
@@ -124,11 +124,11 @@
 
     /// Reports whether the process has a document and upstreams and isn't shutting down.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.document.is_known() && !self.upstreams.is_empty()
+        !self.is_leaving() && self.document.is_configured() && !self.upstreams.is_empty()
     }
 
     /// Returns the state dump.
-    pub fn dump(&mut self, now: Time) -> Vec<Belief> {
+    pub fn dump(&mut self, now: Time) -> Vec<DumpEntry> {
         self.with_context(now, &mut Vec::new(), |cx, parts| {
             let mut beliefs = parts.control.dump(cx);
             beliefs.extend(parts.loading.dump(cx));
@@ -183,7 +183,7 @@
                     self.apply_records(now, vec![found.clone()], effects);
                 }
                 let outcome = self.with_context(now, effects, |cx, parts| {
-                    parts.control.on_store(cx, call, &result);
+                    parts.control.on_store_result(cx, call, &result);
                     parts.serving.on_store(cx, call, &result);
                     parts.writes.on_result(cx, call, &result)
                 });
@@ -200,26 +200,26 @@
             }
             Event::State { upto, records } => {
                 self.apply_snapshot(now, upto, records, effects);
-                self.with_context(now, effects, |cx, parts| parts.control.on_state(cx, upto));
+                self.with_context(now, effects, |cx, parts| parts.control.on_snapshot(cx, upto));
             }
             Event::UnknownPeer => {
                 self.with_context(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
             }
             Event::NewsMissed { lasts } => {
-                self.with_context(now, effects, |cx, parts| parts.control.on_news_missed(cx, lasts));
+                self.with_context(now, effects, |cx, parts| parts.control.on_news_gap(cx, lasts));
             }
-            Event::WatchUnanswered => {
+            Event::WatchTimedOut => {
                 self.removal_grace.record_failure();
-                self.control.on_watch_unanswered();
+                self.control.on_watch_timed_out();
             }
             Event::WatchBroken => {
                 self.removal_grace.record_failure();
                 self.with_context(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
             }
             Event::Peer { from, message } => self.on_peer(now, &from, message, effects),
-            Event::PeerRefused { host, incarnation } => {
+            Event::PeerConnectionRefused { host, incarnation } => {
                 self.with_context(now, effects, |cx, parts| {
-                    parts.control.on_peer_refused(cx, &host, incarnation)
+                    parts.control.on_peer_connection_refused(cx, &host, incarnation)
                 });
             }
             Event::Order { upstream, order, answer } => {
@@ -237,8 +237,10 @@
             Event::CallerGone { request } => {
                 self.with_context(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
             }
-            Event::LoadTold { upstream, load } => {
-                self.with_context(now, effects, |cx, parts| parts.serving.on_load_told(cx, &upstream, load));
+            Event::LoadReported { upstream, load } => {
+                self.with_context(now, effects, |cx, parts| {
+                    parts.serving.on_load_reported(cx, &upstream, load)
+                });
             }
             Event::AnswerStarted { attempt } => {
                 self.with_context(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
@@ -289,7 +291,7 @@
             return;
         }
         self.with_context(now, effects, |cx, parts| parts.control.on_drained(cx));
-        if self.control.has_left() {
+        if self.control.has_deregistered() {
             self.shutdown = Shutdown::Exited;
             effects.push(Effect::Exit);
         }
@@ -318,7 +320,7 @@
             return;
         }
         if let PeerMessage::News(news) = &message {
-            effects.push(Effect::TakeNews(news.clone()));
+            effects.push(Effect::ApplyNews(news.clone()));
         }
         if let PeerMessage::Spread { origin, message: inner } = &message {
             let is_from_self = *origin == self.cfg.host;
@@ -353,7 +355,7 @@
         records: Vec<Versioned>,
         effects: &mut Vec<Effect>,
     ) {
-        let changed = self.cache.apply_all(revision, records);
+        let changed = self.cache.apply_snapshot(revision, records);
         self.notify_changed_keys(now, &changed, effects);
     }
 
@@ -376,7 +378,7 @@
         if let WriteOutcome::Done(found) | WriteOutcome::Conflict(found) = outcome {
             self.apply_records(now, vec![found.clone()], effects);
         }
-        self.with_context(now, effects, |cx, parts| parts.control.on_write(cx, key, outcome));
+        self.with_context(now, effects, |cx, parts| parts.control.on_write_outcome(cx, key, outcome));
     }
 
     fn notify_changed_keys(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
@@ -385,7 +387,7 @@
                 self.activate_newer_document();
             }
             self.with_context(now, effects, |cx, parts| {
-                parts.control.on_change(cx, key);
+                parts.control.on_key_change(cx, key);
                 parts.serving.on_change(cx, key);
             });
         }
--- a/crates/skylarkshore-core/src/peer.rs
+++ b/crates/skylarkshore-core/src/peer.rs
@@ -70,9 +70,9 @@
         /// The earliest order of service among them.
         order: ServiceOrder,
         /// The longest time that any of them can still wait.
-        patience: Duration,
+        max_wait: Duration,
         /// Time until the next of their soft deadlines.
-        aim: Option<Duration>,
+        soft_deadline: Option<Duration>,
     },
     /// Use of a model from the sender; subscribes the sender to views of the model for a while.
     Used {
@@ -83,7 +83,7 @@
         /// Answers since then that began late although their requests had not waited at the sender.
         late: u32,
         /// Total running time of the sender's requests since then.
-        worked: Duration,
+        run_time: Duration,
         /// Whether requests for it wait at the sender.
         waited_for: bool,
     },
@@ -107,7 +107,7 @@
         /// Order of service of the waiting requests.
         order: ServiceOrder,
         /// The longest time that the waiting requests can still wait.
-        patience: Duration,
+        max_wait: Duration,
     },
     /// The load is queued for a slot; also shows that the gate is alive.
     LoadSlotQueued {
@@ -167,7 +167,7 @@
         /// The engine.
         upstream: UpstreamId,
         /// The longest time that the suspect can still wait.
-        patience: Duration,
+        max_wait: Duration,
     },
     /// Ends the exclusive use of an engine.
     ReservationReturned {
--- a/crates/skylarkshore-core/src/removal_grace.rs
+++ b/crates/skylarkshore-core/src/removal_grace.rs
@@ -7,7 +7,7 @@
 use crate::collections::OrderedSet;
 use crate::id::UpstreamId;
 use crate::time::Time;
-use crate::upstream::{Standing, Upstream, UpstreamChanges, UpstreamList};
+use crate::upstream::{Upstream, UpstreamChanges, UpstreamList, UpstreamStatus};
 
 /// Availability of the source of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
         }
         let is_grace_active = self.is_grace_active(now, grace);
         changes.gone.retain(|id| {
-            let is_live = current.get(id).is_some_and(|known| known.standing == Standing::Live);
+            let is_live = current.get(id).is_some_and(|known| known.status == UpstreamStatus::Live);
             let is_held_back = is_grace_active && is_live;
             if is_held_back {
                 self.missing.insert(id.clone());
--- a/crates/skylarkshore-core/tests/fleet_size.rs
+++ b/crates/skylarkshore-core/tests/fleet_size.rs
@@ -227,7 +227,7 @@
     let parent = requested_peer(&effects).expect("no peer was asked for the state");
     let part = StatePart { series: 1, upto: upto(hosts), part: 0, parts: 1, body: Vec::new().into() };
     let effects = node.handle(NOW, Event::Peer { from: parent, message: PeerMessage::State(part) });
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::TakeState(_))), "{effects:?}");
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::ApplyStatePart(_))), "{effects:?}");
 }
 
 /// Guards against a host that never serves because the peers it asks are gone.
@@ -263,7 +263,7 @@
 fn missed_news_is_read_at_once_in_a_small_fleet_and_requested_from_a_peer_in_a_large_one() {
     let (mut node, _) = synced(1, 10);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
-    assert!(effects.contains(&Effect::ReadOn), "{effects:?}");
+    assert!(effects.contains(&Effect::ReadMissedNews), "{effects:?}");
     let (mut node, _) = synced(non_root(100), 100);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
     assert_eq!(effects, []);
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use skylarkshore_core::accounts::{Account, AccountLimit, Charge, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, AccountLimit, Charge, KeyDigest, LimitUnit};
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::config::{Limits, NodeConfig, QuotaPolicy, Timings, Watchers};
 use skylarkshore_core::cx::{Counters, Cx};
@@ -16,7 +16,7 @@
     AccountName, CatalogueRevision, Digest, HostId, Incarnation, RequestId, StoreRevision,
 };
 use skylarkshore_core::peer::{CreditMessage, Envelope, PeerMessage};
-use skylarkshore_core::quota::{Quota, Ruling, Verdict};
+use skylarkshore_core::quota::{CreditDecision, CreditOutcome, Quota};
 use skylarkshore_core::rules::{MinuteOfDay, Rules};
 use skylarkshore_core::store::{Key, MemberRecord, Record, StoreCache, Versioned};
 use skylarkshore_core::time::Time;
@@ -127,7 +127,7 @@
     let entry = Account {
         keys: [KeyDigest(Digest([1; 32]))].into(),
         priority: None,
-        measure: Measure::Tokens { plain: Credits(200) },
+        unit: LimitUnit::Tokens { default_cost: Credits(200) },
         limit: Some(limit),
     };
     let mut document = Document { catalogue_revision: CatalogueRevision(1), ..Document::default() };
@@ -211,12 +211,12 @@
     }
 
     /// Sets the credit that callers request per second.
-    pub fn ask_for(&mut self, per_second: u64) {
+    pub fn set_request_rate(&mut self, per_second: u64) {
         self.requested_per_second = per_second;
     }
 
     /// Makes every granted request end without running, so that its credit is returned.
-    pub fn give_back_all(&mut self) {
+    pub fn return_all_credit(&mut self) {
         self.returns_credit = true;
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Runs until a credit request is in flight and returns its receiver, the account's coordinator.
-    pub fn keeper(&mut self) -> usize {
+    pub fn coordinator(&mut self) -> usize {
         let is_credit_request =
             |packet: &&Packet| matches!(packet.message, PeerMessage::Credit(CreditMessage::Wanted { .. }));
         loop {
@@ -286,11 +286,11 @@
         limit + limit * u64::from(OVERAGE_PERCENT) / 100 + SLACK.0
     }
 
-    pub fn most_in_a_window(&self) -> u64 {
-        self.most_in_a_window_since(Time::START)
+    pub fn peak_window_usage(&self) -> u64 {
+        self.peak_window_usage_since(Time::START)
     }
 
-    pub fn most_in_a_window_since(&self, since: Time) -> u64 {
+    pub fn peak_window_usage_since(&self, since: Time) -> u64 {
         let mut used: Vec<(Time, u64)> = self.used.iter().copied().filter(|(at, _)| *at >= since).collect();
         used.sort_unstable();
         let (mut first, mut sum, mut peak) = (0, 0, 0);
@@ -378,22 +378,24 @@
             let request = RequestId(self.requests);
             let charge = Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
             self.waiting.insert((number, request), cost);
-            if let Some(ruling) = self.with_context(number, |quota, cx| quota.ask(cx, request, &charge)) {
-                self.apply_verdict(number, Verdict { request, ruling });
+            if let Some(decision) =
+                self.with_context(number, |quota, cx| quota.request_credit(cx, request, &charge))
+            {
+                self.apply_verdict(number, CreditOutcome { request, decision });
             }
         }
     }
 
-    fn apply_verdict(&mut self, number: usize, verdict: Verdict) {
+    fn apply_verdict(&mut self, number: usize, verdict: CreditOutcome) {
         let Some(cost) = self.waiting.remove(&(number, verdict.request)) else { return };
-        match verdict.ruling {
-            Ruling::Granted { .. } if self.returns_credit => {
+        match verdict.decision {
+            CreditDecision::Granted { .. } if self.returns_credit => {
                 let charge =
                     Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
-                self.with_context(number, |quota, cx| quota.give_back(cx, &charge));
+                self.with_context(number, |quota, cx| quota.return_credit(cx, &charge));
             }
-            Ruling::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
-            Ruling::Over { .. } | Ruling::TooLarge => self.refused.push(self.now),
+            CreditDecision::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
+            CreditDecision::OverLimit { .. } | CreditDecision::TooLarge => self.refused.push(self.now),
         }
     }
 
