--- a/crates/skylarkshore-core/src/event.rs
+++ b/crates/skylarkshore-core/src/event.rs
@@ -45,7 +45,7 @@
     pub max_runs: u32,
     /// Soft deadline: a later answer has reduced value.
     pub soft_deadline: Time,
-    /// Deadline for the start of the answer, after which the caller gives up.
+    /// Deadline for the first byte of the answer, after which the caller gives up.
     pub first_byte_deadline: Time,
     /// Offset added to the order of service from the rules; negative values are served earlier.
     pub order_offset: i16,
--- a/crates/skylarkshore-core/src/member_count.rs
+++ b/crates/skylarkshore-core/src/member_count.rs
@@ -1,4 +1,4 @@
-//! Number of processes that share a fleet-wide limit.
+//! Number of processes that share a fleet-wide limit, held in a [`MemberCount`].
 
 use std::time::Duration;
 
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -130,10 +130,10 @@
     /// Returns the state dump.
     pub fn dump(&mut self, now: Time) -> Vec<DumpEntry> {
         self.with_context(now, &mut Vec::new(), |cx, parts| {
-            let mut beliefs = parts.control.dump(cx);
-            beliefs.extend(parts.loading.dump(cx));
-            beliefs.extend(parts.serving.dump(cx));
-            beliefs
+            let mut entries = parts.control.dump(cx);
+            entries.extend(parts.loading.dump(cx));
+            entries.extend(parts.serving.dump(cx));
+            entries
         })
     }
 
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -328,9 +328,9 @@
                 continue;
             }
             host.next_tick = self.now.after(TICK);
-            let verdicts = self.with_context(number, Quota::on_tick);
-            for verdict in verdicts {
-                self.apply_verdict(number, verdict);
+            let outcomes = self.with_context(number, Quota::on_tick);
+            for outcome in outcomes {
+                self.apply_outcome(number, outcome);
             }
         }
         self.arrive();
@@ -353,10 +353,10 @@
             }
             let from = host_name(packet.from);
             let PeerMessage::Credit(message) = packet.message else { continue };
-            if let Some(verdict) =
+            if let Some(outcome) =
                 self.with_context(packet.to, |quota, cx| quota.on_peer(cx, &from, &message))
             {
-                self.apply_verdict(packet.to, verdict);
+                self.apply_outcome(packet.to, outcome);
             }
         }
         for packet in delayed {
@@ -381,14 +381,14 @@
             if let Some(decision) =
                 self.with_context(number, |quota, cx| quota.request_credit(cx, request, &charge))
             {
-                self.apply_verdict(number, CreditOutcome { request, decision });
+                self.apply_outcome(number, CreditOutcome { request, decision });
             }
         }
     }
 
-    fn apply_verdict(&mut self, number: usize, verdict: CreditOutcome) {
-        let Some(cost) = self.waiting.remove(&(number, verdict.request)) else { return };
-        match verdict.decision {
+    fn apply_outcome(&mut self, number: usize, outcome: CreditOutcome) {
+        let Some(cost) = self.waiting.remove(&(number, outcome.request)) else { return };
+        match outcome.decision {
             CreditDecision::Granted { .. } if self.returns_credit => {
                 let charge =
                     Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
--- a/crates/skylarkshore-core/tests/support/process.rs
+++ b/crates/skylarkshore-core/tests/support/process.rs
@@ -52,8 +52,8 @@
     }
 
     fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
-        let lacks = self.short_of_power.contains(engine) && self.power_draw(engine) == SLEEP_WATTS;
-        lacks.then(|| (ACTIVE_WATTS.saturating_sub(SLEEP_WATTS), ServiceOrder::default()))
+        let is_short = self.short_of_power.contains(engine) && self.power_draw(engine) == SLEEP_WATTS;
+        is_short.then(|| (ACTIVE_WATTS.saturating_sub(SLEEP_WATTS), ServiceOrder::default()))
     }
 
     fn free_memory(&self, _engine: &UpstreamId) -> Mebibytes {
@@ -211,9 +211,11 @@
 
     /// Returns the state dump, one line per entry.
     pub fn dump_entries(&mut self, now: Time) -> String {
-        let beliefs = self.with(now, &mut Vec::new(), |cx, parts| parts.control.dump(cx));
-        let lines: Vec<String> =
-            beliefs.iter().map(|b| format!("{} {}: {}", b.kind, b.subject, b.state)).collect();
+        let entries = self.with(now, &mut Vec::new(), |cx, parts| parts.control.dump(cx));
+        let lines: Vec<String> = entries
+            .iter()
+            .map(|entry| format!("{} {}: {}", entry.kind, entry.subject, entry.state))
+            .collect();
         lines.join("\n")
     }
 
