--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -84,7 +84,7 @@
             cfg,
         };
         let mut effects = Vec::new();
-        node.with_context(now, &mut effects, |cx, parts| parts.control.start(cx));
+        node.with_cx(now, &mut effects, |cx, parts| parts.control.start(cx));
         (node, effects)
     }
 
@@ -129,7 +129,7 @@
 
     /// Returns the state dump.
     pub fn dump(&mut self, now: Time) -> Vec<DumpEntry> {
-        self.with_context(now, &mut Vec::new(), |cx, parts| {
+        self.with_cx(now, &mut Vec::new(), |cx, parts| {
             let mut entries = parts.control.dump(cx);
             entries.extend(parts.loading.dump(cx));
             entries.extend(parts.serving.dump(cx));
@@ -139,7 +139,7 @@
 
     /// Returns the current gauge metrics.
     pub fn gauges(&mut self, now: Time) -> Vec<Gauge> {
-        self.with_context(now, &mut Vec::new(), |cx, parts| {
+        self.with_cx(now, &mut Vec::new(), |cx, parts| {
             let mut gauges = parts.control.gauges(cx);
             gauges.extend(parts.loading.gauges(cx));
             gauges.extend(parts.serving.gauges(cx));
@@ -182,7 +182,7 @@
                 {
                     self.apply_records(now, vec![found.clone()], effects);
                 }
-                let outcome = self.with_context(now, effects, |cx, parts| {
+                let outcome = self.with_cx(now, effects, |cx, parts| {
                     parts.control.on_store_result(cx, call, &result);
                     parts.serving.on_store(cx, call, &result);
                     parts.writes.on_result(cx, call, &result)
@@ -193,20 +193,20 @@
             }
             Event::Watched { changes, upto } => {
                 self.apply_records(now, changes.clone(), effects);
-                self.with_context(now, effects, |cx, parts| parts.control.on_watched(cx, changes, upto));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_watched(cx, changes, upto));
             }
             Event::NewsRead(news) => {
-                self.with_context(now, effects, |cx, parts| parts.control.on_news_read(cx, &news));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_news_read(cx, &news));
             }
             Event::State { upto, records } => {
                 self.apply_snapshot(now, upto, records, effects);
-                self.with_context(now, effects, |cx, parts| parts.control.on_snapshot(cx, upto));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_snapshot(cx, upto));
             }
             Event::UnknownPeer => {
-                self.with_context(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
             }
             Event::NewsMissed { lasts } => {
-                self.with_context(now, effects, |cx, parts| parts.control.on_news_gap(cx, lasts));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_news_gap(cx, lasts));
             }
             Event::WatchTimedOut => {
                 self.removal_grace.record_failure();
@@ -214,51 +214,49 @@
             }
             Event::WatchBroken => {
                 self.removal_grace.record_failure();
-                self.with_context(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
+                self.with_cx(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
             }
             Event::Peer { from, message } => self.on_peer(now, &from, message, effects),
             Event::PeerConnectionRefused { host, incarnation } => {
-                self.with_context(now, effects, |cx, parts| {
-                    parts.control.on_peer_connection_refused(cx, &host, incarnation)
+                self.with_cx(now, effects, |cx, parts| {
+                    parts.control.on_peer_connection_refused(cx, &host, incarnation);
                 });
             }
             Event::Order { upstream, order, answer } => {
-                self.with_context(now, effects, |cx, parts| {
+                self.with_cx(now, effects, |cx, parts| {
                     parts.loading.on_order(cx, &*parts.control, &upstream, order, &answer);
                 });
             }
-            Event::Report { upstream, asked, report } => self.with_context(now, effects, |cx, parts| {
+            Event::Report { upstream, asked, report } => self.with_cx(now, effects, |cx, parts| {
                 parts.control.on_report(cx, &upstream, report.is_some());
                 parts.loading.on_report(cx, &*parts.control, &upstream, asked, report.as_ref());
             }),
             Event::Arrived { request, arrival } => {
-                self.with_context(now, effects, |cx, parts| parts.serving.on_arrived(cx, request, arrival));
+                self.with_cx(now, effects, |cx, parts| parts.serving.on_arrived(cx, request, arrival));
             }
             Event::CallerGone { request } => {
-                self.with_context(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
+                self.with_cx(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
             }
             Event::LoadReported { upstream, load } => {
-                self.with_context(now, effects, |cx, parts| {
-                    parts.serving.on_load_reported(cx, &upstream, load)
-                });
+                self.with_cx(now, effects, |cx, parts| parts.serving.on_load_reported(cx, &upstream, load));
             }
             Event::AnswerStarted { attempt } => {
-                self.with_context(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
+                self.with_cx(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
             }
             Event::AttemptEnded { attempt, end } => {
-                self.with_context(now, effects, |cx, parts| parts.serving.on_attempt_ended(cx, attempt, end));
+                self.with_cx(now, effects, |cx, parts| parts.serving.on_attempt_ended(cx, attempt, end));
             }
         }
     }
 
     fn on_tick(&mut self, now: Time, at: MinuteOfDay, effects: &mut Vec<Effect>) {
         self.at = at;
-        let outcomes = self.with_context(now, effects, |cx, parts| parts.writes.on_tick(cx));
+        let outcomes = self.with_cx(now, effects, |cx, parts| parts.writes.on_tick(cx));
         for (key, outcome) in outcomes {
             self.on_write_outcome(now, &key, &outcome, effects);
         }
         self.remove_missing_upstreams(now, effects);
-        self.with_context(now, effects, |cx, parts| {
+        self.with_cx(now, effects, |cx, parts| {
             parts.control.on_tick(cx, &*parts.loading);
             parts.loading.on_tick(cx, &*parts.control);
             parts.serving.on_tick(cx);
@@ -271,7 +269,7 @@
             return;
         }
         self.shutdown = Shutdown::Draining { until: now.after(self.cfg.timings.entry_kept) };
-        self.with_context(now, effects, |cx, parts| {
+        self.with_cx(now, effects, |cx, parts| {
             parts.control.on_shutdown(cx);
             parts.serving.on_shutdown(cx);
         });
@@ -285,12 +283,12 @@
         {
             self.shutdown = Shutdown::Closed;
             effects.push(Effect::CloseIntake);
-            self.with_context(now, effects, |cx, parts| parts.serving.on_intake_closed(cx));
+            self.with_cx(now, effects, |cx, parts| parts.serving.on_intake_closed(cx));
         }
         if self.shutdown != Shutdown::Closed || !self.serving.is_idle() {
             return;
         }
-        self.with_context(now, effects, |cx, parts| parts.control.on_drained(cx));
+        self.with_cx(now, effects, |cx, parts| parts.control.on_drained(cx));
         if self.control.has_deregistered() {
             self.shutdown = Shutdown::Exited;
             effects.push(Effect::Exit);
@@ -304,13 +302,13 @@
     }
 
     fn apply_upstream_changes(&mut self, now: Time, changes: UpstreamChanges, effects: &mut Vec<Effect>) {
-        let changed = self.upstreams.apply(changes);
-        if changed.is_empty() {
+        let updated = self.upstreams.apply(changes);
+        if updated.is_empty() {
             return;
         }
-        self.with_context(now, effects, |cx, parts| {
-            parts.control.on_host_list(cx, &changed);
-            parts.serving.on_host_list(cx, &changed);
+        self.with_cx(now, effects, |cx, parts| {
+            parts.control.on_host_list(cx, &updated);
+            parts.serving.on_host_list(cx, &updated);
         });
     }
 
@@ -325,13 +323,13 @@
         if let PeerMessage::Spread { origin, message: inner } = &message {
             let is_from_self = *origin == self.cfg.host;
             let inner = (**inner).clone();
-            self.with_context(now, effects, |cx, parts| parts.control.on_peer(cx, from, &message));
+            self.with_cx(now, effects, |cx, parts| parts.control.on_peer(cx, from, &message));
             if !is_from_self {
                 self.on_peer(now, &origin.clone(), inner, effects);
             }
             return;
         }
-        self.with_context(now, effects, |cx, parts| {
+        self.with_cx(now, effects, |cx, parts| {
             parts.control.on_peer(cx, from, &message);
             parts.loading.on_peer(cx, &*parts.control, from, &message);
             parts.serving.on_peer(cx, from, &message);
@@ -345,7 +343,7 @@
         } else {
             self.apply_snapshot(now, upto, records, effects);
         }
-        self.with_context(now, effects, |cx, parts| parts.control.on_records(cx, from, after, upto));
+        self.with_cx(now, effects, |cx, parts| parts.control.on_records(cx, from, after, upto));
     }
 
     fn apply_snapshot(
@@ -372,13 +370,13 @@
 
     fn on_write_outcome(&mut self, now: Time, key: &Key, outcome: &WriteOutcome, effects: &mut Vec<Effect>) {
         if matches!(key, Key::Once(_)) {
-            self.with_context(now, effects, |cx, parts| parts.serving.on_write(cx, key, outcome));
+            self.with_cx(now, effects, |cx, parts| parts.serving.on_write(cx, key, outcome));
             return;
         }
         if let WriteOutcome::Done(found) | WriteOutcome::Conflict(found) = outcome {
             self.apply_records(now, vec![found.clone()], effects);
         }
-        self.with_context(now, effects, |cx, parts| parts.control.on_write_outcome(cx, key, outcome));
+        self.with_cx(now, effects, |cx, parts| parts.control.on_write_outcome(cx, key, outcome));
     }
 
     fn notify_changed_keys(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
@@ -386,7 +384,7 @@
             if matches!(key, Key::Document | Key::Catalogue) {
                 self.activate_newer_document();
             }
-            self.with_context(now, effects, |cx, parts| {
+            self.with_cx(now, effects, |cx, parts| {
                 parts.control.on_key_change(cx, key);
                 parts.serving.on_change(cx, key);
             });
@@ -420,7 +418,7 @@
     fn apply_ownership_changes(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let changes: Vec<OwnershipChange> = self.control.take_changes();
         for change in changes {
-            self.with_context(now, effects, |cx, parts| parts.loading.on_ownership(cx, &change));
+            self.with_cx(now, effects, |cx, parts| parts.loading.on_ownership(cx, &change));
         }
     }
 
@@ -440,7 +438,7 @@
         }
     }
 
-    fn with_context<T>(
+    fn with_cx<T>(
         &mut self,
         now: Time,
         effects: &mut Vec<Effect>,
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -328,7 +328,7 @@
                 continue;
             }
             host.next_tick = self.now.after(TICK);
-            let outcomes = self.with_context(number, Quota::on_tick);
+            let outcomes = self.with_cx(number, Quota::on_tick);
             for outcome in outcomes {
                 self.apply_outcome(number, outcome);
             }
@@ -353,9 +353,7 @@
             }
             let from = host_name(packet.from);
             let PeerMessage::Credit(message) = packet.message else { continue };
-            if let Some(outcome) =
-                self.with_context(packet.to, |quota, cx| quota.on_peer(cx, &from, &message))
-            {
+            if let Some(outcome) = self.with_cx(packet.to, |quota, cx| quota.on_peer(cx, &from, &message)) {
                 self.apply_outcome(packet.to, outcome);
             }
         }
@@ -379,7 +377,7 @@
             let charge = Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
             self.waiting.insert((number, request), cost);
             if let Some(decision) =
-                self.with_context(number, |quota, cx| quota.request_credit(cx, request, &charge))
+                self.with_cx(number, |quota, cx| quota.request_credit(cx, request, &charge))
             {
                 self.apply_outcome(number, CreditOutcome { request, decision });
             }
@@ -392,7 +390,7 @@
             CreditDecision::Granted { .. } if self.returns_credit => {
                 let charge =
                     Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
-                self.with_context(number, |quota, cx| quota.return_credit(cx, &charge));
+                self.with_cx(number, |quota, cx| quota.return_credit(cx, &charge));
             }
             CreditDecision::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
             CreditDecision::OverLimit { .. } | CreditDecision::TooLarge => self.refused.push(self.now),
@@ -405,7 +403,7 @@
         self.in_flight.insert((self.now.after(delay), self.packets), packet);
     }
 
-    fn with_context<T>(&mut self, number: usize, f: impl FnOnce(&mut Quota, &mut Cx<'_>) -> T) -> T {
+    fn with_cx<T>(&mut self, number: usize, f: impl FnOnce(&mut Quota, &mut Cx<'_>) -> T) -> T {
         let mut effects = Vec::new();
         let mut writes = Vec::new();
         let upstreams = UpstreamList::default();
