--- a/crates/skylarkshore-core/src/effect.rs
+++ b/crates/skylarkshore-core/src/effect.rs
@@ -37,7 +37,7 @@
     /// The model can't be loaded before the caller's deadline.
     #[display("the model can't be loaded within the time-out; allow more time or ask again later")]
     ColdStartTooLong,
-    /// Memory, power or load slots are exhausted by requests served earlier.
+    /// Memory, power or load slots are short, and other requests take precedence.
     #[display("the site is short of {_0}; ask again later")]
     Short(&'static str),
     /// The queue is full.
