--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -1,19 +1,19 @@
-//! The limits of client accounts, kept over all hosts together.
+//! Limits of client accounts, enforced across all hosts. Start with [`Quota`].
 //!
-//! Each account's credit is lent out by one host, its keeper: rendezvous hashing
-//! picks it among the members, and whoever gets no answer from it turns to the
-//! next one. Every host brings an equal part of all limits to the keepers that it
-//! signs on with, and a host that reaches no keeper spends its own part. So the
-//! parts add up to the limit however hosts are cut off from one another, and a
-//! process that starts knows nothing that could be spent twice.
+//! One host, the account's coordinator, grants the credit of an account. Rendezvous hashing
+//! selects it among the members; if it doesn't answer, the next host in the ranking is asked.
+//! Every host registers an equal share of all limits with its coordinators, and a host that
+//! reaches no coordinator spends its own share. The shares therefore add up to the limit
+//! however the network is partitioned, and a process that starts has no state that could be
+//! spent twice.
 //!
-//! A keeper lends for each request; what wasn't run is given back.
+//! Credit is granted for each request, and returned if the request isn't run.
 
-mod books;
+mod account_buckets;
 mod bucket;
-mod keepers;
+mod coordinators;
+mod effective_limit;
 mod share;
-mod terms;
 
 use std::time::Duration;
 
@@ -29,34 +29,34 @@
 use crate::time::Time;
 use crate::units::Credits;
 
-use books::{Books, SIGNED_ON_FOR, terms_of};
-use bucket::Bucket;
-use keepers::Keepers;
+use account_buckets::{AccountBuckets, REGISTRATION_TTL, effective_limit};
+use bucket::TokenBucket;
+use coordinators::Coordinators;
 use share::Share;
 
-/// After how long without an answer another keeper is asked.
+/// How long a request waits for a coordinator's answer before another one is asked.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// How many keepers are asked before a request is judged by this host's own share.
-const KEEPERS_ASKED: u32 = 3;
-/// For how long at most a keeper's refusal is believed for other requests of the account.
-const DENIAL_BELIEVED: Duration = Duration::from_millis(100);
-/// How often it is looked who the members are.
-const MEMBERS_EVERY: Duration = Duration::from_secs(1);
+/// How many coordinators are asked before the request is charged to this host's own share.
+const MAX_COORDINATORS_ASKED: u32 = 3;
+/// How long a denial is applied at most to other requests of the account.
+const DENIAL_TTL: Duration = Duration::from_millis(100);
+/// How often the members are read again.
+const MEMBER_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether a request may use its account's credit.
+/// The decision on a request's credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ruling {
-    /// It may, from then on.
+    /// The request may run.
     Granted {
-        /// When the credit is there.
+        /// The earliest time at which it may run.
         not_before: Time,
     },
     /// The account is over its limit.
     Over {
-        /// When there will be enough credit.
+        /// The time until enough credit is available.
         retry_after: Duration,
     },
-    /// It is larger than what the limit allows in any window.
+    /// The request costs more than the limit allows in any window.
     TooLarge,
 }
 
@@ -64,45 +64,45 @@
     const NOW: Self = Self::Granted { not_before: Time::START };
 }
 
-/// What was found for a request that had to wait for it.
+/// The decision on a request that waited for a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// The request.
     pub request: RequestId,
-    /// The ruling.
+    /// The decision.
     pub ruling: Ruling,
 }
 
-/// A question that a keeper hasn't answered.
+/// A credit request that no coordinator has answered yet.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingCredit {
     request: RequestId,
     charge: Charge,
-    lost_at: Time,
-    asked: u32,
+    times_out_at: Time,
+    coordinators_asked: u32,
 }
 
-/// A keeper's refusal.
+/// A coordinator's denial, applied to later requests of the account.
 #[derive(Clone, Copy, Debug)]
 struct Denial {
-    believed_until: Time,
+    expires_at: Time,
     credit_at: Time,
     cost: Credits,
 }
 
-/// This process's questions to keepers, its own shares, and the books that it keeps itself.
+/// This process's requests to coordinators, its own shares, and the buckets that it coordinates.
 #[derive(Debug)]
 pub struct Quota {
-    keepers: Keepers,
-    books: Books,
-    asks: OrderedMap<u64, Ask>,
-    /// What this host may spend of each account's limit while it reaches no keeper.
-    own: HashMap<AccountName, Bucket>,
+    coordinators: Coordinators,
+    account_buckets: AccountBuckets,
+    pending: OrderedMap<u64, PendingCredit>,
+    /// This host's share of each account's limit, spent while it reaches no coordinator.
+    local_buckets: HashMap<AccountName, TokenBucket>,
     denials: HashMap<AccountName, Denial>,
     hosts: Headcount,
-    members_due: Time,
-    /// When the own shares were last somebody else's to lend.
-    brought: Time,
+    member_update_due: Time,
+    /// When this host last registered its shares with a coordinator.
+    registered_at: Time,
 }
 
 impl Default for Quota {
@@ -112,108 +112,117 @@
 }
 
 impl Quota {
-    /// Makes the state of a process that has lent nothing.
+    /// Creates the state of a process that has granted nothing yet.
     pub fn new() -> Self {
         Self {
-            keepers: Keepers::default(),
-            books: Books::default(),
-            asks: OrderedMap::new(),
-            own: HashMap::default(),
+            coordinators: Coordinators::default(),
+            account_buckets: AccountBuckets::default(),
+            pending: OrderedMap::new(),
+            local_buckets: HashMap::default(),
             denials: HashMap::default(),
             hosts: Headcount::ALONE,
-            members_due: Time::START,
-            brought: Time::START,
+            member_update_due: Time::START,
+            registered_at: Time::START,
         }
     }
 
-    /// Asks for a request's credit; none while the answer is awaited.
+    /// Requests credit for a request; returns none if a coordinator has to be asked first.
     pub fn ask(&mut self, cx: &mut Cx<'_>, request: RequestId, charge: &Charge) -> Option<Ruling> {
-        if terms_of(cx, &charge.account).is_none() {
+        if effective_limit(cx, &charge.account).is_none() {
             return Some(Ruling::NOW);
         }
         if let Some(denial) = self.denials.get(&charge.account)
-            && !denial.believed_until.is_due(cx.now)
+            && !denial.expires_at.is_due(cx.now)
             && charge.cost >= denial.cost
         {
             return Some(Ruling::Over { retry_after: denial.credit_at.remaining(cx.now) });
         }
-        self.ask_keeper(cx, request, charge, 1)
+        self.ask_coordinator(cx, request, charge, 1)
     }
 
-    /// Stops waiting for a request's credit.
+    /// Drops a pending credit request.
     pub fn forget(&mut self, request: RequestId) {
-        self.asks.retain(|_, ask| ask.request != request);
+        self.pending.retain(|_, pending| pending.request != request);
     }
 
-    /// Gives back the credit of a request that wasn't run.
+    /// Returns the credit of a request that wasn't run.
     pub fn give_back(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
-        if terms_of(cx, &charge.account).is_none() {
+        if effective_limit(cx, &charge.account).is_none() {
             return;
         }
-        if let Some(keeper) = self.keepers.keeper(&charge.account) {
-            tell(cx, &keeper, returned(charge.account.clone(), charge.cost));
+        if let Some(coordinator) = self.coordinators.coordinator(&charge.account) {
+            send(cx, &coordinator, returned(charge.account.clone(), charge.cost));
         }
     }
 
-    /// Does what is due, and rules on requests whose keepers were silent.
+    /// Runs periodic work, and decides on requests that no coordinator answered in time.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
         if cx.document.catalogue.accounts.iter().all(|(_, account)| account.limit.is_none()) {
             return Vec::new();
         }
-        if self.members_due.is_due(cx.now) {
-            self.members_due = cx.now.after(MEMBERS_EVERY);
-            self.hosts.note(cx.now, hosts_known(cx));
-            self.keepers.note_members(cx);
-            self.books.forget_old(cx.now);
-            self.denials.retain(|_, denial| !denial.believed_until.is_due(cx.now));
+        if self.member_update_due.is_due(cx.now) {
+            self.member_update_due = cx.now.after(MEMBER_UPDATE_INTERVAL);
+            self.hosts.note(cx.now, known_hosts(cx));
+            self.coordinators.update_members(cx);
+            self.account_buckets.remove_expired(cx.now);
+            self.denials.retain(|_, denial| !denial.expires_at.is_due(cx.now));
         }
-        self.books.on_tick(cx, self.hosts.get());
-        if self.keepers.on_tick(cx) {
-            self.brought = cx.now;
+        self.account_buckets.on_tick(cx, self.hosts.get());
+        if self.coordinators.on_tick(cx) {
+            self.registered_at = cx.now;
         }
-        self.ask_others(cx)
+        self.retry_timed_out(cx)
     }
 
-    /// Takes a peer's message, and returns what was found for the request that it concerns.
+    /// Handles a peer's message, and returns the decision if it settles a pending request.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &CreditMessage) -> Option<Verdict> {
         match message {
             CreditMessage::SignOn { with_share } => {
                 if *with_share {
-                    self.books.sign_on(cx.now, from);
+                    self.account_buckets.register(cx.now, from);
                 }
-                tell(cx, from, CreditMessage::SignedOn);
+                send(cx, from, CreditMessage::SignedOn);
+            }
+            CreditMessage::SignOff => self.account_buckets.unregister(from),
+            CreditMessage::SignedOn => self.coordinators.record_answer(from),
+            CreditMessage::Wanted { ask, account, cost } => {
+                self.answer_request(cx, from, *ask, account, *cost)
             }
-            CreditMessage::SignOff => self.books.sign_off(from),
-            CreditMessage::SignedOn => self.keepers.note_heard(from),
-            CreditMessage::Wanted { ask, account, cost } => self.lend(cx, from, *ask, account, *cost),
             CreditMessage::Lent { ask, account, cost, wait } => {
-                self.keepers.note_heard(from);
-                let Some(ask) = self.asks.remove(ask) else {
-                    // Nobody waits for it any more; others could use it.
-                    tell(cx, from, returned(account.clone(), *cost));
+                self.coordinators.record_answer(from);
+                let Some(pending) = self.pending.remove(ask) else {
+                    // The request no longer waits, so the credit is returned for others.
+                    send(cx, from, returned(account.clone(), *cost));
                     return None;
                 };
                 let ruling = Ruling::Granted { not_before: cx.now.after(*wait) };
-                return Some(Verdict { request: ask.request, ruling });
+                return Some(Verdict { request: pending.request, ruling });
             }
             CreditMessage::Denied { ask, retry_after } => {
-                self.keepers.note_heard(from);
-                let ask = self.asks.remove(ask)?;
+                self.coordinators.record_answer(from);
+                let pending = self.pending.remove(ask)?;
                 let ruling = match *retry_after {
-                    Some(retry_after) => self.note_denial(cx.now, &ask.charge, retry_after),
+                    Some(retry_after) => self.record_denial(cx.now, &pending.charge, retry_after),
                     None => Ruling::TooLarge,
                 };
-                return Some(Verdict { request: ask.request, ruling });
+                return Some(Verdict { request: pending.request, ruling });
             }
-            CreditMessage::Returned { account, cost } => self.books.give_back(account, *cost),
+            CreditMessage::Returned { account, cost } => self.account_buckets.put_back(account, *cost),
         }
         None
     }
 
-    /// Answers a host that needs credit of an account whose book is kept here.
-    fn lend(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
-        self.books.sign_on(cx.now, to);
-        let answer = match self.books.lend(cx, self.hosts.get(), account, cost) {
+    /// Answers a host's request for credit of an account that is coordinated here.
+    fn answer_request(
+        &mut self,
+        cx: &mut Cx<'_>,
+        to: &HostId,
+        ask: u64,
+        account: &AccountName,
+        cost: Credits,
+    ) {
+        self.account_buckets.register(cx.now, to);
+        let answer = match self.account_buckets.grant(cx, self.hosts.get(), account, cost) {
             Ruling::Granted { not_before } => {
                 let wait = not_before.remaining(cx.now);
                 CreditMessage::Lent { ask, account: account.clone(), cost, wait }
@@ -221,24 +230,24 @@
             Ruling::Over { retry_after } => CreditMessage::Denied { ask, retry_after: Some(retry_after) },
             Ruling::TooLarge => CreditMessage::Denied { ask, retry_after: None },
         };
-        tell(cx, to, answer);
+        send(cx, to, answer);
     }
 
-    /// Tells the keepers that this host's share goes with it.
+    /// Tells the coordinators to remove this host's share.
     pub fn on_shutdown(&self, cx: &mut Cx<'_>) {
-        for keeper in self.keepers.in_use() {
-            tell(cx, &keeper, CreditMessage::SignOff);
+        for coordinator in self.coordinators.in_use() {
+            send(cx, &coordinator, CreditMessage::SignOff);
         }
     }
 
-    /// Tells which books are kept here.
+    /// Returns the state dump entries of the accounts that are coordinated here.
     pub fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.books.beliefs()
+        self.account_buckets.beliefs()
     }
 
-    fn note_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> Ruling {
+    fn record_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> Ruling {
         let denial = Denial {
-            believed_until: now.after(retry_after.min(DENIAL_BELIEVED)),
+            expires_at: now.after(retry_after.min(DENIAL_TTL)),
             credit_at: now.after(retry_after),
             cost: charge.cost,
         };
@@ -246,71 +255,73 @@
         Ruling::Over { retry_after }
     }
 
-    fn ask_keeper(
+    fn ask_coordinator(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
         charge: &Charge,
-        asked: u32,
+        coordinators_asked: u32,
     ) -> Option<Ruling> {
-        if self.members_due == Time::START {
-            self.keepers.note_members(cx);
+        if self.member_update_due == Time::START {
+            self.coordinators.update_members(cx);
         }
-        let Some(keeper) = self.keepers.keeper(&charge.account) else {
-            return Some(self.spend_own(cx, charge));
+        let Some(coordinator) = self.coordinators.coordinator(&charge.account) else {
+            return Some(self.spend_local_share(cx, charge));
         };
-        // When all hosts start at once, keepers are slow to answer.
-        if !self.keepers.has_answered(&keeper) && self.spend_own(cx, charge) == Ruling::NOW {
+        // Coordinators are slow to answer while all hosts start at once.
+        if !self.coordinators.has_answered(&coordinator) && self.spend_local_share(cx, charge) == Ruling::NOW
+        {
             return Some(Ruling::NOW);
         }
-        let number = cx.rng.random();
-        let lost_at = cx.now.after(ANSWER_TIMEOUT);
+        let ask_id = cx.rng.random();
+        let times_out_at = cx.now.after(ANSWER_TIMEOUT);
         let (account, cost) = (charge.account.clone(), charge.cost);
-        self.keepers.note_told(cx.now, &keeper);
-        self.brought = cx.now;
-        let ask = Ask { request, charge: charge.clone(), lost_at, asked };
-        self.asks.insert(number, ask);
-        tell(cx, &keeper, CreditMessage::Wanted { ask: number, account, cost });
+        self.coordinators.record_sent(cx.now, &coordinator);
+        self.registered_at = cx.now;
+        let pending = PendingCredit { request, charge: charge.clone(), times_out_at, coordinators_asked };
+        self.pending.insert(ask_id, pending);
+        send(cx, &coordinator, CreditMessage::Wanted { ask: ask_id, account, cost });
         None
     }
 
-    /// Turns to other keepers where one gave no answer in time.
-    fn ask_others(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
-        let lost: Vec<(u64, Ask)> = self.asks.extract_if(.., |_, ask| ask.lost_at.is_due(cx.now)).collect();
+    /// Asks the next coordinator for requests that got no answer in time.
+    fn retry_timed_out(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
+        let timed_out: Vec<(u64, PendingCredit)> =
+            self.pending.extract_if(.., |_, pending| pending.times_out_at.is_due(cx.now)).collect();
         let mut verdicts = Vec::new();
-        for (_, ask) in lost {
-            let ruling = if ask.asked < KEEPERS_ASKED {
-                self.ask_keeper(cx, ask.request, &ask.charge, ask.asked + 1)
+        for (_, pending) in timed_out {
+            let ruling = if pending.coordinators_asked < MAX_COORDINATORS_ASKED {
+                self.ask_coordinator(cx, pending.request, &pending.charge, pending.coordinators_asked + 1)
             } else {
-                Some(self.spend_own(cx, &ask.charge))
+                Some(self.spend_local_share(cx, &pending.charge))
             };
-            verdicts.extend(ruling.map(|ruling| Verdict { request: ask.request, ruling }));
+            verdicts.extend(ruling.map(|ruling| Verdict { request: pending.request, ruling }));
         }
         verdicts
     }
 
-    /// Rules on a request by this host's own share.
-    fn spend_own(&mut self, cx: &Cx<'_>, charge: &Charge) -> Ruling {
-        let Some(terms) = terms_of(cx, &charge.account) else { return Ruling::NOW };
-        let share = Share { hosts: 1, of: self.hosts.get() };
-        let (rate, size) = (share.rate(terms.limit.rate), share.credits(terms.size()));
-        let debt = share.credits(terms.debt());
-        let empty = || Bucket::new(Credits(0), cx.now);
-        let own = self.own.entry(charge.account.clone()).or_insert_with(empty);
-        // Until then a keeper lends this host's share to others.
-        own.skip_to(self.brought.after(SIGNED_ON_FOR));
-        own.fill(cx.now, rate, size.max(charge.cost));
-        if own.covers(charge.cost, debt) {
-            own.take(charge.cost);
+    /// Decides on a request by this host's own share of the limit.
+    fn spend_local_share(&mut self, cx: &Cx<'_>, charge: &Charge) -> Ruling {
+        let Some(effective) = effective_limit(cx, &charge.account) else { return Ruling::NOW };
+        let share = Share { hosts: 1, total_hosts: self.hosts.get() };
+        let (rate, capacity) = (share.rate(effective.configured.rate), share.credits(effective.capacity()));
+        let max_debt = share.credits(effective.max_debt());
+        let empty = || TokenBucket::new(Credits(0), cx.now);
+        let bucket = self.local_buckets.entry(charge.account.clone()).or_insert_with(empty);
+        // Until the registration expires, a coordinator grants this host's share to others.
+        bucket.skip_refill(self.registered_at.after(REGISTRATION_TTL));
+        bucket.refill(cx.now, rate, capacity.max(charge.cost));
+        if bucket.covers(charge.cost, max_debt) {
+            bucket.take(charge.cost);
             return Ruling::NOW;
         }
-        let wanted = Credits(charge.cost.0.saturating_sub(debt.0));
-        let retry_after = own.time_until(wanted, rate).unwrap_or(SIGNED_ON_FOR);
+        let needed = Credits(charge.cost.0.saturating_sub(max_debt.0));
+        let retry_after = bucket.time_until(needed, rate).unwrap_or(REGISTRATION_TTL);
         Ruling::Over { retry_after }
     }
 }
 
-fn tell(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
+fn send(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
     cx.tell(to, PeerMessage::Credit(message));
 }
 
@@ -318,11 +329,11 @@
     CreditMessage::Returned { account, cost }
 }
 
-/// Returns how many hosts there are by what the key-value service shows.
+/// Returns the number of hosts according to the key-value service.
 ///
-/// Where all processes were killed, their members' keys come back one by one;
-/// the owners of engines are still those of before.
-fn hosts_known(cx: &Cx<'_>) -> usize {
+/// After a crash of all processes the member keys return one by one, while the owner
+/// records of the engines still name the hosts from before.
+fn known_hosts(cx: &Cx<'_>) -> usize {
     let owners: HashSet<&HostId> = cx.cache.owners().map(|(_, owner)| &owner.host).collect();
     cx.cache.members().count().max(owners.len())
 }
--- a/crates/skylarkshore-core/src/quota/bucket.rs
+++ b/crates/skylarkshore-core/src/quota/bucket.rs
@@ -1,54 +1,53 @@
-//! A token bucket whose rate and size may change at any time.
+//! A token bucket whose rate and capacity may change at any time.
 
 use std::time::Duration;
 
 use crate::time::Time;
 use crate::units::{CreditRate, Credits};
 
-/// Thousandths of a credit in one.
-const MILLI: i64 = 1000;
+const MILLICREDITS_PER_CREDIT: i64 = 1000;
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
-/// Credit that comes at a rate, is saved up to a size, and may be owed.
+/// Credit that refills at a rate up to a capacity and may go into debt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bucket {
-    /// In thousandths of a credit; below zero where more was spent than had come.
+pub(super) struct TokenBucket {
+    /// In thousandths of a credit; negative while in debt.
     level: i64,
-    filled: Time,
+    refilled_at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(super) fn new(level: Credits, now: Time) -> Self {
-        Self { level: milli(level), filled: now }
+        Self { level: millicredits(level), refilled_at: now }
     }
 
-    /// Adds what has come since the last time.
-    pub(super) fn fill(&mut self, now: Time, rate: CreditRate, size: Credits) {
-        let elapsed = now.since(self.filled).as_micros();
+    /// Adds the credit gained since the last refill, up to `capacity`.
+    pub(super) fn refill(&mut self, now: Time, rate: CreditRate, capacity: Credits) {
+        let elapsed = now.since(self.refilled_at).as_micros();
         let gained = elapsed.saturating_mul(u128::from(rate.0)) / MICROS_PER_SECOND;
         if gained > 0 {
             self.level = self.level.saturating_add(i64::try_from(gained).unwrap_or(i64::MAX));
-            self.filled = now;
+            self.refilled_at = now;
         }
-        self.level = self.level.min(milli(size));
+        self.level = self.level.min(millicredits(capacity));
     }
 
-    /// Lets nothing come for the time up to `now`.
-    pub(super) fn skip_to(&mut self, now: Time) {
-        self.filled = self.filled.max(now);
+    /// Adds no credit for the time up to `now`.
+    pub(super) fn skip_refill(&mut self, now: Time) {
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     pub(super) fn take(&mut self, cost: Credits) {
-        self.level = self.level.saturating_sub(milli(cost));
+        self.level = self.level.saturating_sub(millicredits(cost));
     }
 
-    pub(super) fn put(&mut self, cost: Credits) {
-        self.level = self.level.saturating_add(milli(cost));
+    pub(super) fn put_back(&mut self, cost: Credits) {
+        self.level = self.level.saturating_add(millicredits(cost));
     }
 
-    /// Returns how long it takes at a rate until so much is there; none if it never is.
-    pub(super) fn time_until(&self, wanted: Credits, rate: CreditRate) -> Option<Duration> {
-        let missing = milli(wanted).saturating_sub(self.level);
+    /// Returns how long it takes at `rate` until `amount` is available; none if it never is.
+    pub(super) fn time_until(&self, amount: Credits, rate: CreditRate) -> Option<Duration> {
+        let missing = millicredits(amount).saturating_sub(self.level);
         let Ok(missing) = u64::try_from(missing) else { return Some(Duration::ZERO) };
         if missing == 0 {
             return Some(Duration::ZERO);
@@ -57,18 +56,18 @@
         (rate.0 > 0).then(|| Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX)))
     }
 
-    /// Tells whether `cost` can be taken without owing more than `debt`.
-    pub(super) fn covers(&self, cost: Credits, debt: Credits) -> bool {
-        self.level.saturating_add(milli(debt)) >= milli(cost)
+    /// Reports whether `cost` can be taken without owing more than `max_debt`.
+    pub(super) fn covers(&self, cost: Credits, max_debt: Credits) -> bool {
+        self.level.saturating_add(millicredits(max_debt)) >= millicredits(cost)
     }
 }
 
-impl std::fmt::Display for Bucket {
+impl std::fmt::Display for TokenBucket {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}", self.level / MILLI)
+        write!(f, "{}", self.level / MILLICREDITS_PER_CREDIT)
     }
 }
 
-fn milli(credits: Credits) -> i64 {
-    i64::try_from(credits.0).unwrap_or(i64::MAX).saturating_mul(MILLI)
+fn millicredits(credits: Credits) -> i64 {
+    i64::try_from(credits.0).unwrap_or(i64::MAX).saturating_mul(MILLICREDITS_PER_CREDIT)
 }
--- a/crates/skylarkshore-core/src/quota/share.rs
+++ b/crates/skylarkshore-core/src/quota/share.rs
@@ -1,31 +1,31 @@
-//! Parts of a limit that belong to some of the hosts.
+//! The share of a limit that belongs to a subset of the hosts.
 
 use crate::units::{CreditRate, Credits};
 
-/// So many of all hosts.
+/// A number of hosts out of all hosts.
 ///
-/// Every host brings an equal part of each limit to the keeper it signs on
-/// with, or keeps it. So all parts together are never more than the whole.
+/// Each host either registers an equal share of every limit with one coordinator or
+/// keeps it. The shares therefore never add up to more than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Share {
-    /// The hosts that this part belongs to.
+    /// The hosts that this share belongs to.
     pub(super) hosts: u64,
-    /// All hosts.
-    pub(super) of: u64,
+    /// The number of all hosts.
+    pub(super) total_hosts: u64,
 }
 
 impl Share {
     pub(super) fn rate(self, whole: CreditRate) -> CreditRate {
-        CreditRate(self.part(whole.0))
+        CreditRate(self.portion(whole.0))
     }
 
     pub(super) fn credits(self, whole: Credits) -> Credits {
-        Credits(self.part(whole.0))
+        Credits(self.portion(whole.0))
     }
 
-    fn part(self, whole: u64) -> u64 {
-        let of = self.of.max(1);
-        let part = u128::from(whole) * u128::from(self.hosts.min(of)) / u128::from(of);
-        u64::try_from(part).unwrap_or(whole)
+    fn portion(self, whole: u64) -> u64 {
+        let total_hosts = self.total_hosts.max(1);
+        let portion = u128::from(whole) * u128::from(self.hosts.min(total_hosts)) / u128::from(total_hosts);
+        u64::try_from(portion).unwrap_or(whole)
     }
 }
