--- a/crates/skylarkshore-core/src/store.rs
+++ b/crates/skylarkshore-core/src/store.rs
@@ -1,4 +1,5 @@
-//! What the system keeps in the platform's key-value service, and how it is written.
+//! The records in the platform's key-value service, and the calls that read and write them.
+//! Start with [`Key`] and [`Record`].
 
 mod cache;
 mod writes;
@@ -18,83 +19,83 @@
 pub use cache::StoreCache;
 pub use writes::{WriteOutcome, WriteRequest, Writes};
 
-/// A key of the system's own in the key-value service.
+/// A key of this system in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The operators' document.
     Document,
-    /// What is served, where that is configured apart from the document.
+    /// The catalogue, if it is configured separately from the document.
     Catalogue,
-    /// A live process, bound to its lease.
+    /// A live process; the key is attached to its lease.
     Member(HostId),
-    /// Who owns an engine.
+    /// The owner of an engine.
     Owner(UpstreamId),
     /// The engines on which a model may be loaded.
     Homes(ModelName),
-    /// How a site's power is shared out.
+    /// The power grants of a site.
     Power(SiteName),
-    /// A request that may not be repeated, by its key's digest.
+    /// An at-most-once request, by the digest of its idempotency key.
     Once(Digest),
 }
 
-/// Who wrote a record, so that a lost answer can be settled by reading back.
+/// The writer of a record; identifies a write whose answer was lost when the key is read back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Writer {
     /// The host.
     pub host: HostId,
-    /// Which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The write within that life.
+    /// The write within that incarnation.
     pub call: CallId,
 }
 
 /// A live process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Which life of the process; a later one has a higher number.
+    /// The incarnation of the process; it rises with every start.
     pub incarnation: Incarnation,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer_address: SocketAddr,
-    /// Where it runs.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// The SHA-256 of the certificate that its peers accept.
+    /// The SHA-256 digest of its certificate, which peers accept.
     pub fingerprint: Digest,
-    /// Whether it is about to go: no new ownership, not in the entry list.
+    /// Whether it is shutting down: it gets no new ownership and is not in the entry list.
     pub leaving: bool,
-    /// What the host can do beside the others.
+    /// The host's capacity relative to the others.
     pub capacity: Capacity,
 }
 
-/// Who owns an engine.
+/// The owner of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerRecord {
     /// The owning host.
     pub host: HostId,
-    /// Which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Rises with every change of owner.
+    /// The fencing token, which rises with every change of owner.
     pub fence: Fence,
 }
 
 /// The engines on which a model may be loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomesRecord {
-    /// The engines, the preferred one first.
+    /// The engines in order of preference.
     pub engines: Vec<UpstreamId>,
-    /// The engines that the model left last for want of memory, the latest one last.
+    /// The engines that the model last moved away from for lack of memory, the most recent last.
     pub left: Vec<UpstreamId>,
 }
 
-/// How a site's power is shared out among its engines.
+/// How a site's power is divided among its engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PowerRecord {
-    /// The watts that each engine may draw; an absent engine may only sleep.
+    /// The watts that each engine may draw; an engine without a grant may only draw its sleep power.
     pub grants: OrderedMap<UpstreamId, Watts>,
 }
 
-/// An answer that is kept to be given again.
+/// An answer that is recorded and replayed when the request is repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedAnswer {
     /// The HTTP status.
@@ -105,31 +106,31 @@
     pub body: Vec<u8>,
 }
 
-/// How far a request that may not be repeated has come.
+/// The progress of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnceState {
-    /// A host holds it; it may have run.
+    /// A host has claimed it; it may have run.
     Claimed,
-    /// It has run, and this was the answer.
+    /// It ran and returned this answer.
     Answered(RecordedAnswer),
-    /// It has run, but the answer was too large to keep or was lost.
+    /// It ran, but the answer was too large to record or was lost.
     AnswerNotKept,
 }
 
-/// A request that may not be repeated.
+/// The record of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnceRecord {
-    /// The digest of method, path and body; another one under the same key is a conflict.
+    /// The digest of method, path and body; a different one under the same key is a conflict.
     pub request: Digest,
     /// The host that claimed it.
     pub host: HostId,
-    /// Which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// How far it has come.
+    /// Its progress.
     pub state: OnceState,
 }
 
-/// The value of a key.
+/// The value of a key, one variant for each kind of [`Key`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// Under [`Key::Document`].
@@ -153,36 +154,36 @@
 pub struct Versioned {
     /// The key.
     pub key: Key,
-    /// The revision of its last change; of the read, where the key is absent.
+    /// The revision of its last change, or of the read if the key is absent.
     pub revision: StoreRevision,
-    /// Who wrote it; absent where the key is absent.
+    /// The writer; none if the key is absent.
     pub writer: Option<Writer>,
-    /// The value; absent where the key is absent.
+    /// The value; none if the key is absent.
     pub record: Option<Record>,
 }
 
-/// Changes of shared keys that one process passes on to another.
+/// Changes of shared keys that one process forwards to another.
 ///
-/// Single changes may come in any order, so that the highest revision that a
-/// process has met says nothing about what it missed. A batch therefore tells
-/// over which revisions it is complete.
+/// Single changes can arrive in any order, so the highest revision that a process has
+/// received doesn't show what it missed. A batch therefore states the range of revisions
+/// for which it is complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordBatch {
     /// The revision after which the batch holds the last change of every changed
-    /// key; none when it holds every key that has a value.
+    /// key; none if it holds every key that has a value.
     pub after: Option<StoreRevision>,
     /// The revision up to which nothing is missing.
     pub upto: StoreRevision,
-    /// The keys, deleted ones included where `after` is given.
+    /// The keys, including deleted ones if `after` is given.
     pub records: Vec<Versioned>,
 }
 
-/// What a write expects to find.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// No value under the key.
+    /// The key has no value.
     Absent,
-    /// The value last changed at this revision.
+    /// The key has a value that last changed at this revision.
     At(StoreRevision),
 }
 
@@ -195,27 +196,27 @@
     ReadMembers,
     /// Read one key.
     Read(Key),
-    /// Write one key if it is as expected.
+    /// Write one key if its precondition holds.
     Write {
         /// The key.
         key: Key,
-        /// What has to stand there.
+        /// The precondition.
         expect: Expect,
-        /// The new value, or none to delete it.
+        /// The new value; none deletes the key.
         record: Option<Record>,
-        /// Who writes.
+        /// The writer.
         writer: Writer,
-        /// The lease with which the key vanishes.
+        /// The lease that the key is attached to.
         lease: Option<LeaseId>,
     },
-    /// Begin a lease.
+    /// Grant a lease.
     GrantLease {
-        /// How long it lives without being renewed.
+        /// How long it lives without a renewal.
         ttl: Duration,
     },
     /// Renew a lease.
     RenewLease(LeaseId),
-    /// End a lease and delete its keys.
+    /// Revoke a lease, which deletes its keys.
     RevokeLease(LeaseId),
 }
 
@@ -250,27 +251,27 @@
     One(Versioned),
     /// The write took effect at this revision.
     Written(StoreRevision),
-    /// The write did nothing; this stood there.
+    /// The precondition didn't hold; this was found.
     Conflict(Versioned),
-    /// The lease lives.
+    /// The lease is alive.
     Lease {
         /// Its number.
         lease: LeaseId,
-        /// How long it lives from when the service got the call.
+        /// Its remaining time, counted from when the service received the call.
         ttl: Duration,
     },
-    /// There is no such lease any more.
+    /// The lease no longer exists.
     LeaseGone,
 }
 
-/// Why there is no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// The call can't have had an effect: it never reached the service.
+    /// The call never reached the service, so it had no effect.
     NotDone,
-    /// The call may have had its effect, or may yet have it.
+    /// The call may have taken effect, or may still do so.
     Unknown,
 }
 
-/// What became of a call.
+/// The result of a call.
 pub type StoreResult = Result<StoreAnswer, StoreFailure>;
--- a/crates/skylarkshore-core/src/store/cache.rs
+++ b/crates/skylarkshore-core/src/store/cache.rs
@@ -1,14 +1,13 @@
-//! A process's copy of the shared keys.
+//! A process's copy of the shared keys; see [`StoreCache`].
 
 use crate::collections::{HashSet, OrderedMap};
 use crate::id::{HostId, ModelName, SiteName, StoreRevision, UpstreamId};
 use crate::store::{HomesRecord, Key, MemberRecord, OwnerRecord, PowerRecord, Record, Versioned};
 
-/// A process's copy of the shared keys, in which no key ever goes back.
+/// A process's copy of the shared keys, in which the revision of a key never decreases.
 ///
-/// Changes come in any order and from anywhere: a watch, a read, a peer. Each
-/// key keeps the change of the highest revision, so that a stale read or a late
-/// message can't bring an older value back into force.
+/// Changes arrive in any order from a watch, a read or a peer. Each key keeps the change
+/// of the highest revision, so a stale read or a late message can't restore an older value.
 #[derive(Clone, Debug, Default)]
 pub struct StoreCache {
     members: OrderedMap<HostId, Versioned>,
@@ -20,20 +19,20 @@
 }
 
 impl StoreCache {
-    /// Takes a change over and tells whether it was news.
+    /// Applies a change, and reports whether it changed the key's value.
     pub fn apply(&mut self, change: Versioned) -> bool {
         let known = self.get(&change.key);
         if known.is_some_and(|known| known.revision >= change.revision) {
             return false;
         }
         let known_record = known.and_then(|known| known.record.as_ref());
-        let news = known_record != change.record.as_ref();
+        let value_changed = known_record != change.record.as_ref();
         self.newest = self.newest.max(change.revision);
-        self.put(change);
-        news
+        self.insert(change);
+        value_changed
     }
 
-    fn put(&mut self, change: Versioned) {
+    fn insert(&mut self, change: Versioned) {
         match change.key.clone() {
             Key::Member(host) => {
                 self.members_version += 1;
@@ -45,13 +44,13 @@
         }
     }
 
-    /// Takes a read of all shared keys over and returns the keys that changed.
+    /// Applies a read of all shared keys, and returns the keys whose values changed.
     ///
-    /// A known key that the read lacks was deleted, unless the read is older
-    /// than what is known of the key.
+    /// A cached key that the read lacks was deleted, unless its cached revision is newer
+    /// than the read.
     pub fn apply_all(&mut self, revision: StoreRevision, records: Vec<Versioned>) -> Vec<Key> {
         let present: HashSet<&Key> = records.iter().map(|r| &r.key).collect();
-        let gone: Vec<Versioned> = self
+        let deleted: Vec<Versioned> = self
             .entries()
             .filter(|known| {
                 known.record.is_some() && known.revision < revision && !present.contains(&known.key)
@@ -59,7 +58,7 @@
             .map(|known| Versioned { key: known.key.clone(), revision, writer: None, record: None })
             .collect();
         let mut changed = Vec::new();
-        for change in records.into_iter().chain(gone) {
+        for change in records.into_iter().chain(deleted) {
             let key = change.key.clone();
             if self.apply(change) {
                 changed.push(key);
@@ -69,12 +68,12 @@
         changed
     }
 
-    /// Returns the highest revision that has been seen.
+    /// Returns the highest revision that has been applied.
     pub const fn newest(&self) -> StoreRevision {
         self.newest
     }
 
-    /// Returns what is known of a key, deletions included.
+    /// Returns a key's last known state, including deletions.
     pub fn get(&self, key: &Key) -> Option<&Versioned> {
         match key {
             Key::Member(host) => self.members.get(host),
@@ -85,11 +84,11 @@
     }
 
     fn entries(&self) -> impl Iterator<Item = &Versioned> {
-        let named = self.members.values().chain(self.owners.values()).chain(self.homes.values());
-        self.others.values().chain(named)
+        let typed = self.members.values().chain(self.owners.values()).chain(self.homes.values());
+        self.others.values().chain(typed)
     }
 
-    /// Returns every change after `revision`, deletions included.
+    /// Returns every change after `revision`, including deletions.
     pub fn changes_after(&self, revision: StoreRevision) -> impl Iterator<Item = &Versioned> {
         self.entries().filter(move |entry| entry.revision > revision)
     }
@@ -99,7 +98,7 @@
         member_of(self.members.get(host)?)
     }
 
-    /// Returns a number that rises with every change of a member's key.
+    /// Returns a counter that rises with every change of a member key.
     pub const fn members_version(&self) -> u64 {
         self.members_version
     }
@@ -109,7 +108,7 @@
         self.members.iter().filter_map(|(host, entry)| Some((host, member_of(entry)?)))
     }
 
-    /// Returns who owns an engine, with the revision of that record.
+    /// Returns an engine's owner, with the revision of that record.
     pub fn owner(&self, engine: &UpstreamId) -> Option<(StoreRevision, &OwnerRecord)> {
         let entry = self.owners.get(engine)?;
         Some((entry.revision, owner_of(entry)?))
@@ -131,7 +130,7 @@
         self.homes.iter().filter_map(|(model, entry)| Some((model, homes_of(entry)?)))
     }
 
-    /// Returns how a site's power is shared out, with the revision of that record.
+    /// Returns a site's power grants, with the revision of that record.
     pub fn power(&self, site: &SiteName) -> Option<(StoreRevision, &PowerRecord)> {
         let entry = self.others.get(&Key::Power(site.clone()))?;
         match entry.record.as_ref()? {
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -1,4 +1,4 @@
-//! Writes whose answer may be lost.
+//! Writes to the key-value service that are retried until their outcome is known; see [`Writes`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 };
 use crate::time::Time;
 
-/// A write that a part of the process wants done.
+/// A write that a component of the process requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteRequest {
     /// The key.
     pub key: Key,
-    /// What has to stand there.
+    /// The precondition.
     pub expect: Expect,
-    /// The new value, or none to delete it.
+    /// The new value; none deletes the key.
     pub record: Option<Record>,
-    /// The lease with which the key vanishes.
+    /// The lease that the key is attached to.
     pub lease: Option<LeaseId>,
-    /// When to give up.
+    /// When the write is abandoned.
     pub deadline: Time,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect, and this now stands there.
+    /// It took effect; this is the key's state now.
     Done(Versioned),
-    /// It did nothing; this stands there.
+    /// Its precondition didn't hold; this was found.
     Conflict(Versioned),
-    /// It was given up before it could have had an effect.
+    /// It was abandoned before it could have taken effect.
     NotDone,
-    /// It was given up, and may have had its effect or may yet have it.
+    /// It was abandoned, and may have taken effect or may still do so.
     Unknown,
 }
 
@@ -44,7 +44,7 @@
 enum Step {
     Writing,
     ReadingBack,
-    Resting { until: Time },
+    BackingOff { until: Time },
 }
 
 #[derive(Debug)]
@@ -52,15 +52,15 @@
     req: WriteRequest,
     writer: Writer,
     step: Step,
-    /// Whether a call may have reached the service without its answer being known.
-    doubtful: bool,
+    /// Whether a write may have reached the service without its answer being known.
+    may_have_taken_effect: bool,
     failures: u32,
 }
 
-const FIRST_REST: Duration = Duration::from_millis(50);
-const LONGEST_REST: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// The writes in progress, one at a time for each key.
+/// The writes in progress, at most one for each key, and those queued behind them.
 #[derive(Debug, Default)]
 pub struct Writes {
     pending: OrderedMap<Key, Pending>,
@@ -69,9 +69,9 @@
 }
 
 impl Writes {
-    /// Begins a write, or queues it behind one of the same key.
+    /// Starts a write, or queues it behind one of the same key.
     ///
-    /// The outcome comes from [`on_result`](Self::on_result) or [`on_tick`](Self::on_tick).
+    /// The outcome is returned by [`on_result`](Self::on_result) or [`on_tick`](Self::on_tick).
     pub fn begin(&mut self, cx: &mut Cx<'_>, req: WriteRequest) {
         if self.pending.contains_key(&req.key) {
             self.queued.push_back(req);
@@ -80,7 +80,7 @@
         let call = cx.next_call();
         let writer = Writer { host: cx.cfg.host.clone(), incarnation: cx.cfg.incarnation, call };
         let key = req.key.clone();
-        let pending = Pending { req, writer, step: Step::Writing, doubtful: false, failures: 0 };
+        let pending = Pending { req, writer, step: Step::Writing, may_have_taken_effect: false, failures: 0 };
         cx.push(Effect::Store { call, request: pending.write() });
         self.calls.insert(call, key.clone());
         self.pending.insert(key, pending);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes the result of a call; returns the write's key and outcome if that ended it.
+    /// Handles the result of a call; returns the write's key and outcome if that ended it.
     pub fn on_result(
         &mut self,
         cx: &mut Cx<'_>,
@@ -114,7 +114,7 @@
         None
     }
 
-    /// Repeats what has rested and gives up what is due.
+    /// Retries writes whose backoff has elapsed, and abandons those past their deadline.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<(Key, WriteOutcome)> {
         let now = cx.now;
         let due: Vec<Key> = self
@@ -125,12 +125,12 @@
             .collect();
         let ended = due
             .into_iter()
-            .filter_map(|key| self.pending.remove(&key).map(|p| (key, p.given_up())))
+            .filter_map(|key| self.pending.remove(&key).map(|p| (key, p.abandoned())))
             .collect();
         self.calls.retain(|_, key| self.pending.contains_key(key));
         for (key, pending) in &mut self.pending {
-            if matches!(pending.step, Step::Resting { until } if until.is_due(now)) {
-                pending.step = if pending.doubtful { Step::ReadingBack } else { Step::Writing };
+            if matches!(pending.step, Step::BackingOff { until } if until.is_due(now)) {
+                pending.step = if pending.may_have_taken_effect { Step::ReadingBack } else { Step::Writing };
                 let call = pending.send(cx);
                 self.calls.insert(call, key.clone());
             }
@@ -155,7 +155,7 @@
         let call = cx.next_call();
         let request = match self.step {
             Step::ReadingBack => StoreCall::Read(self.req.key.clone()),
-            Step::Writing | Step::Resting { .. } => self.write(),
+            Step::Writing | Step::BackingOff { .. } => self.write(),
         };
         cx.push(Effect::Store { call, request });
         call
@@ -164,23 +164,24 @@
     fn on_result(&mut self, now: Time, result: &StoreResult) -> Option<WriteOutcome> {
         match result {
             Ok(StoreAnswer::Written(revision)) => Some(WriteOutcome::Done(self.written(*revision))),
-            Ok(StoreAnswer::Conflict(found) | StoreAnswer::One(found)) => self.on_found(found),
+            Ok(StoreAnswer::Conflict(found) | StoreAnswer::One(found)) => self.on_read_back(found),
             Ok(_) => {
-                self.rest(now);
+                self.back_off(now);
                 None
             }
             Err(failure) => {
-                // A write whose answer is lost may have taken effect. Writing again
-                // would meet our own value and look like a conflict, and the owner
-                // would give up what it holds; so the key is read back first.
-                self.doubtful |= *failure == StoreFailure::Unknown && matches!(self.step, Step::Writing);
-                self.rest(now);
+                // A write whose answer was lost may have taken effect. Writing again
+                // would find this process's own value and look like a conflict, and the
+                // owner would give up what it holds. The key is therefore read back first.
+                self.may_have_taken_effect |=
+                    *failure == StoreFailure::Unknown && matches!(self.step, Step::Writing);
+                self.back_off(now);
                 None
             }
         }
     }
 
-    fn on_found(&mut self, found: &Versioned) -> Option<WriteOutcome> {
+    fn on_read_back(&mut self, found: &Versioned) -> Option<WriteOutcome> {
         if found.writer.as_ref() == Some(&self.writer) {
             return Some(WriteOutcome::Done(found.clone()));
         }
@@ -189,8 +190,8 @@
             Expect::At(revision) => found.record.is_some() && found.revision == revision,
         };
         if unchanged {
-            // The lost write may still be on its way. Sending the same one again is
-            // safe: both expect the same state, so only one of them takes effect.
+            // The lost write may still be in flight. Sending it again is safe: both have
+            // the same precondition, so only one of them takes effect.
             self.step = Step::Writing;
             return None;
         }
@@ -209,14 +210,18 @@
         }
     }
 
-    fn rest(&mut self, now: Time) {
-        let rest = FIRST_REST.saturating_mul(1 << self.failures.min(8)).min(LONGEST_REST);
+    fn back_off(&mut self, now: Time) {
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(8)).min(MAX_BACKOFF);
         self.failures += 1;
-        self.step = Step::Resting { until: now.after(rest) };
+        self.step = Step::BackingOff { until: now.after(backoff) };
     }
 
-    fn given_up(&self) -> WriteOutcome {
-        let idle = matches!(self.step, Step::Resting { .. });
-        if idle && !self.doubtful { WriteOutcome::NotDone } else { WriteOutcome::Unknown }
+    fn abandoned(&self) -> WriteOutcome {
+        let no_call_in_flight = matches!(self.step, Step::BackingOff { .. });
+        if no_call_in_flight && !self.may_have_taken_effect {
+            WriteOutcome::NotDone
+        } else {
+            WriteOutcome::Unknown
+        }
     }
 }
