--- a/crates/skylarkshore-core/src/accounts.rs
+++ b/crates/skylarkshore-core/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: which keys they hold, how urgent they are, and how much they may use.
+//! Client accounts: their keys, priorities and limits. Start with [`Accounts`].
 
 use derive_more::{Display, Error};
 
@@ -6,10 +6,10 @@
 use crate::id::{AccountName, Digest};
 use crate::units::{CreditRate, Credits};
 
-/// The digest under which a key is looked up.
+/// The digest of an account's key.
 ///
-/// The key itself is only in the caller's request, so that no log, state dump
-/// or peer can show it.
+/// Only the caller's request holds the key itself, so no log, state dump or peer can
+/// disclose it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest(pub Digest);
 
@@ -19,21 +19,21 @@
     }
 }
 
-/// What a client account's limit counts.
+/// The unit in which a client account's limit is counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Measure {
-    /// Each request as one.
+    /// Requests; each one costs 1.
     #[default]
     Requests,
-    /// The tokens of each request.
+    /// Tokens.
     Tokens {
-        /// What a request counts that doesn't tell its tokens.
+        /// The cost of a request that doesn't state its token count.
         plain: Credits,
     },
 }
 
 impl Measure {
-    /// Returns what a request counts that tells so many tokens, or none.
+    /// Returns the cost of a request that states `tokens`, if any.
     pub fn cost(self, tokens: Option<u64>) -> Credits {
         match self {
             Self::Requests => Credits(1),
@@ -42,46 +42,46 @@
     }
 }
 
-/// How much a client account may use, over all hosts together.
+/// How much a client account may use across all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountLimit {
-    /// How fast credit comes.
+    /// The rate at which credit refills.
     pub rate: CreditRate,
-    /// How much credit can be saved up.
+    /// The most credit that can accumulate.
     pub burst: Credits,
 }
 
 /// A client account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// The keys that callers show.
+    /// The keys that callers present.
     pub keys: OrderedSet<KeyDigest>,
-    /// How urgent its requests are, before their routes' priorities; 0 is the most urgent.
+    /// The priority of its requests, which ranks before the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// What its limit counts.
+    /// The unit of its limit.
     pub measure: Measure,
-    /// How much it may use; none where that is not limited.
+    /// How much it may use; none if it is not limited.
     pub limit: Option<AccountLimit>,
 }
 
-/// A request's client account, and what the request counts there.
+/// A request's client account, and the cost charged to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
     /// The client account.
     pub account: AccountName,
-    /// The key that the caller showed.
+    /// The key that the caller presented.
     pub key: KeyDigest,
-    /// What the request counts.
+    /// The cost of the request.
     pub cost: Credits,
 }
 
-/// Two client accounts can't be told apart.
+/// Two client accounts that can't be distinguished.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum AmbiguousAccount {
-    /// The same key is given to both.
+    /// Both have the same key.
     #[display("the client accounts '{first}' and '{second}' share a key; take it from one of them")]
     SharedKey {
-        /// The account that was read first.
+        /// The account that was added first.
         first: AccountName,
         /// The other one.
         second: AccountName,
@@ -94,7 +94,7 @@
     },
 }
 
-/// All client accounts, found by name and by key.
+/// All client accounts, indexed by name and by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Accounts {
     by_name: OrderedMap<AccountName, Account>,
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// Its name or one of its keys is taken.
+    /// Returns an error if its name or one of its keys is already taken.
     pub fn add(&mut self, name: AccountName, account: Account) -> Result<(), AmbiguousAccount> {
         if self.by_name.contains_key(&name) {
             return Err(AmbiguousAccount::SameName { name });
@@ -120,12 +120,12 @@
         Ok(())
     }
 
-    /// Tells whether there are no accounts, so that callers need no key.
+    /// Reports whether there are no accounts, so that callers need no key.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Finds the account that holds a key.
+    /// Returns the account that a key belongs to.
     pub fn holder(&self, key: &KeyDigest) -> Option<(&AccountName, &Account)> {
         self.by_name.get_key_value(self.by_key.get(key)?)
     }
@@ -135,7 +135,7 @@
         self.by_name.get(name)
     }
 
-    /// Returns all accounts in the order of their names.
+    /// Returns all accounts, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&AccountName, &Account)> {
         self.by_name.iter()
     }
--- a/crates/skylarkshore-core/src/catalogue.rs
+++ b/crates/skylarkshore-core/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! What a deployment serves: models, their adapters and plain services.
+//! What a deployment serves: models with their adapters, plain services and routes.
+//! Start with [`Catalogue`]; [`Document`] adds power caps and rules.
 
 use std::time::Duration;
 
@@ -13,23 +14,23 @@
 /// A base model that engines can load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// The version whose weights are to be served.
+    /// The version of the weights to serve.
     pub version: ModelVersion,
     /// The memory that the weights take.
     pub weights: Mebibytes,
-    /// The memory that is reserved for the KV cache of running requests.
+    /// The memory reserved for the KV cache of running requests.
     pub kv_cache: Mebibytes,
-    /// How long a load usually takes, before it has been measured.
+    /// The expected duration of a load until one has been measured.
     pub load_time: Duration,
-    /// How long a load from a copy takes, where engines keep copies.
+    /// The duration of a load from a weight copy, if engines keep copies.
     pub copy_load_times: Option<CopyLoadTimes>,
-    /// The pool of engines that may hold it; none where every engine may.
+    /// The pool of engines that may hold it; none if every engine may.
     pub pool: Option<ServiceName>,
-    /// The adapters on this base, each with the memory it takes.
+    /// The adapters of this base model, each with the memory it takes.
     pub adapters: OrderedMap<AdapterName, Mebibytes>,
 }
 
-/// How long loads from copies take.
+/// The durations of loads from weight copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyLoadTimes {
     /// From the host's memory.
@@ -45,23 +46,23 @@
     }
 }
 
-/// A plain service that requests are passed on to.
+/// A plain service that requests are forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Path prefixes, after the service's name, whose calls may not be repeated.
+    /// Path prefixes, after the service's name, of at-most-once calls.
     pub once_paths: Vec<String>,
     /// How many requests one replica handles at a time.
     pub concurrency: u32,
 }
 
 impl Service {
-    /// Tells whether a call of this path may not be repeated.
+    /// Reports whether calls of this path run at most once.
     pub fn is_once(&self, path: &str) -> bool {
         self.once_paths.iter().any(|prefix| path.starts_with(prefix.as_str()))
     }
 }
 
-/// What a request's `model` field names.
+/// The model or adapter that a request's `model` field names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelTarget {
     /// The base model.
@@ -70,66 +71,66 @@
     pub adapter: Option<AdapterName>,
 }
 
-/// What may be done with a request whose outcome isn't known.
+/// How a request may be retried when its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// It may run more than once.
     Repeatable,
     /// It may run at most once.
     AtMostOnce,
-    /// Its answer is a stream of events.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether another upstream may go on where one broke off.
+        /// Whether another upstream may resume an interrupted stream.
         resumable: bool,
     },
 }
 
-/// Where a part of a route's requests goes.
+/// A weighted destination of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Destination {
     /// A plain service or a pool of engines.
     pub service: ServiceName,
-    /// Its share, relative to the other destinations'.
+    /// Its weight relative to the other destinations.
     pub weight: u32,
 }
 
-/// How requests of one kind are handled.
+/// How requests for a host name and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// The host name that requests name.
+    /// The host name that the request must name.
     pub host: String,
-    /// What the path begins with.
+    /// The path prefix.
     pub prefix: String,
-    /// What may be repeated.
+    /// How its requests may be retried.
     pub kind: RouteKind,
-    /// How long a request may be kept at most.
+    /// The longest time that a request may take.
     pub timeout: Duration,
-    /// Within which time an answer has its full value.
+    /// The latency up to which an answer has its full value.
     pub target_latency: Duration,
-    /// The longest pause between two events of an answer that has its full value; none for other answers.
+    /// The longest gap between two events at which a stream has its full value; none for other answers.
     pub target_gap: Option<Duration>,
-    /// How urgent it is; 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// On how many upstreams a request may run at most.
+    /// The most upstreams on which a request may be tried.
     pub tries: u32,
-    /// Where it goes.
+    /// The destinations.
     pub destinations: Vec<Destination>,
-    /// Whether it is open to callers without a client account.
+    /// Whether callers without a client account may use it.
     pub is_public: bool,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The largest head in bytes.
     pub head_len: usize,
     /// The largest body in bytes.
     pub body_len: usize,
-    /// How long a head may take.
+    /// The time-out for receiving a head.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// The time-out of an idle connection.
     pub idle_timeout: Duration,
 }
 
@@ -140,13 +141,13 @@
     pub models: OrderedMap<ModelName, Model>,
     /// The plain services.
     pub services: OrderedMap<ServiceName, Service>,
-    /// The routes, where requests are told apart by host and path.
+    /// The routes, if requests are distinguished by host and path.
     pub routes: Vec<Route>,
-    /// What callers may send, where the configuration says.
+    /// The limits on callers' requests, if configured.
     pub caller_limits: Option<CallerLimits>,
-    /// How many loads may begin, where the configuration says.
+    /// The rate at which loads may start, if configured.
     pub load_rate: Option<LoadRate>,
-    /// The client accounts; where there are none, callers need no key.
+    /// The client accounts; if there are none, callers need no key.
     pub accounts: Accounts,
 }
 
@@ -160,13 +161,13 @@
 }
 
 impl Catalogue {
-    /// Finds the route of a request: of those of its host, the one with the longest prefix.
+    /// Returns the route of a request: the one with the longest matching prefix for its host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.routes.iter().filter(|route| route.host == host);
         of_host.filter(|route| path.starts_with(&route.prefix)).max_by_key(|route| route.prefix.len())
     }
 
-    /// Finds what `name` means: a model, or an adapter with its base.
+    /// Resolves `name` to a model, or to an adapter with its base model.
     pub fn resolve(&self, name: &str) -> Option<ModelTarget> {
         if let Ok(model) = name.parse::<ModelName>()
             && self.models.contains_key(&model)
@@ -181,15 +182,15 @@
 
 /// The operators' document: the catalogue, the power caps and the rules.
 ///
-/// It is replaced as a whole, so that a rule and the model it names arrive
-/// together everywhere.
+/// It is replaced as a whole, so that a rule and the model it names always arrive
+/// together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// Counts the accepted changes; a process takes only a higher one.
+    /// The number of accepted changes; a process only applies a higher one.
     pub revision: RulesRevision,
-    /// Counts the changes of a catalogue that is configured apart from the rules; 0 if there is none.
+    /// The revision of a catalogue that is configured separately; 0 if there is none.
     pub catalogue_revision: CatalogueRevision,
-    /// The most that all upstreams of a site may draw together.
+    /// The most power that all upstreams of a site may draw together.
     pub power_caps: OrderedMap<SiteName, Watts>,
     /// What is served.
     pub catalogue: Catalogue,
@@ -198,12 +199,12 @@
 }
 
 impl Document {
-    /// Tells whether anything has been configured yet.
+    /// Reports whether anything has been configured yet.
     pub const fn is_known(&self) -> bool {
         self.revision.0 > 0 || self.catalogue_revision.0 > 0
     }
 
-    /// Returns this document with everything of `newer` that isn't configured apart.
+    /// Returns `newer`, with this document's catalogue if that is configured separately.
     #[must_use]
     pub fn with_rules_of(&self, newer: &Self) -> Self {
         let mut document = newer.clone();
@@ -227,10 +228,10 @@
     }
 }
 
-/// A catalogue that is configured apart from the rules.
+/// A catalogue that is configured separately from the rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfiguredCatalogue {
-    /// Counts the accepted changes; a process takes only a higher one.
+    /// The number of accepted changes; a process only applies a higher one.
     pub revision: CatalogueRevision,
     /// What is served.
     pub catalogue: Catalogue,
--- a/crates/skylarkshore-core/src/config.rs
+++ b/crates/skylarkshore-core/src/config.rs
@@ -1,4 +1,4 @@
-//! What a process is told about itself, and the times it keeps.
+//! The configuration of a process: identity, time-outs and limits. Start with [`NodeConfig`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,100 +7,99 @@
 use crate::rules::Rules;
 use crate::units::{Capacity, Credits};
 
-/// What a process is told about itself when it starts.
+/// The configuration that a process starts with.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The host's name.
     pub host: HostId,
-    /// Which life of the process; higher than any before on this host.
+    /// The incarnation of the process; higher than any earlier one on this host.
     pub incarnation: Incarnation,
-    /// Where the host stands.
+    /// The data centre that the host runs in.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer_address: SocketAddr,
-    /// The SHA-256 of its certificate.
+    /// The SHA-256 digest of its certificate.
     pub fingerprint: Digest,
-    /// Where its randomness starts.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// The times it keeps.
+    /// Intervals and time-outs.
     pub timings: Timings,
-    /// The sizes it keeps to.
+    /// Sizes and counts.
     pub limits: Limits,
-    /// The rules in force until operators write their own.
+    /// The rules that apply until operators configure their own.
     pub default_rules: Rules,
-    /// Who watches the key-value service.
+    /// Which processes watch the key-value service.
     pub watchers: Watchers,
-    /// What the host can do beside the others.
+    /// The host's capacity relative to the others.
     pub capacity: Capacity,
 }
 
-/// Who watches the key-value service.
+/// Which processes watch the key-value service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Watchers {
-    /// One process of each data centre, which tells the others.
+    /// One process of each data centre, which forwards changes to the others.
     #[default]
     OnePerDataCentre,
-    /// Every process, so that news doesn't depend on any other one.
+    /// Every process, so that changes don't depend on any other one.
     All,
-    /// Every process that hears no news from another one of its data centre.
+    /// Every process that receives no changes from another one of its data centre.
     Relayed,
 }
 
-/// What may change while a process runs.
+/// The settings that may change while a process runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The times it keeps.
+    /// Intervals and time-outs.
     pub timings: Timings,
-    /// The sizes it keeps to.
+    /// Sizes and counts.
     pub limits: Limits,
 }
 
-/// How long things take and may take.
+/// Intervals, time-outs and grace periods.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// How long the member lease lives without being renewed.
+    /// The time to live of the member lease.
     pub lease_ttl: Duration,
     /// How often the lease is renewed.
     pub renew_every: Duration,
-    /// How long after its last confirmed renewal a process may still give orders
-    /// to engines that ignore fences; never longer than the lease.
+    /// How long after the last confirmed renewal of its lease a process may still send
+    /// orders to engines that ignore fences; never longer than the lease.
     pub hold: Duration,
-    /// How much longer than `hold` a successor waits, for clocks that run at
-    /// different speeds.
+    /// How much longer than `hold` a successor waits, to allow for clock drift.
     pub hold_margin: Duration,
-    /// How long a call to the key-value service may take.
+    /// The time-out of a call to the key-value service.
     pub store_timeout: Duration,
-    /// How often a process tells its peers that it lives.
+    /// The interval of heartbeats to peers.
     pub heartbeat_every: Duration,
-    /// After how long without a heartbeat a peer counts as unreachable.
+    /// How long without a heartbeat until a peer counts as unreachable.
     pub peer_timeout: Duration,
-    /// How often an owner asks its engines how they stand.
+    /// The interval at which an owner requests reports from its engines.
     pub report_every: Duration,
-    /// After how long without a report an engine counts as unreachable.
+    /// How long without a report until an engine counts as unreachable.
     pub engine_timeout: Duration,
-    /// How often a router asks again for a model that requests wait for.
+    /// The interval at which a router repeats its demand for a model that requests wait for.
     pub wanted_every: Duration,
-    /// How long a router hears of a model after it last asked.
+    /// How long after its last demand a router receives updates on a model.
     pub interest: Duration,
-    /// How often a router tells how many requests for a model arrived.
+    /// The interval at which a router reports how many requests for a model arrived.
     pub usage_every: Duration,
-    /// How long an order of unknown outcome keeps its memory when reports don't settle it.
+    /// How long an order of unknown outcome reserves memory if reports don't show its outcome.
     pub order_settle: Duration,
-    /// How long routers are given to stop sending before a model is unloaded.
+    /// How long routers get to stop sending requests before a model is unloaded.
     pub close_grace: Duration,
-    /// How long a caller may keep an answer to the question which hosts to use.
+    /// How long callers may cache the entry list, which names the hosts to use.
     pub entry_ttl: Duration,
-    /// How long callers may still come after this host has left the answers to that question.
+    /// How long callers may still connect after this host has left the entry list.
     pub entry_kept: Duration,
-    /// How long an engine that the host list no longer names keeps its homes.
+    /// How long an engine that left the host list keeps its homes.
     pub gone_after: Duration,
-    /// How long after the last order of an engine's former owner, on another
-    /// host, the first one of the new owner comes at the earliest.
+    /// The minimum time between the last order of an engine's former owner on another
+    /// host and the first order of its new owner.
     pub order_gap: Duration,
-    /// How long an upstream that the host list lost during an outage is still
-    /// taken for living after the list can be read again.
+    /// How long an upstream that went missing from the host list during an outage still
+    /// counts as live after the list can be read again.
     pub list_grace: Duration,
 }
 
@@ -130,42 +129,42 @@
     }
 }
 
-/// How much a process takes on.
+/// Limits on queues, loads, retries and quotas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests that wait, over all callers.
+    /// Queued requests of all callers.
     pub queue_total: usize,
-    /// Requests that wait for one caller.
+    /// Queued requests of one caller.
     pub queue_per_caller: usize,
-    /// The largest answer that is recorded for requests that may not be repeated, in bytes.
+    /// The largest answer that is recorded for at-most-once requests, in bytes.
     pub recorded_answer: usize,
-    /// Loads that may run at once over the whole deployment.
+    /// Concurrent loads in the whole deployment.
     pub loads_at_once: u32,
-    /// Loads that may begin within a second over the whole deployment.
+    /// Loads that may start per second in the whole deployment.
     pub loads_per_second: u32,
-    /// Tries for one request, the first included.
+    /// Attempts for one request, including the first.
     pub attempts: u32,
-    /// How many homes each model has ahead of need, as far as the rules allow.
+    /// How many homes each model has in advance, as far as the rules allow.
     ///
-    /// A further replica is loaded as soon as it is needed where a home stands
-    /// already; else it waits for a write and for other processes to hear of it.
+    /// With a home in place, a further replica is loaded as soon as it is needed. Without
+    /// one, the load waits for a write and for other processes to receive it.
     pub homes_ahead: usize,
-    /// How retries are held down.
+    /// How retries are limited.
     pub retries: RetryLimits,
-    /// How requests that may crash upstreams are found out.
+    /// How requests that may crash upstreams are detected.
     pub suspects: SuspectPolicy,
-    /// How closely the limits of client accounts are kept.
+    /// The tolerance on the limits of client accounts.
     pub quota: QuotaPolicy,
 }
 
-/// How closely the limits of client accounts are kept.
+/// The tolerance on the limits of client accounts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaPolicy {
-    /// Over which time use is counted.
+    /// The window in which use is counted.
     pub window: Duration,
-    /// How much more than the limit may be used within a window, in percent.
+    /// How far the limit may be exceeded within a window, in percent.
     pub overage_percent: u32,
-    /// How much may be used beside.
+    /// How much may be used in addition, as an absolute amount.
     pub slack: Credits,
 }
 
@@ -175,32 +174,32 @@
     }
 }
 
-/// How retries are held down.
+/// How retries are limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryLimits {
-    /// Each process saves retries up for itself.
+    /// Each process keeps a retry budget of its own.
     PerProcess,
-    /// All processes together keep to a share of the requests for a service in
-    /// any window, whatever a retry is for.
+    /// All processes together limit retries, whatever their cause, to a share of the
+    /// requests for a service within any window.
     Shared {
-        /// Retries for a hundred requests.
+        /// Retries per hundred requests.
         percent: u32,
-        /// Retries that are allowed beside.
+        /// Retries that are allowed in addition.
         slack: u32,
         /// The window.
         window: Duration,
     },
 }
 
-/// How requests that may crash upstreams are found out.
+/// How requests that may crash upstreams are detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectPolicy {
-    /// A request that was in progress when an upstream died runs alone.
+    /// A request that was in progress when an upstream died is retried alone on an upstream.
     RunAlone,
-    /// Requests are counted with the upstreams that ended while they ran.
+    /// Counts, for each request, the upstreams that went down while it ran.
     ///
-    /// Where upstreams often lose connections without dying, running every
-    /// suspect alone would keep an engine from all others for each of them.
+    /// If upstreams often lose connections without dying, running every suspect alone
+    /// would block an engine for all other requests each time.
     CountEnds,
 }
 
--- a/crates/skylarkshore-core/src/rules.rs
+++ b/crates/skylarkshore-core/src/rules.rs
@@ -1,4 +1,4 @@
-//! Ordered when-then rules, of which the first match counts.
+//! Ordered when-then rules, of which the first match applies. Start with [`Rules`].
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use crate::collections::OrderedSet;
 use crate::id::{AdapterName, CallerId, DataCentre, ModelName, ServiceName};
 
-/// A share of a whole, from 0 to 100.
+/// A percentage from 0 to 100.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{_0}%")]
 pub struct Percent(u8);
 
-/// A number that is no percentage.
+/// The error for a number that is not a percentage.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("{value} is not a percentage; write a whole number from 0 to 100")]
 pub struct InvalidPercent {
@@ -33,7 +33,7 @@
         self.0
     }
 
-    /// Returns `part` as a share of `whole`, at most 100; a share of nothing is 0.
+    /// Returns `part` as a percentage of `whole`, at most 100; 0 if `whole` is 0.
     pub fn of(part: u64, whole: u64) -> Self {
         let share = part.saturating_mul(100).checked_div(whole).unwrap_or(0).min(100);
         Self(u8::try_from(share).unwrap_or(100))
@@ -45,7 +45,7 @@
 #[display("{:02}:{:02}", _0 / 60, _0 % 60)]
 pub struct MinuteOfDay(u16);
 
-/// A text that is no time of day.
+/// The error for a text that is not a time of day.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("'{text}' is not a time of day; write hours and minutes in UTC, for example 18:30")]
 pub struct InvalidMinuteOfDay {
@@ -73,12 +73,12 @@
     }
 }
 
-/// A span of the day; one that ends before it starts runs over midnight.
+/// A span of the day; one that ends before it starts includes midnight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hours {
-    /// The first minute that belongs to it.
+    /// The first minute in the span.
     pub from: MinuteOfDay,
-    /// The first minute that no longer belongs to it.
+    /// The first minute after the span.
     pub to: MinuteOfDay,
 }
 
@@ -91,10 +91,10 @@
     }
 }
 
-/// What must hold for a rule to match; an absent part always holds.
+/// The condition of a rule; an absent part always holds.
 ///
-/// A part that asks about something the decision doesn't know (the caller, when
-/// the number of replicas is decided) doesn't hold.
+/// A part that refers to an unknown input doesn't hold; for example, the caller is unknown
+/// when the number of replicas is decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Condition {
     /// The base model is one of these.
@@ -107,7 +107,7 @@
     pub services: Option<OrderedSet<ServiceName>>,
     /// The deciding process runs in one of these data centres.
     pub data_centres: Option<OrderedSet<DataCentre>>,
-    /// The time of day lies in this span.
+    /// The time of day is in this span.
     pub hours: Option<Hours>,
     /// At least this share of the site's power is granted.
     pub power_pressure: Option<Percent>,
@@ -120,7 +120,7 @@
 }
 
 impl Condition {
-    /// Tells whether the condition holds for what is known.
+    /// Reports whether the condition holds for the given input.
     pub fn holds(&self, facts: &Facts<'_>) -> bool {
         one_of(self.models.as_ref(), facts.model)
             && one_of(self.adapters.as_ref(), facts.adapter)
@@ -135,19 +135,19 @@
     }
 }
 
-fn one_of<T: Ord>(wanted: Option<&OrderedSet<T>>, known: Option<&T>) -> bool {
-    wanted.is_none_or(|set| known.is_some_and(|value| set.contains(value)))
+fn one_of<T: Ord>(required: Option<&OrderedSet<T>>, known: Option<&T>) -> bool {
+    required.is_none_or(|set| known.is_some_and(|value| set.contains(value)))
 }
 
-fn at_least<T: PartialOrd>(wanted: Option<T>, known: Option<T>) -> bool {
-    match (wanted, known) {
+fn at_least<T: PartialOrd>(required: Option<T>, known: Option<T>) -> bool {
+    match (required, known) {
         (None, _) => true,
-        (Some(wanted), Some(known)) => known >= wanted,
+        (Some(required), Some(known)) => known >= required,
         (Some(_), None) => false,
     }
 }
 
-/// What is known when a rule is looked for.
+/// The input that conditions are evaluated against; unknown values are absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Facts<'a> {
     /// The base model.
@@ -168,11 +168,11 @@
     pub memory_pressure: Option<Percent>,
     /// How long the model has had no request.
     pub idle_for: Option<Duration>,
-    /// How many requests wait for the model.
+    /// The number of requests that wait for the model.
     pub queue: Option<u32>,
 }
 
-/// Whom to serve first when short; lower numbers come first.
+/// The precedence when resources are short; lower numbers are served first.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceOrder(pub u16);
 
@@ -182,10 +182,10 @@
     }
 }
 
-/// When a replica that has no requests is unloaded.
+/// When an idle replica is unloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleAfter {
-    /// When the expected cost of a cold start no longer outweighs the idle hours.
+    /// When the expected cost of a cold start no longer outweighs that of idling.
     Adaptive,
     /// After this long without a request.
     Fixed(Duration),
@@ -193,27 +193,27 @@
     Never,
 }
 
-/// What a matching rule decides; every part has a value.
+/// The settings of a matching rule; every part has a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// How many replicas are kept loaded, requests or not.
+    /// The fewest replicas that stay loaded, even without requests.
     pub replicas_min: u32,
-    /// How many replicas may be loaded at most.
+    /// The most replicas that may be loaded.
     pub replicas_max: u32,
-    /// When an unused replica is unloaded.
+    /// When an idle replica is unloaded.
     pub idle_after: IdleAfter,
-    /// Whom to serve first when power, memory or loads run short.
+    /// The precedence when power, memory or loads are short.
     pub order: ServiceOrder,
-    /// Whether requests are refused, and with what reason.
+    /// The reason with which requests are refused, if they are.
     pub refuse: Option<String>,
-    /// The weight of a second of cold start that a caller feels.
+    /// The weight of a second that a caller waits for a cold start.
     pub cold_start_weight: u32,
-    /// The weight of a second of an idle accelerator.
+    /// The weight of a second of accelerator idle time.
     pub idle_weight: u32,
 }
 
 impl Outcome {
-    /// The order of service where no rule says otherwise.
+    /// The precedence if no rule sets one.
     pub const DEFAULT_ORDER: u16 = 100;
 }
 
@@ -238,30 +238,30 @@
     pub name: String,
     /// When it matches.
     pub when: Condition,
-    /// What it decides.
+    /// What it sets.
     pub then: Outcome,
 }
 
-/// The rule that decided, or none when the defaults did.
+/// The result of evaluating the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision<'a> {
-    /// The rule that matched first.
+    /// The first rule that matched; none if the defaults apply.
     pub rule: Option<&'a Rule>,
-    /// What it decides.
+    /// The settings that apply.
     pub outcome: &'a Outcome,
 }
 
 /// An ordered list of rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rules {
-    /// The rules, the first one first.
+    /// The rules in order of evaluation.
     pub list: Vec<Rule>,
-    /// What holds where no rule matches.
+    /// The defaults if no rule matches.
     pub otherwise: Outcome,
 }
 
 impl Rules {
-    /// Finds the first rule that matches.
+    /// Returns the first rule that matches, or the defaults.
     pub fn decide(&self, facts: &Facts<'_>) -> Decision<'_> {
         let rule = self.list.iter().find(|rule| rule.when.holds(facts));
         Decision { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
@@ -269,9 +269,9 @@
 }
 
 impl Condition {
-    /// Tells whether this condition holds whenever `other` does.
+    /// Reports whether this condition holds whenever `other` does.
     ///
-    /// A rule whose condition is covered by an earlier one can never match.
+    /// A rule whose condition is covered by that of an earlier rule can never match.
     pub fn covers(&self, other: &Self) -> bool {
         includes(self.models.as_ref(), other.models.as_ref())
             && includes(self.adapters.as_ref(), other.adapters.as_ref())
@@ -285,7 +285,7 @@
             && no_higher(self.queue_at_least, other.queue_at_least)
     }
 
-    /// Tells whether nothing can ever fulfil the condition.
+    /// Reports whether the condition can never hold.
     pub fn is_impossible(&self) -> bool {
         is_empty(self.models.as_ref())
             || is_empty(self.adapters.as_ref())
--- a/crates/skylarkshore-core/src/upstream.rs
+++ b/crates/skylarkshore-core/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Model engines and service replicas, as the host list and they themselves describe them.
+//! Model engines and service replicas, as described by the host list and by their own reports.
+//! Start with [`Upstream`].
 
 mod list;
 
@@ -14,51 +15,51 @@
 
 pub use list::{UpstreamChanges, UpstreamList};
 
-/// What an engine does with an order that carries an old fence.
+/// How an engine treats an order with an outdated fence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceCheck {
     /// It refuses the order.
     Refuses,
-    /// It carries the order out all the same.
+    /// It executes the order regardless.
     Ignores,
 }
 
-/// How an engine carries its orders out.
+/// How an engine executes its orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OrderMode {
-    /// Side by side; reports name each order that is settled.
+    /// Concurrently; reports name each finished order.
     #[default]
     Parallel,
-    /// One at a time, each with a number, so that an order that expects an
-    /// earlier number is refused.
+    /// One at a time, in numbered sequence; an order that expects an earlier number is
+    /// refused.
     ///
-    /// An unload waits for the requests that run, so that the models on such an
-    /// engine needn't be idle to make way.
+    /// An unload waits for running requests, so a model on such an engine doesn't have to
+    /// be idle before it is unloaded.
     OneByOne,
 }
 
-/// What a model engine can hold and draws.
+/// The capacity, power draw and order handling of a model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// The accelerator memory in all.
+    /// The total accelerator memory.
     pub memory: Mebibytes,
-    /// What it draws with nothing loaded.
+    /// Its power draw with nothing loaded.
     pub sleep_watts: Watts,
-    /// The most that it draws with anything loaded or loading.
+    /// Its maximum power draw with any model loaded or loading.
     pub active_watts: Watts,
-    /// What it does with old fences.
+    /// How it treats outdated fences.
     pub fence_check: FenceCheck,
-    /// How many requests it runs at a time before they queue inside it.
+    /// How many requests it runs concurrently before it queues them.
     pub concurrency: u32,
-    /// How it carries its orders out.
+    /// How it executes its orders.
     pub order_mode: OrderMode,
-    /// The pool whose models it may hold; none where every engine may hold every model.
+    /// The pool whose models it may hold; none if every engine may hold every model.
     pub pool: Option<ServiceName>,
-    /// How many adapters it may hold at a time, where that is limited.
+    /// The most adapters that it may hold at a time, if limited.
     pub adapter_slots: Option<u32>,
 }
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
     /// A model engine.
@@ -67,44 +68,44 @@
     Service(ServiceName),
 }
 
-/// What the host list says of an upstream.
+/// The status of an upstream on the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may get new work.
+    /// It may receive new work.
     Live,
-    /// It is about to go and may not get new work.
+    /// It is shutting down and may not receive new work.
     Leaving,
 }
 
 /// One entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its name, never given to another.
+    /// Its name, which is never reused.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
     /// The site whose power it draws.
     pub site: SiteName,
-    /// What it is.
+    /// Its kind.
     pub kind: UpstreamKind,
-    /// Whether it may get new work.
+    /// Whether it may receive new work.
     pub standing: Standing,
-    /// Which life of it the list speaks of; a restart has a higher number.
+    /// The incarnation that is listed; it rises with every restart.
     pub incarnation: Incarnation,
-    /// How many requests it runs at a time, where it tells.
+    /// How many requests it runs concurrently, if it states that.
     pub concurrency: Option<u32>,
-    /// The models that it held when it last registered, where it tells.
+    /// The models that it held when it last registered, if it states them.
     pub holds: Vec<ModelName>,
-    /// The weights of which it keeps copies, where it tells.
+    /// The weights that it keeps copies of, if it states them.
     pub copies: Copies,
 }
 
-/// The models of which an engine keeps copies beside those that are loaded.
+/// The models whose weights an engine keeps copies of, in addition to the loaded ones.
 ///
-/// A load from a copy is faster than one from the weight store, and takes
-/// nothing of the weight store's rate.
+/// A load from a copy is faster than one from the weight store, and doesn't count
+/// towards the weight store's load rate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Copies {
     /// In the host's memory.
@@ -114,14 +115,14 @@
 }
 
 impl Copies {
-    /// Tells whether there is a copy of the model anywhere.
+    /// Reports whether there is a copy of the model in memory or on disk.
     pub fn has(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 }
 
 impl Upstream {
-    /// Returns what the engine can hold, if this is one.
+    /// Returns the engine's specification, if this is an engine.
     pub const fn engine(&self) -> Option<&EngineSpec> {
         match &self.kind {
             UpstreamKind::Engine(spec) => Some(spec),
@@ -129,12 +130,12 @@
         }
     }
 
-    /// Tells whether it held the model when it last registered, and may get new work.
+    /// Reports whether it is live and held the model when it last registered.
     pub fn holds_live(&self, model: &ModelName) -> bool {
         self.standing == Standing::Live && self.holds.contains(model)
     }
 
-    /// Returns the service's name, if this is a replica of one.
+    /// Returns the service's name, if this is a service replica.
     pub const fn service(&self) -> Option<&ServiceName> {
         match &self.kind {
             UpstreamKind::Engine(_) => None,
@@ -143,16 +144,16 @@
     }
 }
 
-/// What an engine is told to do.
+/// A command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Take note of the fence and change nothing.
+    /// Record the fence and change nothing.
     RaiseFence,
-    /// Load a base model; a model that is loaded already stays as it is.
+    /// Load a base model; has no effect if it is already loaded.
     Load {
         /// The model.
         model: ModelName,
-        /// Which weights.
+        /// The version of the weights.
         version: ModelVersion,
         /// The memory for weights and KV cache.
         memory: Mebibytes,
@@ -163,15 +164,15 @@
         model: ModelName,
         /// The adapter.
         adapter: AdapterName,
-        /// The memory it takes.
+        /// The memory that it takes.
         memory: Mebibytes,
     },
-    /// Unload a model with its adapters; an absent one is no error.
+    /// Unload a model with its adapters; has no effect if it is absent.
     Unload {
         /// The model.
         model: ModelName,
     },
-    /// Unload an adapter; an absent one is no error.
+    /// Unload an adapter; has no effect if it is absent.
     UnloadAdapter {
         /// The base model.
         model: ModelName,
@@ -180,40 +181,40 @@
     },
 }
 
-/// How an order ended, as far as its sender knows.
+/// The outcome of an order, as far as its sender knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// The engine has accepted it; its reports show the progress.
+    /// The engine accepted it; its reports show the progress.
     Accepted,
-    /// The engine has carried it out at once, or found nothing to do.
+    /// The engine executed it immediately, or it had no effect.
     Done,
-    /// The engine has seen a higher fence and did nothing.
+    /// The engine did nothing, because it has seen a higher fence.
     FenceTooLow {
         /// The fence it has seen.
         seen: Fence,
     },
-    /// The engine did nothing: it is carrying another order out, or has
-    /// accepted another number of orders than expected.
+    /// The engine did nothing, because it is executing another order or has accepted
+    /// a different number of orders than expected.
     OutOfTurn,
-    /// The engine did nothing, for a reason of its own.
+    /// The engine did nothing, for another reason.
     Refused {
-        /// The engine's words.
+        /// The reason that the engine stated.
         reason: String,
     },
-    /// It never reached the engine: the connection was refused.
+    /// It never reached the engine, because the connection was refused.
     NotSent,
-    /// The answer was lost; the engine may have carried it out, or may yet do so.
+    /// The answer was lost; the engine may have executed it, or may still do so.
     Lost,
 }
 
-/// Where a model stands on an engine.
+/// The state of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadState {
-    /// Its weights are on their way.
+    /// Its weights are being loaded.
     Loading,
     /// It answers requests.
     Ready,
-    /// It is on its way out, its memory still taken.
+    /// It is being unloaded and still takes memory.
     Unloading,
 }
 
@@ -222,15 +223,15 @@
 pub struct ReportedModel {
     /// The model.
     pub model: ModelName,
-    /// Which weights.
+    /// The version of the weights.
     pub version: ModelVersion,
-    /// Where it stands.
+    /// Its state.
     pub state: LoadState,
-    /// The memory it takes, adapters not counted.
+    /// The memory that it takes, without adapters.
     pub memory: Mebibytes,
     /// Requests in progress, running and waiting.
     pub running: u32,
-    /// Its adapters, each with the memory it takes.
+    /// Its adapters.
     pub adapters: Vec<ReportedAdapter>,
 }
 
@@ -239,37 +240,37 @@
 pub struct ReportedAdapter {
     /// The adapter.
     pub adapter: AdapterName,
-    /// The memory it takes.
+    /// The memory that it takes.
     pub memory: Mebibytes,
-    /// Whether it answers requests yet.
+    /// Whether it already answers requests.
     pub ready: bool,
 }
 
-/// An engine's answer to being asked how it stands.
+/// An engine's report of its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Which life of the engine answers; a restart has a higher number.
+    /// The incarnation of the engine; it rises with every restart.
     pub incarnation: Incarnation,
-    /// The highest fence that it has seen, where it keeps one.
+    /// The highest fence that it has seen, if it records fences.
     pub fence: Fence,
-    /// The memory in all.
+    /// The total memory.
     pub memory: Mebibytes,
-    /// What it holds.
+    /// The models on the engine.
     pub models: Vec<ReportedModel>,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait inside the engine.
+    /// The number of requests queued inside the engine.
     pub waiting: u32,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// How old the load figures may be.
+    /// The maximum age of the load figures.
     pub lag: Duration,
-    /// The orders it has settled lately, newest last.
+    /// The recently finished orders, newest last.
     pub settled: Vec<OrderId>,
-    /// Whether it is carrying an order out.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// How many orders it has accepted in this life, where it numbers them.
+    /// How many orders it has accepted in this incarnation, if it numbers them.
     pub accepted: Option<u64>,
-    /// The weights of which it keeps copies.
+    /// The weights that it keeps copies of.
     pub copies: Copies,
 }
--- a/crates/skylarkshore-core/src/upstream/list.rs
+++ b/crates/skylarkshore-core/src/upstream/list.rs
@@ -1,20 +1,20 @@
-//! The upstreams that the host list names, with indexes by what they have.
+//! The upstreams of the host list, indexed by service and model; see [`UpstreamList`].
 
 use crate::collections::{HashMap, OrderedMap, OrderedSet};
 use crate::id::{ModelName, ServiceName, UpstreamId};
 use crate::upstream::{Standing, Upstream};
 
-/// What has changed on the host list.
+/// A change of the host list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamChanges {
-    /// Upstreams that are new or different.
+    /// Upstreams that were added or changed.
     pub changed: Vec<Upstream>,
     /// Upstreams that are no longer listed.
     pub gone: Vec<UpstreamId>,
 }
 
 impl UpstreamChanges {
-    /// Tells whether nothing has changed.
+    /// Reports whether nothing has changed.
     pub const fn is_empty(&self) -> bool {
         self.changed.is_empty() && self.gone.is_empty()
     }
@@ -22,8 +22,8 @@
 
 /// The upstreams of the host list.
 ///
-/// Decisions ask for the replicas of one service or the engines of one model;
-/// the indexes keep them from looking through all upstreams each time.
+/// Decisions need the replicas of one service or the engines of one model; the indexes
+/// spare them a scan of all upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamList {
     all: OrderedMap<UpstreamId, Upstream>,
@@ -41,7 +41,7 @@
         self.all.get(id)
     }
 
-    /// Tells whether an upstream is listed.
+    /// Reports whether an upstream is listed.
     pub fn contains(&self, id: &UpstreamId) -> bool {
         self.all.contains_key(id)
     }
@@ -51,57 +51,57 @@
         self.all.values()
     }
 
-    /// Tells whether no upstream is listed.
+    /// Reports whether no upstream is listed.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Returns how many engines are listed.
+    /// Returns the number of listed engines.
     pub const fn engines(&self) -> usize {
         self.engines
     }
 
     /// Returns the replicas of a service.
     pub fn replicas(&self, service: &ServiceName) -> impl Iterator<Item = &Upstream> + use<'_> {
-        self.found(self.replicas.get(service))
+        self.lookup(self.replicas.get(service))
     }
 
     /// Returns the live engines that hold a model.
     pub fn holders(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
-        self.found(self.holders.get(model))
+        self.lookup(self.holders.get(model))
     }
 
     /// Returns the live engines that hold a model or keep a copy of its weights.
     pub fn keepers(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
-        self.found(self.keepers.get(model))
+        self.lookup(self.keepers.get(model))
     }
 
-    fn found<'a>(&'a self, ids: Option<&'a OrderedSet<UpstreamId>>) -> impl Iterator<Item = &'a Upstream> {
+    fn lookup<'a>(&'a self, ids: Option<&'a OrderedSet<UpstreamId>>) -> impl Iterator<Item = &'a Upstream> {
         ids.into_iter().flatten().filter_map(|id| self.all.get(id))
     }
 
-    /// Takes changes over, and returns the upstreams that are different now.
+    /// Applies changes, and returns the upstreams that differ from before.
     pub fn apply(&mut self, changes: UpstreamChanges) -> Vec<UpstreamId> {
         let UpstreamChanges { changed, gone } = changes;
-        let mut touched = Vec::new();
+        let mut changed_ids = Vec::new();
         for upstream in changed {
             if self.all.get(&upstream.id) != Some(&upstream) {
-                touched.push(upstream.id.clone());
+                changed_ids.push(upstream.id.clone());
                 self.insert(upstream);
             }
         }
-        touched.extend(gone.into_iter().filter(|id| self.remove(id).is_some()));
-        touched
+        changed_ids.extend(gone.into_iter().filter(|id| self.remove(id).is_some()));
+        changed_ids
     }
 
-    /// Adds an upstream in place of one of the same name.
+    /// Adds an upstream, replacing any of the same name.
     pub fn insert(&mut self, upstream: Upstream) {
         self.remove(&upstream.id);
         self.index(&upstream);
         self.all.insert(upstream.id.clone(), upstream);
     }
 
-    /// Changes an upstream that is listed.
+    /// Changes an upstream if it is listed.
     pub fn change(&mut self, id: &UpstreamId, f: impl FnOnce(&mut Upstream)) {
         if let Some(mut upstream) = self.remove(id) {
             f(&mut upstream);
@@ -109,18 +109,18 @@
         }
     }
 
-    /// Takes an upstream off the list.
+    /// Removes an upstream from the list.
     pub fn remove(&mut self, id: &UpstreamId) -> Option<Upstream> {
         let upstream = self.all.remove(id)?;
         self.engines -= usize::from(upstream.engine().is_some());
         if let Some(service) = upstream.service() {
-            drop_from(&mut self.replicas, service, id);
+            remove_from_index(&mut self.replicas, service, id);
         }
         for model in &upstream.holds {
-            drop_from(&mut self.holders, model, id);
+            remove_from_index(&mut self.holders, model, id);
         }
-        for model in kept(&upstream) {
-            drop_from(&mut self.keepers, model, id);
+        for model in models_with_weights(&upstream) {
+            remove_from_index(&mut self.keepers, model, id);
         }
         Some(upstream)
     }
@@ -137,7 +137,7 @@
         for model in &upstream.holds {
             self.holders.entry(model.clone()).or_default().insert(id.clone());
         }
-        for model in kept(upstream) {
+        for model in models_with_weights(upstream) {
             self.keepers.entry(model.clone()).or_default().insert(id.clone());
         }
     }
@@ -151,12 +151,12 @@
     }
 }
 
-fn kept(upstream: &Upstream) -> impl Iterator<Item = &ModelName> {
+fn models_with_weights(upstream: &Upstream) -> impl Iterator<Item = &ModelName> {
     let copies = &upstream.copies;
     upstream.holds.iter().chain(&copies.in_memory).chain(&copies.on_disk)
 }
 
-fn drop_from<K: Eq + std::hash::Hash>(
+fn remove_from_index<K: Eq + std::hash::Hash>(
     index: &mut HashMap<K, OrderedSet<UpstreamId>>,
     key: &K,
     id: &UpstreamId,
