--- a/crates/skylarkshore-core/src/catalogue.rs
+++ b/crates/skylarkshore-core/src/catalogue.rs
@@ -113,7 +113,7 @@
     pub target_gap: Option<Duration>,
     /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// The most upstreams on which a request may be tried.
+    /// The most upstreams on which a request may run.
     pub tries: u32,
     /// The destinations.
     pub destinations: Vec<Destination>,
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -125,7 +125,7 @@
             .collect();
         let ended = due
             .into_iter()
-            .filter_map(|key| self.pending.remove(&key).map(|p| (key, p.abandoned())))
+            .filter_map(|key| self.pending.remove(&key).map(|p| (key, p.outcome_when_abandoned())))
             .collect();
         self.calls.retain(|_, key| self.pending.contains_key(key));
         for (key, pending) in &mut self.pending {
@@ -216,7 +216,7 @@
         self.step = Step::BackingOff { until: now.after(backoff) };
     }
 
-    fn abandoned(&self) -> WriteOutcome {
+    fn outcome_when_abandoned(&self) -> WriteOutcome {
         let no_call_in_flight = matches!(self.step, Step::BackingOff { .. });
         if no_call_in_flight && !self.may_have_taken_effect {
             WriteOutcome::NotDone
