--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -185,9 +185,7 @@
             }
             CreditMessage::SignOff => self.account_buckets.unregister(from),
             CreditMessage::SignedOn => self.coordinators.record_answer(from),
-            CreditMessage::Wanted { ask, account, cost } => {
-                self.answer_request(cx, from, *ask, account, *cost)
-            }
+            CreditMessage::Wanted { ask, account, cost } => self.reply(cx, from, *ask, account, *cost),
             CreditMessage::Lent { ask, account, cost, wait } => {
                 self.coordinators.record_answer(from);
                 let Some(pending) = self.pending.remove(ask) else {
@@ -212,15 +210,8 @@
         None
     }
 
-    /// Answers a host's request for credit of an account that is coordinated here.
-    fn answer_request(
-        &mut self,
-        cx: &mut Cx<'_>,
-        to: &HostId,
-        ask: u64,
-        account: &AccountName,
-        cost: Credits,
-    ) {
+    /// Replies to a host's request for credit of an account that is coordinated here.
+    fn reply(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
         self.account_buckets.register(cx.now, to);
         let answer = match self.account_buckets.grant(cx, self.hosts.get(), account, cost) {
             Ruling::Granted { not_before } => {
