--- a/crates/skylarkshore-core/src/accounts.rs
+++ b/crates/skylarkshore-core/src/accounts.rs
@@ -21,23 +21,23 @@
 
 /// The unit in which a client account's limit is counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Measure {
+pub enum LimitUnit {
     /// Requests; each one costs 1.
     #[default]
     Requests,
     /// Tokens.
     Tokens {
         /// The cost of a request that doesn't state its token count.
-        plain: Credits,
+        default_cost: Credits,
     },
 }
 
-impl Measure {
+impl LimitUnit {
     /// Returns the cost of a request that states `tokens`, if any.
     pub fn cost(self, tokens: Option<u64>) -> Credits {
         match self {
             Self::Requests => Credits(1),
-            Self::Tokens { plain } => tokens.map_or(plain, Credits),
+            Self::Tokens { default_cost } => tokens.map_or(default_cost, Credits),
         }
     }
 }
@@ -59,7 +59,7 @@
     /// The priority of its requests, which ranks before the route's; 0 is the most urgent.
     pub priority: Option<u8>,
     /// The unit of its limit.
-    pub measure: Measure,
+    pub unit: LimitUnit,
     /// How much it may use; none if it is not limited.
     pub limit: Option<AccountLimit>,
 }
@@ -126,7 +126,7 @@
     }
 
     /// Returns the account that a key belongs to.
-    pub fn holder(&self, key: &KeyDigest) -> Option<(&AccountName, &Account)> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<(&AccountName, &Account)> {
         self.by_name.get_key_value(self.by_key.get(key)?)
     }
 
--- a/crates/skylarkshore-core/src/catalogue.rs
+++ b/crates/skylarkshore-core/src/catalogue.rs
@@ -57,7 +57,7 @@
 
 impl Service {
     /// Reports whether calls of this path run at most once.
-    pub fn is_once(&self, path: &str) -> bool {
+    pub fn is_at_most_once(&self, path: &str) -> bool {
         self.once_paths.iter().any(|prefix| path.starts_with(prefix.as_str()))
     }
 }
@@ -200,7 +200,7 @@
 
 impl Document {
     /// Reports whether anything has been configured yet.
-    pub const fn is_known(&self) -> bool {
+    pub const fn is_configured(&self) -> bool {
         self.revision.0 > 0 || self.catalogue_revision.0 > 0
     }
 
--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -37,7 +37,7 @@
 use crate::collections::OrderedSet;
 use crate::config::NodeConfig;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::effect::Effect;
 use crate::id::{CallId, HostId, Incarnation, ModelName, StoreRevision, UpstreamId};
 use crate::peer::{News, PeerMessage};
@@ -135,8 +135,9 @@
         if self.changed {
             return REVIEW_SOON;
         }
-        let lacking = self.ownership.holdings().keys().any(|engine| engines.lacks(engine).is_some());
-        let pressing = lacking || !engines.home_wishes().is_empty();
+        let lacking =
+            self.ownership.holdings().keys().any(|engine| engines.power_shortfall(engine).is_some());
+        let pressing = lacking || !engines.home_requests().is_empty();
         if pressing { REVIEW_PRESSING } else { REVIEW_EVERY }
     }
 
@@ -161,7 +162,7 @@
     }
 
     /// Tells whether nothing is left to be given up.
-    pub fn has_left(&self) -> bool {
+    pub fn has_deregistered(&self) -> bool {
         self.membership.is_gone()
     }
 
@@ -172,7 +173,7 @@
     }
 
     /// Takes the result of a call that isn't a write.
-    pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
+    pub fn on_store_result(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         self.membership.on_store(cx, call, result);
         self.feed.on_store(cx, call, result);
         self.catch_up.on_store(cx, &mut self.feed, call, result);
@@ -180,7 +181,7 @@
     }
 
     /// Takes the outcome of a write of a member, owner, homes or power key.
-    pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
+    pub fn on_write_outcome(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         self.changed = true;
         match key {
             Key::Member(_) => self.membership.on_write(cx, outcome),
@@ -192,7 +193,7 @@
     }
 
     /// Takes note that a shared key has changed in the cache.
-    pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
+    pub fn on_key_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         self.changed = true;
         match key {
             Key::Member(host) => self.on_member(cx, host),
@@ -205,7 +206,7 @@
     }
 
     /// Takes note that a peer has told every shared key.
-    pub fn on_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
+    pub fn on_snapshot(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         self.feed.on_state(cx, upto);
         self.catch_up.on_synced(cx, &self.feed);
     }
@@ -214,16 +215,16 @@
     ///
     /// Where members are few the service is read, which takes a moment; were all
     /// of many to do so, its link would be busy for longer than a parent takes.
-    pub fn on_news_missed(&self, cx: &mut Cx<'_>, lasts: bool) {
+    pub fn on_news_gap(&self, cx: &mut Cx<'_>, lasts: bool) {
         if !relay::are_members_many(cx) {
-            cx.push(Effect::ReadOn);
+            cx.push(Effect::ReadMissedNews);
         } else if lasts && self.feed.is_synced() {
             self.relay.ask_parent(cx);
         }
     }
 
     /// Takes note that the service didn't answer a watch.
-    pub fn on_watch_unanswered(&mut self) {
+    pub fn on_watch_timed_out(&mut self) {
         self.feed.note_watch(false);
     }
 
@@ -277,7 +278,7 @@
     }
 
     /// Takes note that a process has ended for certain.
-    pub fn on_peer_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
+    pub fn on_peer_connection_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
         self.peers.on_refused(cx, host, incarnation);
         self.on_members_changed();
     }
@@ -288,8 +289,8 @@
     }
 
     /// Tells what is believed.
-    pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        report::beliefs(self, cx)
+    pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
+        report::dump_entries(self, cx)
     }
 
     /// Returns the numbers for the metrics.
@@ -371,7 +372,7 @@
         !goes && self.homes.is_home(engine, model, holding.acquired)
     }
 
-    fn must_close(&self, engine: &UpstreamId, model: &ModelName) -> bool {
+    fn must_unload(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         let Some(holding) = self.ownership.held(engine) else { return false };
         let Some(known) = self.roster.get(engine) else { return false };
         let goes = known.is_listed() && !known.is_live();
@@ -379,7 +380,7 @@
         goes || excluded || self.power.has_to_stop(engine, known)
     }
 
-    fn granted(&self, engine: &UpstreamId) -> Watts {
+    fn granted_power(&self, engine: &UpstreamId) -> Watts {
         let holding = self.ownership.holdings().get(engine);
         let known = self.roster.get(engine);
         let Some((holding, known)) = holding.zip(known) else { return Watts(0) };
--- a/crates/skylarkshore-core/src/control/catch_up.rs
+++ b/crates/skylarkshore-core/src/control/catch_up.rs
@@ -136,8 +136,8 @@
             return feed.read(cx);
         };
         self.asks += 1;
-        cx.push(Effect::AwaitState);
-        cx.tell(&host, PeerMessage::StateWanted);
+        cx.push(Effect::ExtendStateWait);
+        cx.send(&host, PeerMessage::StateWanted);
         self.stage = Some(Stage::Resting { until: cx.now.after(ASK_AGAIN_AFTER) });
     }
 
@@ -159,13 +159,13 @@
                 if !self.waiting.contains(from) && !self.is_being_told(cx.now, from) {
                     self.waiting.push(from.clone());
                 }
-                cx.tell(from, PeerMessage::StateComing);
+                cx.send(from, PeerMessage::StateComing);
                 self.on_synced(cx, feed);
             }
             PeerMessage::StateComing => {
                 if let Some(Stage::Resting { until }) = &mut self.stage {
                     *until = cx.now.after(ASK_AGAIN_AFTER * 2);
-                    cx.push(Effect::AwaitState);
+                    cx.push(Effect::ExtendStateWait);
                 }
             }
             PeerMessage::State(part) => self.on_part(cx, part),
@@ -178,7 +178,7 @@
         if let Some(Stage::Resting { until }) = &mut self.stage {
             *until = cx.now.after(ASK_AGAIN_AFTER);
         }
-        cx.push(Effect::TakeState(part.clone()));
+        cx.push(Effect::ApplyStatePart(part.clone()));
     }
 
     /// Tells those who have waited, now that everything is known.
@@ -202,5 +202,5 @@
     let everything = cx.cache.changes_after(StoreRevision(0));
     let records = everything.filter(|entry| entry.record.is_some()).cloned().collect();
     let series = cx.rng.random();
-    cx.push(Effect::TellState { to, series, upto: feed.frontier(), records });
+    cx.push(Effect::SendState { to, series, upto: feed.frontier(), records });
 }
--- a/crates/skylarkshore-core/src/control/feed.rs
+++ b/crates/skylarkshore-core/src/control/feed.rs
@@ -109,7 +109,7 @@
     /// Waits for a peer to tell every shared key, and for news after that.
     pub(super) fn await_state(&mut self, cx: &mut Cx<'_>) {
         self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
-        cx.push(Effect::AwaitState);
+        cx.push(Effect::ExtendStateWait);
         cx.push(Effect::Watch { from: StoreRevision(0) });
     }
 
@@ -174,7 +174,7 @@
         let message = PeerMessage::Records(RecordBatch { after: Some(after), upto, records: changes });
         let receivers: Vec<HostId> = neighbours(cx).collect();
         for host in receivers {
-            cx.tell(&host, message.clone());
+            cx.send(&host, message.clone());
         }
     }
 
@@ -185,7 +185,7 @@
         }
         self.wants_read = true;
         self.reads.failed(cx);
-        cx.note("watch_broken", cx.cfg.host.clone(), "reading the shared keys anew");
+        cx.log_event("watch_broken", cx.cfg.host.clone(), "reading the shared keys anew");
     }
 
     /// Takes note of what a peer's batch covers.
@@ -243,7 +243,7 @@
         }
         if self.is_unanswered && self.next_state_ask.is_due(cx.now) {
             self.next_state_ask = cx.now.after(ASK_STATE_EVERY);
-            cx.tell(from, PeerMessage::StateWanted);
+            cx.send(from, PeerMessage::StateWanted);
         }
     }
 
@@ -252,7 +252,7 @@
             return;
         }
         self.next_ask = cx.now.after(ASK_EVERY);
-        cx.tell(from, PeerMessage::RecordsWanted { after: self.frontier });
+        cx.send(from, PeerMessage::RecordsWanted { after: self.frontier });
     }
 
     /// Sends what a peer lacks.
@@ -267,7 +267,7 @@
         let records: Vec<Versioned> =
             cx.cache.changes_after(from).filter(|entry| !whole || entry.record.is_some()).cloned().collect();
         let after = (!whole).then_some(after);
-        cx.tell(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
+        cx.send(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
     }
 
     fn read_when_due(&mut self, cx: &mut Cx<'_>) {
@@ -288,7 +288,7 @@
             None if wanted && self.is_synced() && !self.wants_read => {
                 self.watch = Some(Watch { upto: self.frontier, since: cx.now });
                 if cx.cfg.watchers == Watchers::Relayed && Tree::of(cx).parent.is_some() {
-                    cx.push(Effect::AwaitState);
+                    cx.push(Effect::ExtendStateWait);
                 }
                 cx.push(Effect::Watch { from: self.frontier.next() });
             }
--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -15,7 +15,7 @@
 use super::ownership::Ownership;
 use super::placement::Placement;
 use super::roster::{KnownEngine, Roster};
-use crate::authority::{EngineUse, HomeWish};
+use crate::authority::{EngineUse, HomeRequest};
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
 use crate::id::{ModelName, StoreRevision, UpstreamId};
@@ -192,12 +192,12 @@
             self.next_update = cx.now.after(UPDATE_EVERY);
             self.update_all(cx, knowledge.roster);
         }
-        if !knowledge.may_decide(cx) || !cx.document.is_known() {
+        if !knowledge.may_decide(cx) || !cx.document.is_configured() {
             return;
         }
         self.settle_doubts(cx);
         self.end_rests(cx.now);
-        let wishes = engines.home_wishes();
+        let wishes = engines.home_requests();
         let mut models = self.pressing_models(&wishes);
         if is_full {
             models.extend(self.concerned_models(cx, knowledge, ownership));
@@ -266,7 +266,7 @@
     }
 
     /// Returns the models that can't wait until all are looked at.
-    fn pressing_models(&mut self, wishes: &[HomeWish]) -> OrderedSet<ModelName> {
+    fn pressing_models(&mut self, wishes: &[HomeRequest]) -> OrderedSet<ModelName> {
         let mut models = std::mem::take(&mut self.touched);
         models.extend(wishes.iter().map(|wish| wish.model.clone()));
         models
@@ -297,13 +297,13 @@
         let expect = known.map_or(Expect::Absent, |(revision, _)| Expect::At(revision));
         if known.is_none_or(|(_, homes)| homes.engines != plan.engines) {
             let names: Vec<&str> = plan.engines.iter().map(UpstreamId::as_str).collect();
-            cx.note("homes_changing", model.clone(), format!("to [{}]", names.join(" ")));
+            cx.log_event("homes_changing", model.clone(), format!("to [{}]", names.join(" ")));
         }
         self.lacking.remove(model);
         self.pending
             .insert(model.clone(), Pending { based_on, closing: plan.closing, state: PendingState::Writing });
         let record = (!plan.engines.is_empty())
-            .then_some(Record::Homes(HomesRecord { engines: plan.engines, left: plan.left }));
+            .then_some(Record::Homes(HomesRecord { engines: plan.engines, evicted_from: plan.evicted_from }));
         write_homes(cx, model, expect, record);
     }
 
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -1,7 +1,7 @@
 //! What should stand in a model's homes record.
 
 use super::{Homes, is_own_turn};
-use crate::authority::{EngineUse, HomeWish};
+use crate::authority::{EngineUse, HomeRequest};
 use crate::control::hashing::HashedHosts;
 use crate::control::knowledge::Knowledge;
 use crate::control::ownership::Ownership;
@@ -9,7 +9,7 @@
 use crate::control::roster::Roster;
 use crate::cx::Cx;
 use crate::id::{ModelName, StoreRevision, UpstreamId};
-use crate::rules::Facts;
+use crate::rules::RuleInput;
 
 /// For how many of a model's adapters one home is enough.
 const ADAPTERS_PER_HOME: usize = 4;
@@ -21,7 +21,7 @@
 pub(super) struct Plan {
     pub(super) engines: Vec<UpstreamId>,
     /// The engines that the model left for want of memory.
-    pub(super) left: Vec<UpstreamId>,
+    pub(super) evicted_from: Vec<UpstreamId>,
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
 }
@@ -32,7 +32,7 @@
     pub(super) knowledge: &'a Knowledge<'a>,
     pub(super) ownership: &'a Ownership,
     pub(super) engines: &'a dyn EngineUse,
-    pub(super) wishes: &'a [HomeWish],
+    pub(super) wishes: &'a [HomeRequest],
     /// The members that share the work out among themselves.
     pub(super) hosts: &'a HashedHosts<'a>,
     pub(super) model: &'a ModelName,
@@ -41,7 +41,7 @@
 impl Review<'_> {
     /// Tells whether this process may take the home from the engine.
     fn may_close(&self, engine: &UpstreamId) -> bool {
-        self.ownership.held(engine).is_some() && self.engines.is_free_of(engine, self.model)
+        self.ownership.held(engine).is_some() && self.engines.is_unused_by(engine, self.model)
     }
 
     /// Tells whether the engine is gone for good, and it is up to this process to say so.
@@ -61,7 +61,7 @@
     }
 
     fn wants_to_leave(&self, engine: &UpstreamId) -> bool {
-        self.wishes.iter().any(|wish| wish.model == *self.model && wish.leave.as_ref() == Some(engine))
+        self.wishes.iter().any(|wish| wish.model == *self.model && wish.move_from.as_ref() == Some(engine))
     }
 }
 
@@ -80,7 +80,11 @@
             // the new owner's record. It knows of every loss up to its frontier.
             return Plan::default();
         }
-        let mut plan = Plan { engines: homes.engines.clone(), left: homes.left.clone(), ..Plan::default() };
+        let mut plan = Plan {
+            engines: homes.engines.clone(),
+            evicted_from: homes.evicted_from.clone(),
+            ..Plan::default()
+        };
         let Some(limits) = limits(cx, review.knowledge.roster, review.model, &plan.engines) else {
             drop_removed_model(cx, review, &mut plan);
             return plan;
@@ -128,7 +132,7 @@
         placement: &mut Placement<'_>,
         limits: &Limits,
     ) {
-        let wished = review.wishes.iter().any(|wish| wish.model == *review.model && wish.leave.is_none());
+        let wished = review.wishes.iter().any(|wish| wish.model == *review.model && wish.move_from.is_none());
         let owns_home = plan.engines.iter().any(|home| review.ownership.held(home).is_some());
         let too_few = plan.engines.len() < limits.homes_least;
         let wanted = (wished && owns_home) || (too_few && self.is_own_turn(cx, review.hosts, review.model));
@@ -138,7 +142,7 @@
         if !wanted || plan.engines.len() >= limits.homes_most {
             return;
         }
-        if let Some(home) = placement.place(review.model, &plan.engines, &plan.left) {
+        if let Some(home) = placement.place(review.model, &plan.engines, &plan.evicted_from) {
             plan.engines.push(home);
             plan.changed = true;
         }
@@ -153,7 +157,7 @@
     fn note_unplaceable(&mut self, cx: &mut Cx<'_>, review: &Review<'_>) {
         let any = review.knowledge.roster.iter().any(|(_, engine)| engine.is_live());
         if any && self.unplaceable.insert(review.model.clone()) {
-            cx.note("model_fits_nowhere", review.model.clone(), "no live engine has as much memory");
+            cx.log_event("model_fits_nowhere", review.model.clone(), "no live engine has as much memory");
         }
     }
 }
@@ -198,7 +202,7 @@
     cx.document.catalogue.models.get(model)?;
     let first = homes.first().and_then(|home| roster.get(home));
     let data_centre = first.map(|engine| &engine.data_centre);
-    let facts = Facts { model: Some(model), data_centre, at: Some(cx.at), ..Facts::default() };
+    let facts = RuleInput { model: Some(model), data_centre, at: Some(cx.at), ..RuleInput::default() };
     let outcome = cx.document.rules.decide(&facts).outcome;
     let most = usize::try_from(outcome.replicas_max).unwrap_or(usize::MAX);
     let least = usize::try_from(outcome.replicas_min).unwrap_or(usize::MAX);
@@ -237,8 +241,8 @@
         return;
     }
     for engine in review.ownership.holdings().keys() {
-        let holds = cx.upstreams.get(engine).is_some_and(|listed| listed.holds_live(review.model));
-        let is_new = !plan.engines.contains(engine) && !plan.left.contains(engine);
+        let holds = cx.upstreams.get(engine).is_some_and(|listed| listed.is_live_holder(review.model));
+        let is_new = !plan.engines.contains(engine) && !plan.evicted_from.contains(engine);
         let is_held = review.ownership.held(engine).is_some();
         if holds && is_new && is_held && plan.engines.len() < limits.most {
             plan.engines.push(engine.clone());
@@ -265,11 +269,11 @@
             continue;
         }
         if crowded {
-            plan.left.push(home.clone());
-            let surplus = plan.left.len().saturating_sub(LEFT_KEPT);
-            plan.left.drain(..surplus);
+            plan.evicted_from.push(home.clone());
+            let surplus = plan.evicted_from.len().saturating_sub(LEFT_KEPT);
+            plan.evicted_from.drain(..surplus);
         }
-        let next = placement.place(review.model, &plan.engines, &plan.left);
+        let next = placement.place(review.model, &plan.engines, &plan.evicted_from);
         match next {
             Some(next) if plan.engines.len() <= most => plan.engines[rank] = next,
             None if plan.engines.len() == 1 => continue,
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -231,7 +231,7 @@
         self.registration = Registration::Standing { lease, leaving, first };
         if self.registered_at().is_some() && std::mem::take(&mut self.lost_before) {
             self.returned = Some(cx.now);
-            cx.note("member_returned", cx.cfg.host.clone(), "registered again after its lease was lost");
+            cx.log_event("member_returned", cx.cfg.host.clone(), "registered again after its lease was lost");
         }
     }
 
@@ -260,7 +260,7 @@
         self.lease = None;
         self.call = None;
         self.registration = Registration::Absent;
-        cx.note("superseded", cx.cfg.host.clone(), why);
+        cx.log_event("superseded", cx.cfg.host.clone(), why);
     }
 
     fn lose(&mut self, cx: &mut Cx<'_>, why: &str) {
@@ -274,7 +274,7 @@
         self.lost_before = true;
         self.calls.succeeded();
         if !matches!(self.stage, Stage::Revoking { .. }) {
-            cx.note("lease_lost", cx.cfg.host.clone(), why);
+            cx.log_event("lease_lost", cx.cfg.host.clone(), why);
         }
     }
 
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -225,7 +225,7 @@
         };
         self.holdings.insert(engine.clone(), holding);
         self.vacancies.forget(engine);
-        cx.note("engine_acquired", engine.clone(), format!("fence {}", named.fence));
+        cx.log_event("engine_acquired", engine.clone(), format!("fence {}", named.fence));
         let fence = named.fence;
         self.changes.push(OwnershipChange::Acquired { engine: engine.clone(), fence, late_orders_until });
     }
@@ -260,7 +260,7 @@
         let next = cx.cache.owner(engine).map(|(_, owner)| owner.host.to_string());
         let next = next.unwrap_or_else(|| "nobody".to_owned());
         let event = if holding.is_held() { "engine_lost" } else { "engine_handed_over" };
-        cx.note(event, engine.clone(), format!("now owned by {next}"));
+        cx.log_event(event, engine.clone(), format!("now owned by {next}"));
         self.changes.push(OwnershipChange::Lost { engine: engine.clone() });
     }
 
@@ -319,7 +319,11 @@
         for engine in gone {
             let Some(holding) = self.holdings.get(&engine) else { continue };
             let expect = Expect::At(holding.revision);
-            cx.note("engine_gone", engine.clone(), "not listed, not reached, and without homes or power");
+            cx.log_event(
+                "engine_gone",
+                engine.clone(),
+                "not listed, not reached, and without homes or power",
+            );
             self.write(cx, &engine, expect, None);
         }
     }
@@ -353,7 +357,7 @@
         if let Some(former) = &former {
             let why = if former.ended { "its process has ended" } else { "its member key is gone" };
             let detail = format!("from {}, since {why}; fence {fence}", former.owner.host);
-            cx.note("engine_taking_over", engine.clone(), detail);
+            cx.log_event("engine_taking_over", engine.clone(), detail);
         }
         let expect = former.map_or(Expect::Absent, |former| Expect::At(former.revision));
         self.write(cx, &engine, expect, Some(own_record(cx, fence)));
@@ -417,7 +421,7 @@
 /// come back, it may still know the fence of then; no fence is ever above the
 /// revision of its own record, so that a later revision is above them all.
 fn next_fence(cx: &Cx<'_>, former: Option<&Former>) -> Fence {
-    former.map_or(Fence(cx.cache.newest().0.max(1)), |former| former.owner.fence.next())
+    former.map_or(Fence(cx.cache.latest_revision().0.max(1)), |former| former.owner.fence.next())
 }
 
 fn late_orders_of(cx: &Cx<'_>, former: &Former) -> Time {
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -95,7 +95,7 @@
                     holding.phase = Phase::Held;
                     return;
                 }
-                if !engines.is_settled(engine) {
+                if !engines.has_no_open_orders(engine) {
                     return;
                 }
                 let based_on = holding.revision;
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -149,7 +149,7 @@
             return;
         }
         peer.ended_before = incarnation.next();
-        cx.note("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
+        cx.log_event("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
     }
 
     /// Takes note of a change of a member key.
@@ -220,7 +220,7 @@
             receivers.extend(neighbours(cx));
         }
         for host in receivers {
-            cx.tell(&host, message.clone());
+            cx.send(&host, message.clone());
         }
     }
 }
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -155,7 +155,7 @@
 
     fn update(&mut self, cx: &Cx<'_>, name: &SiteName) {
         let site = self.sites.entry(name.clone()).or_default();
-        site.capped = !cx.document.is_known() || cx.document.power_caps.contains_key(name);
+        site.capped = !cx.document.is_configured() || cx.document.power_caps.contains_key(name);
         if let Some((revision, record)) = cx.cache.power(name) {
             if site.record != *record {
                 site.since = cx.now;
@@ -194,7 +194,7 @@
 
     /// Tells whether the engine draws no more than it does asleep.
     fn is_asleep(&self, id: &UpstreamId) -> bool {
-        self.engine(id).is_some_and(|engine| self.engines.drawn(id) <= engine.sleep_watts)
+        self.engine(id).is_some_and(|engine| self.engines.power_draw(id) <= engine.sleep_watts)
     }
 
     fn is_gone(&self, cx: &Cx<'_>, id: &UpstreamId) -> bool {
@@ -210,7 +210,7 @@
             .filter(|id| self.ownership.held(id).is_some())
             .filter_map(|id| self.engine(id).map(|engine| (id, engine)))
             .filter(|(id, engine)| engine.is_live() && budget.grant(id) < engine.active_watts)
-            .map(|(id, engine)| Underpowered { id, engine, lacks: self.engines.lacks(id) })
+            .map(|(id, engine)| Underpowered { id, engine, lacks: self.engines.power_shortfall(id) })
             .collect();
         underpowered.sort_by_key(|underpowered| {
             (Reverse(underpowered.lacks.is_some()), underpowered.lacks.map(|(_, order)| order))
@@ -269,12 +269,12 @@
             let again = self.lowered.contains(id);
             let gone = review.is_gone(cx, id);
             let needed = budget.is_over() || self.is_wanted(budget);
-            let idle = needed && review.is_asleep(id) && review.engines.lacks(id).is_none();
+            let idle = needed && review.is_asleep(id) && review.engines.power_shortfall(id).is_none();
             if !(again || gone || idle) {
                 continue;
             }
             if !again {
-                cx.note("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
+                cx.log_event("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
             }
             // The own use is lowered first; the record may show it at any later moment.
             self.lowered.insert(id.clone());
@@ -316,7 +316,7 @@
         self.short_until = cx.now.after(SHORT_FOR);
         self.wanted = Some(Wanted { watts, until: cx.now.after(WANTED_FOR) });
         for host in self.givers(cx, review) {
-            cx.tell(&host, PeerMessage::PowerWanted { site: review.name.clone(), watts, order });
+            cx.send(&host, PeerMessage::PowerWanted { site: review.name.clone(), watts, order });
         }
     }
 
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -84,7 +84,7 @@
     pub(super) fn on_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         if self.tree.is_root || self.is_parent(from) {
             for child in &self.tree.children {
-                cx.tell(child, message.clone());
+                cx.send(child, message.clone());
             }
         }
     }
@@ -92,7 +92,7 @@
     /// Asks the parent for everything.
     pub(super) fn ask_parent(&self, cx: &mut Cx<'_>) {
         if let Some(parent) = &self.tree.parent {
-            cx.tell(parent, PeerMessage::StateWanted);
+            cx.send(parent, PeerMessage::StateWanted);
         }
     }
 
@@ -105,7 +105,7 @@
         self.guests.retain(|_, until| !until.is_due(cx.now));
         let guests = self.guests.keys().filter(|guest| !self.tree.children.contains(guest));
         for host in self.tree.children.iter().chain(guests) {
-            cx.tell(host, PeerMessage::News(news.clone()));
+            cx.send(host, PeerMessage::News(news.clone()));
         }
     }
 }
@@ -116,12 +116,12 @@
 }
 
 /// Sends a message to every other live member, by way of the trees where there are many.
-pub(crate) fn tell_everyone(cx: &mut Cx<'_>, message: &PeerMessage) {
+pub(crate) fn broadcast_via_relay(cx: &mut Cx<'_>, message: &PeerMessage) {
     if cx.cfg.watchers != Watchers::Relayed || !are_members_many(cx) {
-        return cx.tell_all(message);
+        return cx.broadcast(message);
     }
     let spread = PeerMessage::Spread { origin: cx.cfg.host.clone(), message: Box::new(message.clone()) };
     for root in roots(cx) {
-        cx.tell(&root, spread.clone());
+        cx.send(&root, spread.clone());
     }
 }
--- a/crates/skylarkshore-core/src/control/roster.rs
+++ b/crates/skylarkshore-core/src/control/roster.rs
@@ -7,7 +7,7 @@
 use crate::id::{DataCentre, ServiceName, SiteName, UpstreamId};
 use crate::time::Time;
 use crate::units::{Mebibytes, Watts};
-use crate::upstream::{FenceCheck, Standing, Upstream};
+use crate::upstream::{FenceCheck, Upstream, UpstreamStatus};
 
 /// For how long no new engine is listed before the first homes are given out.
 ///
@@ -26,7 +26,7 @@
     pub(super) active_watts: Watts,
     pub(super) fence_check: FenceCheck,
     pub(super) pool: Option<ServiceName>,
-    pub(super) standing: Standing,
+    pub(super) status: UpstreamStatus,
     /// Since when the host list hasn't named it any more.
     unlisted: Option<Time>,
 }
@@ -39,7 +39,7 @@
 
     /// Tells whether it may get new work, as far as the host list knows.
     pub(super) fn is_live(&self) -> bool {
-        self.is_listed() && self.standing == Standing::Live
+        self.is_listed() && self.status == UpstreamStatus::Live
     }
 }
 
@@ -92,7 +92,7 @@
             active_watts: spec.active_watts,
             fence_check: spec.fence_check,
             pool: spec.pool.clone(),
-            standing: upstream.standing,
+            status: upstream.status,
             unlisted: None,
         };
         self.engines.insert(upstream.id.clone(), known);
--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -22,9 +22,9 @@
 use crate::accounts::Charge;
 use crate::collections::{HashMap, HashSet, OrderedMap};
 use crate::cx::Cx;
-use crate::dump::Belief;
-use crate::headcount::Headcount;
+use crate::dump::DumpEntry;
 use crate::id::{AccountName, HostId, RequestId};
+use crate::member_count::MemberCount;
 use crate::peer::{CreditMessage, PeerMessage};
 use crate::time::Time;
 use crate::units::Credits;
@@ -45,14 +45,14 @@
 
 /// The decision on a request's credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum CreditDecision {
     /// The request may run.
     Granted {
         /// The earliest time at which it may run.
         not_before: Time,
     },
     /// The account is over its limit.
-    Over {
+    OverLimit {
         /// The time until enough credit is available.
         retry_after: Duration,
     },
@@ -60,17 +60,17 @@
     TooLarge,
 }
 
-impl Ruling {
+impl CreditDecision {
     const NOW: Self = Self::Granted { not_before: Time::START };
 }
 
 /// The decision on a request that waited for a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct CreditOutcome {
     /// The request.
     pub request: RequestId,
     /// The decision.
-    pub ruling: Ruling,
+    pub decision: CreditDecision,
 }
 
 /// A credit request that no coordinator has answered yet.
@@ -99,7 +99,7 @@
     /// This host's share of each account's limit, spent while it reaches no coordinator.
     local_buckets: HashMap<AccountName, TokenBucket>,
     denials: HashMap<AccountName, Denial>,
-    hosts: Headcount,
+    hosts: MemberCount,
     member_update_due: Time,
     /// When this host last registered its shares with a coordinator.
     registered_at: Time,
@@ -120,33 +120,38 @@
             pending: OrderedMap::new(),
             local_buckets: HashMap::default(),
             denials: HashMap::default(),
-            hosts: Headcount::ALONE,
+            hosts: MemberCount::ALONE,
             member_update_due: Time::START,
             registered_at: Time::START,
         }
     }
 
     /// Requests credit for a request; returns none if a coordinator has to be asked first.
-    pub fn ask(&mut self, cx: &mut Cx<'_>, request: RequestId, charge: &Charge) -> Option<Ruling> {
+    pub fn request_credit(
+        &mut self,
+        cx: &mut Cx<'_>,
+        request: RequestId,
+        charge: &Charge,
+    ) -> Option<CreditDecision> {
         if effective_limit(cx, &charge.account).is_none() {
-            return Some(Ruling::NOW);
+            return Some(CreditDecision::NOW);
         }
         if let Some(denial) = self.denials.get(&charge.account)
             && !denial.expires_at.is_due(cx.now)
             && charge.cost >= denial.cost
         {
-            return Some(Ruling::Over { retry_after: denial.credit_at.remaining(cx.now) });
+            return Some(CreditDecision::OverLimit { retry_after: denial.credit_at.remaining(cx.now) });
         }
         self.ask_coordinator(cx, request, charge, 1)
     }
 
     /// Drops a pending credit request.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn cancel(&mut self, request: RequestId) {
         self.pending.retain(|_, pending| pending.request != request);
     }
 
     /// Returns the credit of a request that wasn't run.
-    pub fn give_back(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
+    pub fn return_credit(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
         if effective_limit(cx, &charge.account).is_none() {
             return;
         }
@@ -156,13 +161,13 @@
     }
 
     /// Runs periodic work, and decides on requests that no coordinator answered in time.
-    pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
+    pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         if cx.document.catalogue.accounts.iter().all(|(_, account)| account.limit.is_none()) {
             return Vec::new();
         }
         if self.member_update_due.is_due(cx.now) {
             self.member_update_due = cx.now.after(MEMBER_UPDATE_INTERVAL);
-            self.hosts.note(cx.now, known_hosts(cx));
+            self.hosts.record(cx.now, known_hosts(cx));
             self.coordinators.update_members(cx);
             self.account_buckets.remove_expired(cx.now);
             self.denials.retain(|_, denial| !denial.expires_at.is_due(cx.now));
@@ -175,7 +180,12 @@
     }
 
     /// Handles a peer's message, and returns the decision if it settles a pending request.
-    pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &CreditMessage) -> Option<Verdict> {
+    pub fn on_peer(
+        &mut self,
+        cx: &mut Cx<'_>,
+        from: &HostId,
+        message: &CreditMessage,
+    ) -> Option<CreditOutcome> {
         match message {
             CreditMessage::SignOn { with_share } => {
                 if *with_share {
@@ -193,17 +203,17 @@
                     send(cx, from, returned(account.clone(), *cost));
                     return None;
                 };
-                let ruling = Ruling::Granted { not_before: cx.now.after(*wait) };
-                return Some(Verdict { request: pending.request, ruling });
+                let decision = CreditDecision::Granted { not_before: cx.now.after(*wait) };
+                return Some(CreditOutcome { request: pending.request, decision });
             }
             CreditMessage::Denied { ask, retry_after } => {
                 self.coordinators.record_answer(from);
                 let pending = self.pending.remove(ask)?;
-                let ruling = match *retry_after {
+                let decision = match *retry_after {
                     Some(retry_after) => self.record_denial(cx.now, &pending.charge, retry_after),
-                    None => Ruling::TooLarge,
+                    None => CreditDecision::TooLarge,
                 };
-                return Some(Verdict { request: pending.request, ruling });
+                return Some(CreditOutcome { request: pending.request, decision });
             }
             CreditMessage::Returned { account, cost } => self.account_buckets.put_back(account, *cost),
         }
@@ -214,12 +224,14 @@
     fn reply(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
         self.account_buckets.register(cx.now, to);
         let answer = match self.account_buckets.grant(cx, self.hosts.get(), account, cost) {
-            Ruling::Granted { not_before } => {
+            CreditDecision::Granted { not_before } => {
                 let wait = not_before.remaining(cx.now);
                 CreditMessage::Lent { ask, account: account.clone(), cost, wait }
             }
-            Ruling::Over { retry_after } => CreditMessage::Denied { ask, retry_after: Some(retry_after) },
-            Ruling::TooLarge => CreditMessage::Denied { ask, retry_after: None },
+            CreditDecision::OverLimit { retry_after } => {
+                CreditMessage::Denied { ask, retry_after: Some(retry_after) }
+            }
+            CreditDecision::TooLarge => CreditMessage::Denied { ask, retry_after: None },
         };
         send(cx, to, answer);
     }
@@ -232,18 +244,18 @@
     }
 
     /// Returns the state dump entries of the accounts that are coordinated here.
-    pub fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.account_buckets.beliefs()
+    pub fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
+        self.account_buckets.dump_entries()
     }
 
-    fn record_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> Ruling {
+    fn record_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> CreditDecision {
         let denial = Denial {
             expires_at: now.after(retry_after.min(DENIAL_TTL)),
             credit_at: now.after(retry_after),
             cost: charge.cost,
         };
         self.denials.insert(charge.account.clone(), denial);
-        Ruling::Over { retry_after }
+        CreditDecision::OverLimit { retry_after }
     }
 
     fn ask_coordinator(
@@ -252,7 +264,7 @@
         request: RequestId,
         charge: &Charge,
         coordinators_asked: u32,
-    ) -> Option<Ruling> {
+    ) -> Option<CreditDecision> {
         if self.member_update_due == Time::START {
             self.coordinators.update_members(cx);
         }
@@ -260,9 +272,10 @@
             return Some(self.spend_local_share(cx, charge));
         };
         // Coordinators are slow to answer while all hosts start at once.
-        if !self.coordinators.has_answered(&coordinator) && self.spend_local_share(cx, charge) == Ruling::NOW
+        if !self.coordinators.has_answered(&coordinator)
+            && self.spend_local_share(cx, charge) == CreditDecision::NOW
         {
-            return Some(Ruling::NOW);
+            return Some(CreditDecision::NOW);
         }
         let ask_id = cx.rng.random();
         let times_out_at = cx.now.after(ANSWER_TIMEOUT);
@@ -276,24 +289,24 @@
     }
 
     /// Asks the next coordinator for requests that got no answer in time.
-    fn retry_timed_out(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
+    fn retry_timed_out(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         let timed_out: Vec<(u64, PendingCredit)> =
             self.pending.extract_if(.., |_, pending| pending.times_out_at.is_due(cx.now)).collect();
         let mut verdicts = Vec::new();
         for (_, pending) in timed_out {
-            let ruling = if pending.coordinators_asked < MAX_COORDINATORS_ASKED {
+            let decision = if pending.coordinators_asked < MAX_COORDINATORS_ASKED {
                 self.ask_coordinator(cx, pending.request, &pending.charge, pending.coordinators_asked + 1)
             } else {
                 Some(self.spend_local_share(cx, &pending.charge))
             };
-            verdicts.extend(ruling.map(|ruling| Verdict { request: pending.request, ruling }));
+            verdicts.extend(decision.map(|decision| CreditOutcome { request: pending.request, decision }));
         }
         verdicts
     }
 
     /// Decides on a request by this host's own share of the limit.
-    fn spend_local_share(&mut self, cx: &Cx<'_>, charge: &Charge) -> Ruling {
-        let Some(effective) = effective_limit(cx, &charge.account) else { return Ruling::NOW };
+    fn spend_local_share(&mut self, cx: &Cx<'_>, charge: &Charge) -> CreditDecision {
+        let Some(effective) = effective_limit(cx, &charge.account) else { return CreditDecision::NOW };
         let share = Share { hosts: 1, total_hosts: self.hosts.get() };
         let (rate, capacity) = (share.rate(effective.configured.rate), share.credits(effective.capacity()));
         let max_debt = share.credits(effective.max_debt());
@@ -304,16 +317,16 @@
         bucket.refill(cx.now, rate, capacity.max(charge.cost));
         if bucket.covers(charge.cost, max_debt) {
             bucket.take(charge.cost);
-            return Ruling::NOW;
+            return CreditDecision::NOW;
         }
         let needed = Credits(charge.cost.0.saturating_sub(max_debt.0));
         let retry_after = bucket.time_until(needed, rate).unwrap_or(REGISTRATION_TTL);
-        Ruling::Over { retry_after }
+        CreditDecision::OverLimit { retry_after }
     }
 }
 
 fn send(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
-    cx.tell(to, PeerMessage::Credit(message));
+    cx.send(to, PeerMessage::Credit(message));
 }
 
 fn returned(account: AccountName, cost: Credits) -> CreditMessage {
--- a/crates/skylarkshore-core/src/quota/account_buckets.rs
+++ b/crates/skylarkshore-core/src/quota/account_buckets.rs
@@ -3,13 +3,13 @@
 
 use std::time::Duration;
 
-use super::Ruling;
+use super::CreditDecision;
 use super::bucket::TokenBucket;
 use super::effective_limit::EffectiveLimit;
 use super::share::Share;
 use crate::collections::{HashMap, OrderedMap};
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{AccountName, HostId};
 use crate::time::Time;
 use crate::units::Credits;
@@ -59,10 +59,10 @@
         total_hosts: u64,
         account: &AccountName,
         cost: Credits,
-    ) -> Ruling {
-        let Some(effective) = effective_limit(cx, account) else { return Ruling::NOW };
+    ) -> CreditDecision {
+        let Some(effective) = effective_limit(cx, account) else { return CreditDecision::NOW };
         if cost > effective.window_max() {
-            return Ruling::TooLarge;
+            return CreditDecision::TooLarge;
         }
         self.skip_own_pause(cx.now);
         let share = self.share(cx.now, total_hosts);
@@ -79,17 +79,17 @@
         match entry.bucket.time_until(needed, rate) {
             Some(wait) if wait <= MAX_WAIT => {
                 entry.bucket.take(cost);
-                Ruling::Granted { not_before: cx.now.after(wait) }
+                CreditDecision::Granted { not_before: cx.now.after(wait) }
             }
             Some(wait) => {
                 let detail = format!(
                     "cost={cost} credit={} rate={rate} hosts={} of={total_hosts}",
                     entry.bucket, share.hosts
                 );
-                cx.note("credit_denied", account, detail);
-                Ruling::Over { retry_after: wait }
+                cx.log_event("credit_denied", account, detail);
+                CreditDecision::OverLimit { retry_after: wait }
             }
-            None => Ruling::Over { retry_after: REGISTRATION_TTL },
+            None => CreditDecision::OverLimit { retry_after: REGISTRATION_TTL },
         }
     }
 
@@ -118,8 +118,8 @@
     }
 
     /// Returns a state dump entry for each account whose credit is granted here.
-    pub(super) fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.by_account.iter().map(|(account, entry)| Belief {
+    pub(super) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
+        self.by_account.iter().map(|(account, entry)| DumpEntry {
             kind: "credit_book",
             subject: account.to_string(),
             state: format!("{} hosts signed on", self.registered.len()),
--- a/crates/skylarkshore-core/src/quota/coordinators.rs
+++ b/crates/skylarkshore-core/src/quota/coordinators.rs
@@ -108,7 +108,7 @@
         for (host, link) in &mut self.links {
             if link.has_timed_out(cx.now) && !link.is_unresponsive && *host != cx.cfg.host {
                 link.is_unresponsive = true;
-                cx.note("credit_keeper_silent", host, "the next one is asked");
+                cx.log_event("credit_keeper_silent", host, "the next one is asked");
             }
         }
         let due: OrderedSet<HostId> =
--- a/crates/skylarkshore-core/src/rules.rs
+++ b/crates/skylarkshore-core/src/rules.rs
@@ -121,7 +121,7 @@
 
 impl Condition {
     /// Reports whether the condition holds for the given input.
-    pub fn holds(&self, facts: &Facts<'_>) -> bool {
+    pub fn holds(&self, facts: &RuleInput<'_>) -> bool {
         one_of(self.models.as_ref(), facts.model)
             && one_of(self.adapters.as_ref(), facts.adapter)
             && one_of(self.callers.as_ref(), facts.caller)
@@ -149,7 +149,7 @@
 
 /// The input that conditions are evaluated against; unknown values are absent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Facts<'a> {
+pub struct RuleInput<'a> {
     /// The base model.
     pub model: Option<&'a ModelName>,
     /// The adapter on it.
@@ -178,7 +178,7 @@
 
 impl Default for ServiceOrder {
     fn default() -> Self {
-        Self(Outcome::DEFAULT_ORDER)
+        Self(RuleOutcome::DEFAULT_ORDER)
     }
 }
 
@@ -195,7 +195,7 @@
 
 /// The settings of a matching rule; every part has a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct RuleOutcome {
     /// The fewest replicas that stay loaded, even without requests.
     pub replicas_min: u32,
     /// The most replicas that may be loaded.
@@ -212,12 +212,12 @@
     pub idle_weight: u32,
 }
 
-impl Outcome {
+impl RuleOutcome {
     /// The precedence if no rule sets one.
     pub const DEFAULT_ORDER: u16 = 100;
 }
 
-impl Default for Outcome {
+impl Default for RuleOutcome {
     fn default() -> Self {
         Self {
             replicas_min: 0,
@@ -239,16 +239,16 @@
     /// When it matches.
     pub when: Condition,
     /// What it sets.
-    pub then: Outcome,
+    pub then: RuleOutcome,
 }
 
 /// The result of evaluating the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Decision<'a> {
+pub struct RuleMatch<'a> {
     /// The first rule that matched; none if the defaults apply.
     pub rule: Option<&'a Rule>,
     /// The settings that apply.
-    pub outcome: &'a Outcome,
+    pub outcome: &'a RuleOutcome,
 }
 
 /// An ordered list of rules.
@@ -257,14 +257,14 @@
     /// The rules in order of evaluation.
     pub list: Vec<Rule>,
     /// The defaults if no rule matches.
-    pub otherwise: Outcome,
+    pub otherwise: RuleOutcome,
 }
 
 impl Rules {
     /// Returns the first rule that matches, or the defaults.
-    pub fn decide(&self, facts: &Facts<'_>) -> Decision<'_> {
+    pub fn decide(&self, facts: &RuleInput<'_>) -> RuleMatch<'_> {
         let rule = self.list.iter().find(|rule| rule.when.holds(facts));
-        Decision { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
+        RuleMatch { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
     }
 }
 
@@ -286,7 +286,7 @@
     }
 
     /// Reports whether the condition can never hold.
-    pub fn is_impossible(&self) -> bool {
+    pub fn is_unsatisfiable(&self) -> bool {
         is_empty(self.models.as_ref())
             || is_empty(self.adapters.as_ref())
             || is_empty(self.callers.as_ref())
--- a/crates/skylarkshore-core/src/store.rs
+++ b/crates/skylarkshore-core/src/store.rs
@@ -17,7 +17,7 @@
 use crate::units::{Capacity, Watts};
 
 pub use cache::StoreCache;
-pub use writes::{WriteOutcome, WriteRequest, Writes};
+pub use writes::{WriteOutcome, WriteQueue, WriteRequest};
 
 /// A key of this system in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -85,7 +85,7 @@
     /// The engines in order of preference.
     pub engines: Vec<UpstreamId>,
     /// The engines that the model last moved away from for lack of memory, the most recent last.
-    pub left: Vec<UpstreamId>,
+    pub evicted_from: Vec<UpstreamId>,
 }
 
 /// How a site's power is divided among its engines.
--- a/crates/skylarkshore-core/src/store/cache.rs
+++ b/crates/skylarkshore-core/src/store/cache.rs
@@ -14,7 +14,7 @@
     owners: OrderedMap<UpstreamId, Versioned>,
     homes: OrderedMap<ModelName, Versioned>,
     others: OrderedMap<Key, Versioned>,
-    newest: StoreRevision,
+    latest_revision: StoreRevision,
     members_version: u64,
 }
 
@@ -27,7 +27,7 @@
         }
         let known_record = known.and_then(|known| known.record.as_ref());
         let value_changed = known_record != change.record.as_ref();
-        self.newest = self.newest.max(change.revision);
+        self.latest_revision = self.latest_revision.max(change.revision);
         self.insert(change);
         value_changed
     }
@@ -48,7 +48,7 @@
     ///
     /// A cached key that the read lacks was deleted, unless its cached revision is newer
     /// than the read.
-    pub fn apply_all(&mut self, revision: StoreRevision, records: Vec<Versioned>) -> Vec<Key> {
+    pub fn apply_snapshot(&mut self, revision: StoreRevision, records: Vec<Versioned>) -> Vec<Key> {
         let present: HashSet<&Key> = records.iter().map(|r| &r.key).collect();
         let deleted: Vec<Versioned> = self
             .entries()
@@ -64,13 +64,13 @@
                 changed.push(key);
             }
         }
-        self.newest = self.newest.max(revision);
+        self.latest_revision = self.latest_revision.max(revision);
         changed
     }
 
     /// Returns the highest revision that has been applied.
-    pub const fn newest(&self) -> StoreRevision {
-        self.newest
+    pub const fn latest_revision(&self) -> StoreRevision {
+        self.latest_revision
     }
 
     /// Returns a key's last known state, including deletions.
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -62,13 +62,13 @@
 
 /// The writes in progress, at most one for each key, and those queued behind them.
 #[derive(Debug, Default)]
-pub struct Writes {
+pub struct WriteQueue {
     pending: OrderedMap<Key, Pending>,
     queued: VecDeque<WriteRequest>,
     calls: HashMap<CallId, Key>,
 }
 
-impl Writes {
+impl WriteQueue {
     /// Starts a write, or queues it behind one of the same key.
     ///
     /// The outcome is returned by [`on_result`](Self::on_result) or [`on_tick`](Self::on_tick).
--- a/crates/skylarkshore-core/src/upstream.rs
+++ b/crates/skylarkshore-core/src/upstream.rs
@@ -35,7 +35,7 @@
     ///
     /// An unload waits for running requests, so a model on such an engine doesn't have to
     /// be idle before it is unloaded.
-    OneByOne,
+    Sequential,
 }
 
 /// The capacity, power draw and order handling of a model engine.
@@ -70,7 +70,7 @@
 
 /// The status of an upstream on the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum UpstreamStatus {
     /// It may receive new work.
     Live,
     /// It is shutting down and may not receive new work.
@@ -91,7 +91,7 @@
     /// Its kind.
     pub kind: UpstreamKind,
     /// Whether it may receive new work.
-    pub standing: Standing,
+    pub status: UpstreamStatus,
     /// The incarnation that is listed; it rises with every restart.
     pub incarnation: Incarnation,
     /// How many requests it runs concurrently, if it states that.
@@ -99,7 +99,7 @@
     /// The models that it held when it last registered, if it states them.
     pub holds: Vec<ModelName>,
     /// The weights that it keeps copies of, if it states them.
-    pub copies: Copies,
+    pub copies: WeightCopies,
 }
 
 /// The models whose weights an engine keeps copies of, in addition to the loaded ones.
@@ -107,14 +107,14 @@
 /// A load from a copy is faster than one from the weight store, and doesn't count
 /// towards the weight store's load rate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copies {
+pub struct WeightCopies {
     /// In the host's memory.
     pub in_memory: OrderedSet<ModelName>,
     /// On the host's disk.
     pub on_disk: OrderedSet<ModelName>,
 }
 
-impl Copies {
+impl WeightCopies {
     /// Reports whether there is a copy of the model in memory or on disk.
     pub fn has(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
@@ -131,8 +131,8 @@
     }
 
     /// Reports whether it is live and held the model when it last registered.
-    pub fn holds_live(&self, model: &ModelName) -> bool {
-        self.standing == Standing::Live && self.holds.contains(model)
+    pub fn is_live_holder(&self, model: &ModelName) -> bool {
+        self.status == UpstreamStatus::Live && self.holds.contains(model)
     }
 
     /// Returns the service's name, if this is a service replica.
@@ -195,7 +195,7 @@
     },
     /// The engine did nothing, because it is executing another order or has accepted
     /// a different number of orders than expected.
-    OutOfTurn,
+    OrderConflict,
     /// The engine did nothing, for another reason.
     Refused {
         /// The reason that the engine stated.
@@ -266,11 +266,11 @@
     /// The maximum age of the load figures.
     pub lag: Duration,
     /// The recently finished orders, newest last.
-    pub settled: Vec<OrderId>,
+    pub finished_orders: Vec<OrderId>,
     /// Whether it is executing an order.
     pub busy: bool,
     /// How many orders it has accepted in this incarnation, if it numbers them.
     pub accepted: Option<u64>,
     /// The weights that it keeps copies of.
-    pub copies: Copies,
+    pub copies: WeightCopies,
 }
--- a/crates/skylarkshore-core/tests/control/homes.rs
+++ b/crates/skylarkshore-core/tests/control/homes.rs
@@ -1,4 +1,4 @@
-use skylarkshore_core::authority::{Authority, HomeWish};
+use skylarkshore_core::authority::{Authority, HomeRequest};
 use skylarkshore_core::id::{ModelName, UpstreamId};
 use skylarkshore_core::store::{Key, Record};
 use skylarkshore_core::upstream::FenceCheck;
@@ -26,8 +26,8 @@
     cluster.process(&host)
 }
 
-fn wish(model: &str, leave: Option<&UpstreamId>) -> HomeWish {
-    HomeWish { model: name(model), leave: leave.cloned() }
+fn wish(model: &str, leave: Option<&UpstreamId>) -> HomeRequest {
+    HomeRequest { model: name(model), move_from: leave.cloned() }
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let mut cluster = settled(22, &["a", "b", "c"], 6, FenceCheck::Refuses);
     cluster.until("a first home", secs(10), |cluster| homes(cluster, "model-0").len() == 1);
     for process in cluster.processes.values_mut() {
-        process.engines.wishes = vec![wish("model-0", None)];
+        process.engines.home_requests = vec![wish("model-0", None)];
     }
     cluster.until("a second home", secs(5), |cluster| loadable(cluster, &name("model-0")).len() == 2);
     cluster.run(secs(20), |cluster| assert!(homes(cluster, "model-0").len() <= 2));
@@ -75,7 +75,7 @@
             cluster.faults.late_writes = 100;
             cluster.faults.late_by = Some(secs(20));
         }
-        owner(&mut cluster, &old).engines.wishes = vec![wish("model-0", Some(&old))];
+        owner(&mut cluster, &old).engines.home_requests = vec![wish("model-0", Some(&old))];
         cluster.until("the move begins", secs(5), |cluster| {
             !owner(cluster, &old).control.is_home(&old, &name("model-0"))
         });
@@ -84,7 +84,7 @@
             assert!(loadable(cluster, &name("model-0")).len() <= 1);
             assert!(!owner(cluster, &old).control.is_home(&old, &name("model-0")));
         });
-        owner(&mut cluster, &old).engines.wishes.clear();
+        owner(&mut cluster, &old).engines.home_requests.clear();
         cluster.faults.outage = false;
         cluster.faults.lost_answers = 0;
         cluster.faults.late_writes = 0;
@@ -98,14 +98,14 @@
 fn a_surplus_home_goes_once_its_replica_is_unloaded() {
     let mut cluster = settled(24, &["a", "b"], 6, FenceCheck::Refuses);
     for process in cluster.processes.values_mut() {
-        process.engines.wishes = vec![wish("model-1", None)];
+        process.engines.home_requests = vec![wish("model-1", None)];
     }
     cluster.until("a second home", secs(10), |cluster| loadable(cluster, &name("model-1")).len() == 2);
     let last = homes(&cluster, "model-1").remove(1);
     owner(&mut cluster, &last).engines.loaded.insert((last.clone(), name("model-1")));
     cluster.store.put(Key::Document, Record::Document(document(2, 4, 1, PLENTY).into()));
     cluster.until("the surplus closes", secs(7), |cluster| {
-        owner(cluster, &last).control.must_close(&last, &name("model-1"))
+        owner(cluster, &last).control.must_unload(&last, &name("model-1"))
     });
     cluster.run(secs(10), |cluster| assert_eq!(homes(cluster, "model-1").len(), 2));
     owner(&mut cluster, &last).engines.loaded.clear();
--- a/crates/skylarkshore-core/tests/control/leases.rs
+++ b/crates/skylarkshore-core/tests/control/leases.rs
@@ -29,7 +29,8 @@
             one_holder_each(cluster);
             all_owned(cluster)
         });
-        let superseded: usize = cluster.processes.values().map(|process| process.noted("superseded")).sum();
+        let superseded: usize =
+            cluster.processes.values().map(|process| process.event_count("superseded")).sum();
         assert_eq!(superseded, 0, "seed {seed}");
     }
 }
@@ -48,7 +49,7 @@
     });
     let now = cluster.now;
     let process = cluster.process("a");
-    assert_eq!(process.noted("superseded"), 1);
+    assert_eq!(process.event_count("superseded"), 1);
     assert!(engines.iter().all(|engine| process.control.permit(now, engine).is_none()));
     cluster.run(secs(30), |_| {});
     assert_eq!(member(&cluster, "a"), Some(later));
@@ -80,14 +81,14 @@
 fn a_process_cut_off_from_the_service_gets_new_rules_from_its_peers() {
     let mut cluster = settled(13, &["a", "b", "c"], 3, FenceCheck::Refuses);
     for host in ["a", "b", "c"] {
-        cluster.process(host).cut = true;
+        cluster.process(host).store_unreachable = true;
         cluster.run(secs(3), |_| {});
         let revision = cluster.process(host).document.revision.0 + 1;
         cluster.store.put(Key::Document, Record::Document(document(revision, 4, 2, PLENTY).into()));
         cluster.until("new rules everywhere", secs(7), |cluster| {
             cluster.processes.values().all(|process| process.document.revision.0 == revision)
         });
-        cluster.process(host).cut = false;
+        cluster.process(host).store_unreachable = false;
         cluster.run(secs(10), |_| {});
     }
 }
@@ -141,7 +142,7 @@
     let mut cluster = Cluster::with(15, &["a", "b"], 2, FenceCheck::Ignores, document(1, 2, 1, PLENTY));
     cluster.run(secs(20), |_| {});
     let now = cluster.now;
-    insta::assert_snapshot!(cluster.process("a").beliefs(now), @r"
+    insta::assert_snapshot!(cluster.process("a").dump_entries(now), @r"
     lease a: registered at revision 2
     feed a: hears from peers, complete up to revision 10
     member a: live, incarnation 1, dc-a, callers 127.0.0.1:1
--- a/crates/skylarkshore-core/tests/control/ownership.rs
+++ b/crates/skylarkshore-core/tests/control/ownership.rs
@@ -23,7 +23,7 @@
 }
 
 fn handed_over(cluster: &Cluster) -> usize {
-    cluster.processes.values().map(|process| process.noted("engine_handed_over")).sum()
+    cluster.processes.values().map(|process| process.event_count("engine_handed_over")).sum()
 }
 
 /// Returns until when the new owner of an engine expects orders of the former one.
@@ -99,7 +99,7 @@
     assert!(orphans.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::NEVER)));
     cluster.process("a").frozen = false;
     cluster.run(secs(30), one_holder_each);
-    let lost = cluster.process("a").noted("engine_lost");
+    let lost = cluster.process("a").event_count("engine_lost");
     assert_eq!(lost, orphans.len());
     assert!(all_owned(&mut cluster));
 }
@@ -121,7 +121,7 @@
         cluster.until("leave to act again", secs(20), all_owned);
         cluster.run(secs(60), one_holder_each);
         assert_eq!(before, shares(&cluster), "{fence_check:?}");
-        let lost: usize = cluster.processes.values().map(|process| process.noted("engine_lost")).sum();
+        let lost: usize = cluster.processes.values().map(|process| process.event_count("engine_lost")).sum();
         assert_eq!(lost, 0, "{fence_check:?}");
     }
 }
@@ -151,7 +151,7 @@
     });
     cluster.until("the process has left", secs(5), |cluster| {
         cluster.drained("a");
-        cluster.process("a").control.has_left()
+        cluster.process("a").control.has_deregistered()
     });
     let key = skylarkshore_core::store::Key::Member(name("a"));
     assert!(cluster.store.record(&key).is_none());
@@ -166,7 +166,7 @@
     cluster.shut_down("a");
     cluster.until("the process has left", secs(25), |cluster| {
         cluster.drained("a");
-        cluster.process("a").control.has_left()
+        cluster.process("a").control.has_deregistered()
     });
 }
 
@@ -176,14 +176,14 @@
 fn an_engine_with_an_order_in_progress_is_not_handed_over_yet() {
     let mut cluster = settled(9, &["a", "b"], 4, FenceCheck::Ignores);
     let engines = engines_of(&cluster, "a");
-    cluster.process("a").engines.unsettled = engines.iter().cloned().collect();
+    cluster.process("a").engines.open_order_engines = engines.iter().cloned().collect();
     cluster.shut_down("a");
     cluster.run(secs(8), one_holder_each);
     for engine in &engines {
         assert!(cluster.holders(engine).is_empty(), "{engine} has an owner that may act");
-        assert!(cluster.process("a").control.granted(engine).0 > 0, "{engine} isn't owned any more");
+        assert!(cluster.process("a").control.granted_power(engine).0 > 0, "{engine} isn't owned any more");
     }
-    cluster.process("a").engines.unsettled.clear();
+    cluster.process("a").engines.open_order_engines.clear();
     cluster.until("the other one owns all", secs(10), all_owned);
 }
 
--- a/crates/skylarkshore-core/tests/control/stale.rs
+++ b/crates/skylarkshore-core/tests/control/stale.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use skylarkshore_core::authority::{Authority, HomeWish};
+use skylarkshore_core::authority::{Authority, HomeRequest};
 use skylarkshore_core::id::{ModelName, UpstreamId};
 use skylarkshore_core::store::{Key, Record};
 use skylarkshore_core::units::Watts;
@@ -53,7 +53,7 @@
 fn granted(cluster: &Cluster, former: &str) -> Watts {
     let most = |engine: &UpstreamId| {
         let others = cluster.processes.iter().filter(|(host, _)| host.as_str() != former);
-        others.map(|(_, p)| p.control.granted(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
+        others.map(|(_, p)| p.control.granted_power(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
     };
     cluster.engines.keys().map(most).sum()
 }
@@ -68,7 +68,8 @@
     let former = holder(&cluster, &engine);
     cluster.faults.late_writes = 100;
     cluster.faults.late_by = Some(secs(25));
-    cluster.process(&former).engines.wishes = vec![HomeWish { model: model(), leave: Some(engine.clone()) }];
+    cluster.process(&former).engines.home_requests =
+        vec![HomeRequest { model: model(), move_from: Some(engine.clone()) }];
     cluster.run(secs(1), |_| {});
     cluster.kill(&former);
     cluster.faults.late_writes = 0;
@@ -95,17 +96,18 @@
         load_once(cluster, &former, &mut loaded);
         !loaded.is_empty()
     });
-    cluster.process(&former).engines.wishes = vec![HomeWish { model: model(), leave: Some(engine) }];
+    cluster.process(&former).engines.home_requests =
+        vec![HomeRequest { model: model(), move_from: Some(engine) }];
     cluster.run(secs(30), |cluster| load_once(cluster, &former, &mut loaded));
 }
 
 /// Lets an engine's owner lose its lease and its engine without being told.
 fn deafen(cluster: &mut Cluster, engine: &UpstreamId) -> String {
     let former = holder(cluster, engine);
-    cluster.process(&former).cut = true;
-    cluster.process(&former).deaf = true;
+    cluster.process(&former).store_unreachable = true;
+    cluster.process(&former).inbound_cut = true;
     cluster.until("a successor", secs(40), |cluster| owner(cluster, engine) != former);
-    cluster.process(&former).cut = false;
+    cluster.process(&former).store_unreachable = false;
     cluster.until("a member key again", secs(15), |cluster| {
         cluster.store.record(&Key::Member(name(&former))).is_some()
     });
@@ -118,7 +120,7 @@
 
 fn powered(cluster: &Cluster) -> UpstreamId {
     let full = |engine: &&UpstreamId| {
-        cluster.processes.values().any(|process| process.control.granted(engine) == ACTIVE_WATTS)
+        cluster.processes.values().any(|process| process.control.granted_power(engine) == ACTIVE_WATTS)
     };
     cluster.engines.keys().find(full).cloned().expect("an engine has power")
 }
@@ -128,7 +130,7 @@
     let others: Vec<UpstreamId> = cluster.engines.keys().filter(|other| *other != engine).cloned().collect();
     for other in others {
         let host = holder(cluster, &other);
-        cluster.process(&host).engines.lacking.insert(other);
+        cluster.process(&host).engines.short_of_power.insert(other);
     }
 }
 
@@ -144,7 +146,7 @@
     cluster.faults.late_writes = 100;
     cluster.faults.late_by = Some(secs(25));
     cluster.until("the power is given up", secs(5), |cluster| {
-        cluster.process(&former).control.granted(&engine) == SLEEP_WATTS
+        cluster.process(&former).control.granted_power(&engine) == SLEEP_WATTS
     });
     cluster.kill(&former);
     cluster.faults.late_writes = 0;
@@ -153,12 +155,12 @@
     cluster.faults.outage = true;
     let mut draws = BTreeSet::new();
     let mut check = |cluster: &mut Cluster| {
-        if cluster.process(&successor).control.granted(&engine) == ACTIVE_WATTS {
+        if cluster.process(&successor).control.granted_power(&engine) == ACTIVE_WATTS {
             cluster.process(&successor).engines.loaded.insert((engine.clone(), model()));
             draws.insert(engine.clone());
         }
         let others = granted(cluster, &former);
-        let lowered = cluster.process(&successor).control.granted(&engine) < ACTIVE_WATTS;
+        let lowered = cluster.process(&successor).control.granted_power(&engine) < ACTIVE_WATTS;
         let hidden = if !draws.is_empty() && lowered { ACTIVE_WATTS.0 - SLEEP_WATTS.0 } else { 0 };
         assert!(others.0 + hidden <= TIGHT.0, "{others} and {hidden}W at {}", cluster.now);
     };
@@ -176,14 +178,14 @@
     let former = deafen(&mut cluster, &engine);
     cluster.until("power at the successor", secs(5), |cluster| {
         let host = holder_beside(cluster, &engine, &former);
-        cluster.process(&host).control.granted(&engine) == ACTIVE_WATTS
+        cluster.process(&host).control.granted_power(&engine) == ACTIVE_WATTS
     });
     let successor = holder_beside(&cluster, &engine, &former);
     cluster.process(&successor).engines.loaded.insert((engine.clone(), model()));
     let seen = cluster.store.log.len();
-    cluster.process(&former).deaf = false;
+    cluster.process(&former).inbound_cut = false;
     cluster.tell_power_wanted(&former, Watts(ACTIVE_WATTS.0 - SLEEP_WATTS.0));
-    cluster.process(&former).deaf = true;
+    cluster.process(&former).inbound_cut = true;
     cluster.run(secs(30), |_| {});
     for change in &cluster.store.log[seen..] {
         let Some(Record::Power(record)) = &change.record else { continue };
@@ -206,7 +208,7 @@
     cluster.faults.late_by = Some(secs(12));
     cluster.shut_down("a");
     cluster.run(secs(2), one_holder_each);
-    cluster.process("a").deaf = true;
+    cluster.process("a").inbound_cut = true;
     cluster.run(secs(30), one_holder_each);
 }
 
@@ -219,15 +221,15 @@
     let engines: Vec<UpstreamId> =
         cluster.engines.keys().filter(|engine| holder(&cluster, engine) == "a").cloned().collect();
     assert!(!engines.is_empty(), "a owns something");
-    cluster.process("a").cut = true;
+    cluster.process("a").store_unreachable = true;
     cluster.until("the key vanishes", secs(15), |cluster| {
         cluster.store.record(&Key::Member(name("a"))).is_none()
     });
     cluster.run(secs(1), one_holder_each);
     for host in ["b", "c"] {
-        cluster.process(host).deaf = true;
+        cluster.process(host).inbound_cut = true;
     }
-    cluster.process("a").cut = false;
+    cluster.process("a").store_unreachable = false;
     cluster.run(secs(60), |cluster| {
         one_holder_each(cluster);
         assert!(engines.iter().all(|engine| owner(cluster, engine) == "a"), "taken over at {}", cluster.now);
@@ -242,7 +244,7 @@
     let mut cluster = cluster(47, FenceCheck::Ignores, PLENTY);
     cluster.until("a renewal", secs(5), |cluster| cluster.process("a").has_lease_answer());
     cluster.process("a").frozen = true;
-    cluster.process("a").deaf = true;
+    cluster.process("a").inbound_cut = true;
     cluster.run(secs(40), one_holder_each);
     assert!(all_owned(&mut cluster), "others have taken over");
     cluster.process("a").frozen = false;
--- a/crates/skylarkshore-core/tests/quota.rs
+++ b/crates/skylarkshore-core/tests/quota.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use skylarkshore_core::Time;
-use skylarkshore_core::accounts::{Account, Accounts, AmbiguousAccount, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, Accounts, AmbiguousAccount, KeyDigest, LimitUnit};
 use skylarkshore_core::id::Digest;
 use skylarkshore_core::units::Credits;
 
@@ -34,9 +34,9 @@
     // hosts that had left for longer.
     for seed in (0..30).chain([149, 247, 297, 302, 439, 607, 693, 821, 888]) {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run_with(Plan::random(seed, HOSTS), secs(30));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} used in a window that allows {allowed}");
         assert!(used >= allowed / 2, "seed {seed}: only {used} of {allowed} were used");
     }
@@ -48,7 +48,7 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(30));
         assert_eq!(fleet.refused_since(secs(0)), 0, "seed {seed}");
     }
@@ -61,10 +61,10 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
-        let keeper = fleet.keeper();
-        fleet.kill(keeper, secs(25));
+        let coordinator = fleet.coordinator();
+        fleet.kill(coordinator, secs(25));
         fleet.run(secs(25));
         assert_eq!(fleet.refused_since(secs(11)), 0, "seed {seed}");
     }
@@ -75,13 +75,13 @@
 fn killing_all_hosts_does_not_reset_the_window() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run(secs(10));
         for host in 0..HOSTS {
             fleet.kill(host, secs(10).after(Duration::from_millis(300)));
         }
         fleet.run(secs(20));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} of {allowed}");
     }
 }
@@ -91,7 +91,7 @@
 fn an_account_below_its_limit_is_served_one_second_after_all_hosts_were_killed() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
         for host in 0..HOSTS {
             fleet.kill(host, secs(10).after(Duration::from_millis(300)));
@@ -107,7 +107,7 @@
 fn starting_hosts_grant_from_their_own_shares() {
     let mut fleet = fleet(1);
     fleet.isolate_all();
-    fleet.ask_for(PER_SECOND * 55 / 100);
+    fleet.set_request_rate(PER_SECOND * 55 / 100);
     fleet.run(Time::from_millis(500));
     assert!(fleet.granted() >= 1, "every request waits for a coordinator that can't answer");
 }
@@ -117,13 +117,13 @@
 fn both_sides_of_a_partition_share_one_limit() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run(secs(10));
         fleet.cut(0..HOSTS / 2);
         fleet.run(secs(30));
         fleet.heal();
         fleet.run(secs(40));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} of {allowed}");
     }
 }
@@ -134,7 +134,7 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
         fleet.cut(0..HOSTS / 2);
         fleet.run(secs(30));
@@ -146,12 +146,12 @@
 #[test]
 fn a_lowered_limit_is_enforced_after_one_window() {
     let mut fleet = fleet(1);
-    fleet.ask_for(PER_SECOND * 4);
+    fleet.set_request_rate(PER_SECOND * 4);
     fleet.run(secs(10));
     fleet.set_limit(PER_SECOND / 3);
     fleet.run(secs(30));
     let allowed = fleet.allowed();
-    let used = fleet.most_in_a_window_since(secs(11));
+    let used = fleet.peak_window_usage_since(secs(11));
     assert!(used <= allowed, "{used} of {allowed}");
 }
 
@@ -159,9 +159,9 @@
 #[test]
 fn credit_of_requests_that_were_not_run_is_returned() {
     let mut fleet = fleet(1);
-    fleet.give_back_all();
+    fleet.return_all_credit();
     fleet.run(secs(2));
-    fleet.ask_for(PER_SECOND * 2);
+    fleet.set_request_rate(PER_SECOND * 2);
     fleet.run(secs(20));
     assert_eq!(fleet.refused_since(secs(0)), 0);
 }
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_request_costs_its_tokens_or_one() {
-    let tokens = Measure::Tokens { plain: Credits(200) };
-    let costs = [tokens.cost(Some(1540)), tokens.cost(None), Measure::Requests.cost(Some(1540))];
+    let tokens = LimitUnit::Tokens { default_cost: Credits(200) };
+    let costs = [tokens.cost(Some(1540)), tokens.cost(None), LimitUnit::Requests.cost(Some(1540))];
     assert_eq!(costs, [Credits(1540), Credits(200), Credits(1)]);
 }
