--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -292,16 +292,16 @@
     fn retry_timed_out(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         let timed_out: Vec<(u64, PendingCredit)> =
             self.pending.extract_if(.., |_, pending| pending.times_out_at.is_due(cx.now)).collect();
-        let mut verdicts = Vec::new();
+        let mut outcomes = Vec::new();
         for (_, pending) in timed_out {
             let decision = if pending.coordinators_asked < MAX_COORDINATORS_ASKED {
                 self.ask_coordinator(cx, pending.request, &pending.charge, pending.coordinators_asked + 1)
             } else {
                 Some(self.spend_local_share(cx, &pending.charge))
             };
-            verdicts.extend(decision.map(|decision| CreditOutcome { request: pending.request, decision }));
+            outcomes.extend(decision.map(|decision| CreditOutcome { request: pending.request, decision }));
         }
-        verdicts
+        outcomes
     }
 
     /// Decides on a request by this host's own share of the limit.
--- a/crates/skylarkshore-core/src/rules.rs
+++ b/crates/skylarkshore-core/src/rules.rs
@@ -121,17 +121,17 @@
 
 impl Condition {
     /// Reports whether the condition holds for the given input.
-    pub fn holds(&self, facts: &RuleInput<'_>) -> bool {
-        one_of(self.models.as_ref(), facts.model)
-            && one_of(self.adapters.as_ref(), facts.adapter)
-            && one_of(self.callers.as_ref(), facts.caller)
-            && one_of(self.services.as_ref(), facts.service)
-            && one_of(self.data_centres.as_ref(), facts.data_centre)
-            && self.hours.is_none_or(|hours| facts.at.is_some_and(|at| hours.contains(at)))
-            && at_least(self.power_pressure, facts.power_pressure)
-            && at_least(self.memory_pressure, facts.memory_pressure)
-            && at_least(self.idle_for, facts.idle_for)
-            && at_least(self.queue_at_least, facts.queue)
+    pub fn holds(&self, input: &RuleInput<'_>) -> bool {
+        one_of(self.models.as_ref(), input.model)
+            && one_of(self.adapters.as_ref(), input.adapter)
+            && one_of(self.callers.as_ref(), input.caller)
+            && one_of(self.services.as_ref(), input.service)
+            && one_of(self.data_centres.as_ref(), input.data_centre)
+            && self.hours.is_none_or(|hours| input.at.is_some_and(|at| hours.contains(at)))
+            && at_least(self.power_pressure, input.power_pressure)
+            && at_least(self.memory_pressure, input.memory_pressure)
+            && at_least(self.idle_for, input.idle_for)
+            && at_least(self.queue_at_least, input.queue)
     }
 }
 
@@ -262,8 +262,8 @@
 
 impl Rules {
     /// Returns the first rule that matches, or the defaults.
-    pub fn decide(&self, facts: &RuleInput<'_>) -> RuleMatch<'_> {
-        let rule = self.list.iter().find(|rule| rule.when.holds(facts));
+    pub fn decide(&self, input: &RuleInput<'_>) -> RuleMatch<'_> {
+        let rule = self.list.iter().find(|rule| rule.when.holds(input));
         RuleMatch { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
     }
 }
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -1,4 +1,4 @@
-//! Writes to the key-value service that are retried until their outcome is known; see [`Writes`].
+//! Writes to the key-value service that are retried until their outcome is known; see [`WriteQueue`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/skylarkshore-core/tests/support/fake_engine.rs
+++ b/crates/skylarkshore-core/tests/support/fake_engine.rs
@@ -47,7 +47,7 @@
     unloading_until: Time,
     memory: Mebibytes,
     models: OrderedMap<ModelName, HeldModel>,
-    settled: Vec<OrderId>,
+    finished_orders: Vec<OrderId>,
 }
 
 impl FakeEngine {
@@ -66,14 +66,14 @@
             unloading_until: Time::START,
             memory,
             models: OrderedMap::new(),
-            settled: Vec::new(),
+            finished_orders: Vec::new(),
         }
     }
 
     /// Executes an order, and fails the test if memory is overcommitted.
     pub fn execute(&mut self, now: Time, order: OrderId, action: &Order) {
         self.done.push(action.clone());
-        self.settled.push(order);
+        self.finished_orders.push(order);
         if let Some(accepted) = &mut self.accepted
             && *action != Order::RaiseFence
         {
@@ -147,7 +147,7 @@
         self.incarnation = self.incarnation.next();
         self.accepted = self.accepted.map(|_| 0);
         self.models.clear();
-        self.settled.clear();
+        self.finished_orders.clear();
     }
 
     /// Sets the number of running requests of a model.
@@ -197,7 +197,11 @@
             waiting: 0,
             leaving: false,
             lag: Duration::from_millis(200),
-            finished_orders: if self.reports_finished_orders { self.settled.clone() } else { Vec::new() },
+            finished_orders: if self.reports_finished_orders {
+                self.finished_orders.clone()
+            } else {
+                Vec::new()
+            },
             busy: self.accepted.is_some() && (self.is_loading(now) || self.is_unloading(now)),
             accepted: self.accepted,
             copies: self.copies.clone(),
