--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -1,37 +1,37 @@
 //! Which process is alive, which owns which engine, where models may be loaded, who gets the power.
 
+mod assignment;
 mod backoff;
-mod budget;
-mod catch_up;
-mod feed;
+mod bootstrap;
+mod context;
 pub(crate) mod hashing;
-mod holdings;
 mod homes;
-mod knowledge;
+mod introspection;
+mod inventory;
 mod membership;
+mod owned_engine;
 mod ownership;
 mod peers;
 mod placement;
 mod power;
+mod power_budget;
 pub(crate) mod relay;
-mod report;
-mod roster;
-mod shares;
-mod tree;
+mod relay_tree;
+mod store_sync;
 mod vacancy;
 
 use std::time::Duration;
 
-use catch_up::CatchUp;
-use feed::Feed;
+use bootstrap::Bootstrap;
+use context::ReviewContext;
 use homes::Homes;
-use knowledge::Knowledge;
+use inventory::EngineInventory;
 use membership::Membership;
 use ownership::Ownership;
-use peers::{OwnState, Peers};
+use peers::{LocalStatus, Peers};
 use power::Power;
 use relay::Relay;
-use roster::Roster;
+use store_sync::StoreSync;
 
 use crate::authority::{Authority, EngineUse, OwnershipChange, Permit};
 use crate::collections::OrderedSet;
@@ -46,11 +46,11 @@
 use crate::units::Watts;
 
 /// How often everything is looked at again.
-const REVIEW_EVERY: Duration = Duration::from_secs(1);
+const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 /// How soon it is looked at again after a change.
-const REVIEW_SOON: Duration = Duration::from_millis(100);
+const REVIEW_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(100);
 /// How often it is looked at again while an engine lacks power or a model a home.
-const REVIEW_PRESSING: Duration = Duration::from_millis(250);
+const REVIEW_INTERVAL_URGENT: Duration = Duration::from_millis(250);
 
 /// Membership, ownership, homes and power of one process.
 #[derive(Debug)]
@@ -58,10 +58,10 @@
     cfg: NodeConfig,
     membership: Membership,
     peers: Peers,
-    feed: Feed,
-    catch_up: CatchUp,
+    store_sync: StoreSync,
+    bootstrap: Bootstrap,
     relay: Relay,
-    roster: Roster,
+    inventory: EngineInventory,
     ownership: Ownership,
     homes: Homes,
     power: Power,
@@ -71,7 +71,7 @@
     /// When the live members last changed.
     eligible_since: Time,
     last_review: Time,
-    next_roster_review: Time,
+    next_inventory_review: Time,
     /// Whether something has changed since the last review.
     changed: bool,
 }
@@ -83,10 +83,10 @@
             cfg: cfg.clone(),
             membership: Membership::new(),
             peers: Peers::default(),
-            feed: Feed::default(),
-            catch_up: CatchUp::default(),
+            store_sync: StoreSync::default(),
+            bootstrap: Bootstrap::default(),
             relay: Relay::default(),
-            roster: Roster::default(),
+            inventory: EngineInventory::default(),
             ownership: Ownership::default(),
             homes: Homes::default(),
             power: Power::default(),
@@ -94,7 +94,7 @@
             members_changed: true,
             eligible_since: Time::START,
             last_review: Time::START,
-            next_roster_review: Time::START,
+            next_inventory_review: Time::START,
             changed: false,
         }
     }
@@ -106,44 +106,45 @@
 
     /// Begins the lease and the first read of the shared keys.
     pub fn start(&mut self, cx: &mut Cx<'_>) {
-        self.catch_up.start(cx, &mut self.feed);
+        self.bootstrap.start(cx, &mut self.store_sync);
         self.membership.on_tick(cx);
     }
 
     /// Does what is due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, engines: &dyn EngineUse) {
         self.membership.on_tick(cx);
-        self.peers.on_tick(cx, self.own_state());
-        self.feed.on_tick(cx);
-        self.catch_up.on_tick(cx, &mut self.feed);
+        self.peers.on_tick(cx, self.local_status());
+        self.store_sync.on_tick(cx);
+        self.bootstrap.on_tick(cx, &mut self.store_sync);
         self.relay.on_tick(cx);
-        if self.last_review.after(self.review_every(engines)).is_due(cx.now) {
+        if self.last_review.after(self.review_interval(engines)).is_due(cx.now) {
             self.review(cx, engines);
         }
     }
 
-    fn own_state(&self) -> OwnState {
-        OwnState {
-            frontier: self.feed.frontier(),
-            is_store_reachable: self.membership.is_store_reachable() && self.feed.is_store_reachable(),
-            is_watching: self.feed.watching_since().is_some(),
+    fn local_status(&self) -> LocalStatus {
+        LocalStatus {
+            frontier: self.store_sync.frontier(),
+            is_store_reachable: self.membership.is_store_reachable() && self.store_sync.is_store_reachable(),
+            is_watching: self.store_sync.watching_since().is_some(),
             is_leaving: self.membership.is_leaving(),
         }
     }
 
-    fn review_every(&self, engines: &dyn EngineUse) -> Duration {
+    fn review_interval(&self, engines: &dyn EngineUse) -> Duration {
         if self.changed {
-            return REVIEW_SOON;
+            return REVIEW_INTERVAL_AFTER_CHANGE;
         }
-        let lacking = self.ownership.holdings().keys().any(|engine| engines.lacks(engine).is_some());
-        let pressing = lacking || !engines.home_wishes().is_empty();
-        if pressing { REVIEW_PRESSING } else { REVIEW_EVERY }
+        let is_underpowered =
+            self.ownership.owned_engines().keys().any(|engine| engines.lacks(engine).is_some());
+        let urgent = is_underpowered || !engines.home_wishes().is_empty();
+        if urgent { REVIEW_INTERVAL_URGENT } else { REVIEW_INTERVAL }
     }
 
     /// Takes news that this process has read itself.
     pub fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.feed.note_watch(true);
-        self.relay.on_read(cx, news);
+        self.store_sync.set_watch_answered(true);
+        self.relay.on_news_read(cx, news);
     }
 
     /// Begins to leave.
@@ -154,29 +155,30 @@
 
     /// Ends the lease, now that nothing is in progress any more.
     pub fn on_drained(&mut self, cx: &mut Cx<'_>) {
-        if self.ownership.has_given_up(&self.eligible) || !self.membership.is_certain(cx.cfg, cx.now) {
-            self.feed.stop(cx);
-            self.membership.revoke(cx);
+        if self.ownership.has_released_all(&self.eligible) || !self.membership.is_lease_valid(cx.cfg, cx.now)
+        {
+            self.store_sync.stop(cx);
+            self.membership.revoke_lease(cx);
         }
     }
 
     /// Tells whether nothing is left to be given up.
     pub fn has_left(&self) -> bool {
-        self.membership.is_gone()
+        self.membership.is_deregistered()
     }
 
     /// Takes note that upstreams of the host list have changed.
     pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
-        self.roster.on_host_list(cx, touched);
+        self.inventory.on_host_list(cx, touched);
         self.changed = true;
     }
 
     /// Takes the result of a call that isn't a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         self.membership.on_store(cx, call, result);
-        self.feed.on_store(cx, call, result);
-        self.catch_up.on_store(cx, &mut self.feed, call, result);
-        self.catch_up.on_synced(cx, &self.feed);
+        self.store_sync.on_store(cx, call, result);
+        self.bootstrap.on_store(cx, &mut self.store_sync, call, result);
+        self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
     /// Takes the outcome of a write of a member, owner, homes or power key.
@@ -184,8 +186,8 @@
         self.changed = true;
         match key {
             Key::Member(_) => self.membership.on_write(cx, outcome),
-            Key::Owner(engine) => self.ownership.on_write(cx, &self.roster, engine, outcome),
-            Key::Homes(model) => self.homes.on_write(cx, &self.roster, model, outcome),
+            Key::Owner(engine) => self.ownership.on_write(cx, &self.inventory, engine, outcome),
+            Key::Homes(model) => self.homes.on_write(cx, &self.inventory, model, outcome),
             Key::Power(site) => self.power.on_write(cx, site, outcome),
             Key::Document | Key::Catalogue | Key::Once(_) => {}
         }
@@ -196,46 +198,46 @@
         self.changed = true;
         match key {
             Key::Member(host) => self.on_member(cx, host),
-            Key::Owner(engine) => self.ownership.refresh(cx, &self.roster, engine),
-            Key::Homes(model) => self.homes.on_change(cx, &self.roster, model),
+            Key::Owner(engine) => self.ownership.reconcile(cx, &self.inventory, engine),
+            Key::Homes(model) => self.homes.on_change(cx, &self.inventory, model),
             Key::Power(site) => self.power.on_change(cx, site),
-            Key::Document | Key::Catalogue => self.homes.update_all(cx, &self.roster),
+            Key::Document | Key::Catalogue => self.homes.update_all(cx, &self.inventory),
             Key::Once(_) => {}
         }
     }
 
     /// Takes note that a peer has told every shared key.
     pub fn on_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
-        self.feed.on_state(cx, upto);
-        self.catch_up.on_synced(cx, &self.feed);
+        self.store_sync.on_peer_state(cx, upto);
+        self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
     /// Decides where to learn what news from peers have left out.
     ///
     /// Where members are few the service is read, which takes a moment; were all
     /// of many to do so, its link would be busy for longer than a parent takes.
-    pub fn on_news_missed(&self, cx: &mut Cx<'_>, lasts: bool) {
-        if !relay::are_members_many(cx) {
+    pub fn on_news_missed(&self, cx: &mut Cx<'_>, persists: bool) {
+        if !relay::has_many_members(cx) {
             cx.push(Effect::ReadOn);
-        } else if lasts && self.feed.is_synced() {
-            self.relay.ask_parent(cx);
+        } else if persists && self.store_sync.is_synced() {
+            self.relay.request_state_from_parent(cx);
         }
     }
 
     /// Takes note that the service didn't answer a watch.
     pub fn on_watch_unanswered(&mut self) {
-        self.feed.note_watch(false);
+        self.store_sync.set_watch_answered(false);
     }
 
     /// Takes note that the watch may have missed changes.
     pub fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
-        self.feed.note_watch(false);
-        self.feed.on_watch_broken(cx);
+        self.store_sync.set_watch_answered(false);
+        self.store_sync.on_watch_broken(cx);
     }
 
     /// Takes note of changes that the watch saw, and of the revision up to which it missed none.
     pub fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
-        self.feed.on_watched(cx, changes, upto);
+        self.store_sync.on_watched(cx, changes, upto);
     }
 
     /// Takes note of what a batch from a peer covers, after its records went into the cache.
@@ -246,39 +248,39 @@
         after: Option<StoreRevision>,
         upto: StoreRevision,
     ) {
-        self.feed.on_records(cx, from, after, upto);
+        self.store_sync.on_records(cx, from, after, upto);
     }
 
     /// Takes note of whether an engine of this process answered.
     pub fn on_report(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId, reached: bool) {
-        self.roster.on_report(cx, engine, reached);
+        self.inventory.on_report(cx, engine, reached);
     }
 
     /// Takes a peer's message, where it concerns this part.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         self.peers.on_peer(cx, from, message);
-        self.feed.on_peer(cx, from, message);
-        self.catch_up.on_peer(cx, &self.feed, from, message);
+        self.store_sync.on_peer(cx, from, message);
+        self.bootstrap.on_peer(cx, &self.store_sync, from, message);
         match message {
             PeerMessage::News(news) => self.relay.on_news(cx, from, news),
-            PeerMessage::StateWanted => self.relay.note_asked(cx.now, from),
-            PeerMessage::Spread { .. } => self.relay.on_spread(cx, from, message),
+            PeerMessage::StateWanted => self.relay.add_temporary_child(cx.now, from),
+            PeerMessage::Spread { .. } => self.relay.relay_spread(cx, from, message),
             _ => {}
         }
         if let PeerMessage::PowerWanted { site, watts, .. } = message {
-            self.power.on_wanted(cx, site, *watts);
+            self.power.on_power_request(cx, site, *watts);
             self.changed = true;
         }
     }
 
     /// Takes note that a process has connected whose certificate no known member has published.
     pub fn on_unknown_peer(&mut self, cx: &mut Cx<'_>) {
-        self.catch_up.on_unknown_peer(cx);
+        self.bootstrap.on_unknown_peer(cx);
     }
 
     /// Takes note that a process has ended for certain.
     pub fn on_peer_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
-        self.peers.on_refused(cx, host, incarnation);
+        self.peers.on_connection_refused(cx, host, incarnation);
         self.on_members_changed();
     }
 
@@ -289,12 +291,12 @@
 
     /// Tells what is believed.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        report::beliefs(self, cx)
+        introspection::beliefs(self, cx)
     }
 
     /// Returns the numbers for the metrics.
     pub fn gauges(&self, cx: &Cx<'_>) -> Vec<Gauge> {
-        report::gauges(self, cx)
+        introspection::gauges(self, cx)
     }
 
     fn on_member(&mut self, cx: &mut Cx<'_>, host: &HostId) {
@@ -304,7 +306,7 @@
         }
         if self.membership.is_superseded() {
             self.ownership.retire();
-            self.feed.stop(cx);
+            self.store_sync.stop(cx);
         }
         self.on_members_changed();
     }
@@ -319,25 +321,25 @@
         let has_changed = std::mem::take(&mut self.changed);
         self.last_review = cx.now;
         self.review_members(cx);
-        if !self.membership.is_gone() {
-            self.feed.review(cx, &self.peers, &self.eligible);
+        if !self.membership.is_deregistered() {
+            self.store_sync.review(cx, &self.peers, &self.eligible);
         }
-        if self.next_roster_review.is_due(cx.now) {
-            self.next_roster_review = cx.now.after(REVIEW_EVERY);
-            self.roster.review(cx, &named_engines(cx));
+        if self.next_inventory_review.is_due(cx.now) {
+            self.next_inventory_review = cx.now.after(REVIEW_INTERVAL);
+            self.inventory.review(cx, &recorded_engines(cx));
         }
-        let knowledge = Knowledge {
+        let context = ReviewContext {
             membership: &self.membership,
             peers: &self.peers,
-            feed: &self.feed,
-            roster: &self.roster,
+            store_sync: &self.store_sync,
+            inventory: &self.inventory,
             eligible: &self.eligible,
             eligible_since: self.eligible_since,
             has_changed,
         };
-        self.ownership.review(cx, &knowledge, engines);
-        self.homes.review(cx, &knowledge, &self.ownership, engines);
-        self.power.review(cx, &knowledge, &self.ownership, engines);
+        self.ownership.review(cx, &context, engines);
+        self.homes.review(cx, &context, &self.ownership, engines);
+        self.power.review(cx, &context, &self.ownership, engines);
         for (host, incarnation) in self.ownership.take_probes() {
             self.peers.probe(cx, &host, incarnation);
         }
@@ -355,40 +357,41 @@
     }
 
     /// Tells whether the shared keys are known as of when the engine was acquired.
-    fn knows_engine(&self, acquired: StoreRevision) -> bool {
-        self.feed.is_synced() && self.feed.frontier() >= acquired
+    fn is_synced_past(&self, acquired_revision: StoreRevision) -> bool {
+        self.store_sync.is_synced() && self.store_sync.frontier() >= acquired_revision
     }
 }
 
 impl Authority for Control {
     fn permit(&self, now: Time, engine: &UpstreamId) -> Option<Permit> {
-        self.ownership.permit(&self.cfg, &self.membership, &self.roster, now, engine)
+        self.ownership.permit(&self.cfg, &self.membership, &self.inventory, now, engine)
     }
 
     fn is_home(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        let Some(holding) = self.ownership.held(engine) else { return false };
-        let goes = self.roster.get(engine).is_some_and(|known| known.is_listed() && !known.is_live());
-        !goes && self.homes.is_home(engine, model, holding.acquired)
+        let Some(owned) = self.ownership.held(engine) else { return false };
+        let is_departing =
+            self.inventory.get(engine).is_some_and(|known| known.is_listed() && !known.is_live());
+        !is_departing && self.homes.is_home(engine, model, owned.acquired_revision)
     }
 
     fn must_close(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        let Some(holding) = self.ownership.held(engine) else { return false };
-        let Some(known) = self.roster.get(engine) else { return false };
-        let goes = known.is_listed() && !known.is_live();
-        let excluded = self.knows_engine(holding.acquired) && self.homes.is_excluded(engine, model);
-        goes || excluded || self.power.has_to_stop(engine, known)
+        let Some(owned) = self.ownership.held(engine) else { return false };
+        let Some(known) = self.inventory.get(engine) else { return false };
+        let is_departing = known.is_listed() && !known.is_live();
+        let excluded = self.is_synced_past(owned.acquired_revision) && self.homes.is_excluded(engine, model);
+        is_departing || excluded || self.power.has_to_stop(engine, known)
     }
 
     fn granted(&self, engine: &UpstreamId) -> Watts {
-        let holding = self.ownership.holdings().get(engine);
-        let known = self.roster.get(engine);
-        let Some((holding, known)) = holding.zip(known) else { return Watts(0) };
-        self.power.granted(engine, known, holding.acquired)
+        let owned = self.ownership.owned_engines().get(engine);
+        let known = self.inventory.get(engine);
+        let Some((owned, known)) = owned.zip(known) else { return Watts(0) };
+        self.power.granted(engine, known, owned.acquired_revision)
     }
 }
 
 /// Returns every engine that a record names.
-fn named_engines(cx: &Cx<'_>) -> OrderedSet<UpstreamId> {
+fn recorded_engines(cx: &Cx<'_>) -> OrderedSet<UpstreamId> {
     let owned = cx.cache.owners().map(|(engine, _)| engine);
     let homes = cx.cache.all_homes().flat_map(|(_, homes)| &homes.engines);
     owned.chain(homes).cloned().collect()
--- a/crates/skylarkshore-core/src/control/shares.rs
+++ b/crates/skylarkshore-core/src/control/assignment.rs
@@ -7,15 +7,15 @@
 
 /// How much less the receiver has to own for an engine to change hands; with
 /// less, the engine could as well move back.
-const WORTHWHILE: usize = 2;
+const MIN_DIFFERENCE_TO_MOVE: usize = 2;
 
 /// Up to how many pairs of an engine and a host all engines are shared out together.
 ///
 /// Beyond, the hosts' largest shares aren't bounded from the start; hand-overs even them out.
-const FEW_PAIRS: usize = 100_000;
+const MAX_BOUNDED_PAIRS: usize = 100_000;
 
 /// The most engines that one of `hosts` processes should own.
-pub(super) fn largest_share(engines: usize, hosts: usize) -> usize {
+pub(super) fn max_owned(engines: usize, hosts: usize) -> usize {
     (engines * 5).div_ceil(hosts.max(1) * 4)
 }
 
@@ -27,33 +27,33 @@
     engines: impl ExactSizeIterator<Item = &'a UpstreamId>,
     hosts: &[HostId],
 ) -> OrderedMap<UpstreamId, HostId> {
-    let most = largest_share(engines.len(), hosts.len());
+    let limit = max_owned(engines.len(), hosts.len());
     let mut candidates: Vec<Candidate<'_>> =
         hosts.iter().map(|host| Candidate { host, hash: name_hash(host.as_str()), engines: 0 }).collect();
-    let mut shares = OrderedMap::new();
+    let mut assignment = OrderedMap::new();
     for engine in engines {
         let key = name_hash(engine.as_str());
         let best = candidates
             .iter_mut()
-            .filter(|candidate| candidate.engines < most)
+            .filter(|candidate| candidate.engines < limit)
             .max_by_key(|candidate| pair_weight(key, candidate.hash));
         if let Some(best) = best {
             best.engines += 1;
-            shares.insert(engine.clone(), best.host.clone());
+            assignment.insert(engine.clone(), best.host.clone());
         }
     }
-    shares
+    assignment
 }
 
 /// Who should own which engine, kept until members or engines change.
 #[derive(Debug, Default)]
-pub(super) struct Shares {
+pub(super) struct Assignment {
     hosts: Vec<HostId>,
     engines: OrderedSet<UpstreamId>,
     owners: OrderedMap<UpstreamId, HostId>,
 }
 
-impl Shares {
+impl Assignment {
     /// Returns who should own an engine, as far as that is of interest to this process.
     pub(super) fn owner(&self, engine: &UpstreamId) -> Option<&HostId> {
         self.owners.get(engine)
@@ -66,10 +66,10 @@
         &mut self,
         hosts: &[HostId],
         engines: OrderedSet<UpstreamId>,
-        of_interest: impl Iterator<Item = &'a UpstreamId>,
+        relevant: impl Iterator<Item = &'a UpstreamId>,
     ) {
         let are_hosts_known = self.hosts == hosts;
-        if hosts.len() * engines.len() <= FEW_PAIRS {
+        if hosts.len() * engines.len() <= MAX_BOUNDED_PAIRS {
             if !are_hosts_known || self.engines != engines {
                 self.owners = assign(engines.iter(), hosts);
             }
@@ -80,7 +80,7 @@
                 Some(host) => Some(host.clone()),
                 None => hashed.winner(engine.as_str()).cloned(),
             };
-            self.owners = of_interest.filter_map(|engine| Some((engine.clone(), owner(engine)?))).collect();
+            self.owners = relevant.filter_map(|engine| Some((engine.clone(), owner(engine)?))).collect();
         }
         if !are_hosts_known {
             self.hosts = hosts.to_vec();
@@ -97,23 +97,24 @@
 
 /// How many engines each live member owns by the records.
 #[derive(Debug)]
-pub(super) struct Balance {
-    owned: OrderedMap<HostId, usize>,
+pub(super) struct OwnershipBalance {
+    owned_by_host: OrderedMap<HostId, usize>,
     total: usize,
 }
 
-impl Balance {
+impl OwnershipBalance {
     /// Counts the records.
     pub(super) fn new(cache: &StoreCache, hosts: &[HostId]) -> Self {
-        let mut owned: OrderedMap<HostId, usize> = hosts.iter().map(|host| (host.clone(), 0)).collect();
+        let mut owned_by_host: OrderedMap<HostId, usize> =
+            hosts.iter().map(|host| (host.clone(), 0)).collect();
         let mut total = 0;
         for (_, owner) in cache.owners() {
             total += 1;
-            if let Some(count) = owned.get_mut(&owner.host) {
+            if let Some(count) = owned_by_host.get_mut(&owner.host) {
                 *count += 1;
             }
         }
-        Self { owned, total }
+        Self { owned_by_host, total }
     }
 
     /// Returns who should get an engine of `own`, if it should change hands at all.
@@ -123,48 +124,48 @@
     pub(super) fn receiver<'a>(
         &'a self,
         own: &HostId,
-        share: Option<&'a HostId>,
+        assignee: Option<&'a HostId>,
         leaving: bool,
     ) -> Option<&'a HostId> {
-        let share = share.filter(|host| *host != own && self.owned.contains_key(*host));
+        let assignee = assignee.filter(|host| *host != own && self.owned_by_host.contains_key(*host));
         if leaving {
-            return share.or_else(|| self.least(own));
+            return assignee.or_else(|| self.least_loaded(own));
         }
-        let mine = self.count(own);
-        let hosts = self.owned.len().max(1);
-        let worthwhile = |host: &&HostId| mine >= self.count(host) + WORTHWHILE;
-        let uneven =
-            |host: &&HostId| mine > self.total.div_ceil(hosts) || self.count(host) < self.total / hosts;
-        if let Some(share) = share.filter(worthwhile).filter(uneven) {
-            return Some(share);
+        let own_count = self.count(own);
+        let hosts = self.owned_by_host.len().max(1);
+        let is_worthwhile = |host: &&HostId| own_count >= self.count(host) + MIN_DIFFERENCE_TO_MOVE;
+        let evens_out =
+            |host: &&HostId| own_count > self.total.div_ceil(hosts) || self.count(host) < self.total / hosts;
+        if let Some(assignee) = assignee.filter(is_worthwhile).filter(evens_out) {
+            return Some(assignee);
         }
-        if mine <= largest_share(self.total, hosts) {
+        if own_count <= max_owned(self.total, hosts) {
             return None;
         }
-        self.least(own).filter(worthwhile)
+        self.least_loaded(own).filter(is_worthwhile)
     }
 
     /// Returns how many engines a member owns beyond the mean.
     pub(super) fn excess(&self, host: &HostId) -> usize {
-        self.count(host).saturating_sub(self.total.div_ceil(self.owned.len().max(1)))
+        self.count(host).saturating_sub(self.total.div_ceil(self.owned_by_host.len().max(1)))
     }
 
     /// Counts an engine as moved.
-    pub(super) fn move_one(&mut self, from: &HostId, to: &HostId) {
-        if let Some(count) = self.owned.get_mut(from) {
+    pub(super) fn record_move(&mut self, from: &HostId, to: &HostId) {
+        if let Some(count) = self.owned_by_host.get_mut(from) {
             *count = count.saturating_sub(1);
         }
-        if let Some(count) = self.owned.get_mut(to) {
+        if let Some(count) = self.owned_by_host.get_mut(to) {
             *count += 1;
         }
     }
 
     fn count(&self, host: &HostId) -> usize {
-        self.owned.get(host).copied().unwrap_or(0)
+        self.owned_by_host.get(host).copied().unwrap_or(0)
     }
 
-    fn least(&self, own: &HostId) -> Option<&HostId> {
-        let others = self.owned.iter().filter(|(host, _)| *host != own);
+    fn least_loaded(&self, own: &HostId) -> Option<&HostId> {
+        let others = self.owned_by_host.iter().filter(|(host, _)| *host != own);
         others.min_by_key(|(_, count)| **count).map(|(host, _)| host)
     }
 }
--- a/crates/skylarkshore-core/src/control/knowledge.rs
+++ b/crates/skylarkshore-core/src/control/context.rs
@@ -1,25 +1,25 @@
 //! What the decisions of this part share with one another.
 
-use super::feed::Feed;
+use super::inventory::EngineInventory;
 use super::membership::Membership;
 use super::peers::Peers;
-use super::roster::Roster;
+use super::store_sync::StoreSync;
 use crate::cx::Cx;
 use crate::id::HostId;
 use crate::time::Time;
 
 /// How many engines a host looks after at least, where there are as many.
-const ENGINES_PER_HOST: usize = 4;
+const OWNED_ENGINES_PER_HOST: usize = 4;
 /// Up to how many engines all are looked after, however few the hosts.
-const FEW_ENGINES: usize = 512;
+const MAX_ENGINES_ALL_OWNED: usize = 512;
 
 /// What the decisions on ownership, homes and power look at beside [`Cx`].
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Knowledge<'a> {
+pub(super) struct ReviewContext<'a> {
     pub(super) membership: &'a Membership,
     pub(super) peers: &'a Peers,
-    pub(super) feed: &'a Feed,
-    pub(super) roster: &'a Roster,
+    pub(super) store_sync: &'a StoreSync,
+    pub(super) inventory: &'a EngineInventory,
     /// The live members that may own something and keep it.
     pub(super) eligible: &'a [HostId],
     /// When they last changed.
@@ -28,16 +28,16 @@
     pub(super) has_changed: bool,
 }
 
-impl Knowledge<'_> {
+impl ReviewContext<'_> {
     /// Tells whether there are more engines than the hosts can look after, and need to.
     pub(super) fn has_spare_engines(&self, cx: &Cx<'_>) -> bool {
         let engines = cx.upstreams.engines();
-        engines > FEW_ENGINES && engines > self.engines_looked_after()
+        engines > MAX_ENGINES_ALL_OWNED && engines > self.ownership_capacity()
     }
 
     /// Returns how many engines the hosts look after at least, where there are as many.
-    pub(super) fn engines_looked_after(&self) -> usize {
-        self.eligible.len() * ENGINES_PER_HOST
+    pub(super) fn ownership_capacity(&self) -> usize {
+        self.eligible.len() * OWNED_ENGINES_PER_HOST
     }
 
     /// Tells whether this process may write decisions now.
@@ -45,6 +45,6 @@
     /// It has to know the shared keys, and its own member key has to stand:
     /// otherwise it would begin hand-overs whose end it can't see.
     pub(super) fn may_decide(&self, cx: &Cx<'_>) -> bool {
-        self.feed.is_synced() && self.membership.is_certain(cx.cfg, cx.now)
+        self.store_sync.is_synced() && self.membership.is_lease_valid(cx.cfg, cx.now)
     }
 }
--- a/crates/skylarkshore-core/src/control/hashing.rs
+++ b/crates/skylarkshore-core/src/control/hashing.rs
@@ -70,15 +70,20 @@
 
     /// Returns how many hosts look after the key before this one does.
     pub(super) fn rank(&self, key: &str, host: &HostId) -> Option<usize> {
-        self.rank_beside(key, host, None)
+        self.rank_excluding(key, host, None)
     }
 
     /// Returns the same where one of the others doesn't count.
-    pub(super) fn rank_beside(&self, key: &str, host: &HostId, left_out: Option<&HostId>) -> Option<usize> {
+    pub(super) fn rank_excluding(
+        &self,
+        key: &str,
+        host: &HostId,
+        excluded: Option<&HostId>,
+    ) -> Option<usize> {
         let key = name_hash(key);
         let (own, _) = self.hosts.iter().find(|(_, known)| *known == host)?;
         let own = pair_weight(key, *own);
-        let before = self.hosts.iter().filter(|(hash, _)| pair_weight(key, *hash) > own);
-        Some(before.filter(|(_, known)| Some(*known) != left_out).count())
+        let preceding = self.hosts.iter().filter(|(hash, _)| pair_weight(key, *hash) > own);
+        Some(preceding.filter(|(_, known)| Some(*known) != excluded).count())
     }
 }
--- a/crates/skylarkshore-core/src/control/report.rs
+++ b/crates/skylarkshore-core/src/control/introspection.rs
@@ -8,7 +8,7 @@
 
 /// Tells what is believed of members, ownership, homes and power.
 pub(super) fn beliefs(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
-    let mut beliefs = vec![own_membership(control, cx), feed(control, cx)];
+    let mut beliefs = vec![own_membership(control, cx), store_sync(control, cx)];
     beliefs.extend(members(control, cx));
     beliefs.extend(owners(control, cx));
     beliefs.extend(homes(control, cx));
@@ -21,16 +21,16 @@
     let counts = control.homes.counts();
     let mut gauges = vec![
         gauge("members", cx.cache.members().count()),
-        gauge("owned_engines", control.ownership.holdings().len()),
-        gauge("vacant_engines", control.ownership.vacant()),
+        gauge("owned_engines", control.ownership.owned_engines().len()),
+        gauge("vacant_engines", control.ownership.vacant_count()),
         gauge("homes", counts.homes),
         gauge("homes_writes_pending", counts.pending),
         gauge("models_without_engine", counts.unplaceable),
-        gauge("watching", usize::from(control.feed.watching_since().is_some())),
+        gauge("watching", usize::from(control.store_sync.watching_since().is_some())),
         gauge("superseded", usize::from(control.membership.is_superseded())),
     ];
-    if let Some(confirmed) = control.membership.confirmed() {
-        let value = cx.now.since(confirmed).as_secs_f64();
+    if let Some(confirmed_at) = control.membership.confirmed_at() {
+        let value = cx.now.since(confirmed_at).as_secs_f64();
         gauges.push(Gauge { name: "lease_confirmed_age_seconds", value });
     }
     gauges
@@ -42,18 +42,18 @@
 
 fn own_membership(control: &Control, cx: &Cx<'_>) -> Belief {
     let membership = &control.membership;
-    let state = match (membership.is_superseded(), membership.registered_at()) {
+    let state = match (membership.is_superseded(), membership.registration_revision()) {
         (true, _) => "superseded by a later life".to_owned(),
         (false, Some(revision)) => format!("registered at revision {revision}"),
         (false, None) => "not registered".to_owned(),
     };
-    Belief { kind: "lease", subject: cx.cfg.host.to_string(), state, since: membership.confirmed() }
+    Belief { kind: "lease", subject: cx.cfg.host.to_string(), state, since: membership.confirmed_at() }
 }
 
-fn feed(control: &Control, cx: &Cx<'_>) -> Belief {
-    let since = control.feed.watching_since();
+fn store_sync(control: &Control, cx: &Cx<'_>) -> Belief {
+    let since = control.store_sync.watching_since();
     let how = if since.is_some() { "watches" } else { "hears from peers" };
-    let state = format!("{how}, complete up to revision {}", control.feed.frontier());
+    let state = format!("{how}, complete up to revision {}", control.store_sync.frontier());
     Belief { kind: "feed", subject: cx.cfg.host.to_string(), state, since }
 }
 
@@ -66,7 +66,7 @@
                 "{role}, incarnation {}, {}, callers {}",
                 member.incarnation, member.data_centre, member.caller_address
             );
-            let since = control.peers.last_heard(host);
+            let since = control.peers.last_heartbeat_at(host);
             Belief { kind: "member", subject: host.to_string(), state, since }
         })
         .collect()
@@ -76,17 +76,17 @@
     let owners = cx.cache.owners();
     owners
         .map(|(engine, owner)| {
-            let holding = control.ownership.holdings().get(engine);
+            let owned = control.ownership.owned_engines().get(engine);
             let vacant = control.ownership.vacant_since(engine);
-            let role = match (holding, vacant) {
-                (Some(holding), _) if holding.is_held() => "held here",
+            let role = match (owned, vacant) {
+                (Some(owned), _) if owned.is_held() => "held here",
                 (Some(_), _) => "being handed over",
                 (None, Some(_)) => "owner gone",
                 (None, None) => "owned",
             };
             let state =
                 format!("{role}, by {} incarnation {}, fence {}", owner.host, owner.incarnation, owner.fence);
-            let since = holding.map(|holding| holding.since).or(vacant);
+            let since = owned.map(|owned| owned.since).or(vacant);
             Belief { kind: "ownership", subject: engine.to_string(), state, since }
         })
         .collect()
@@ -102,13 +102,13 @@
             since: control.homes.since(model),
         }
     });
-    let lacking = control.homes.lacking().iter().map(|(model, since)| Belief {
+    let lacking_since = control.homes.lacking_since().iter().map(|(model, since)| Belief {
         kind: "homes",
         subject: model.to_string(),
         state: "lacks a home".to_owned(),
         since: Some(*since),
     });
-    known.chain(lacking).collect()
+    known.chain(lacking_since).collect()
 }
 
 fn power(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
@@ -121,8 +121,8 @@
         let state = format!("{granted} granted at revision {revision}");
         beliefs.push(Belief { kind: "power", subject: site.to_string(), state, since: Some(since) });
     }
-    let lowered = control.power.lowered();
-    beliefs.extend(lowered.map(|engine| Belief {
+    let revoked = control.power.revoked();
+    beliefs.extend(revoked.map(|engine| Belief {
         kind: "power",
         subject: engine.to_string(),
         state: "grant taken back, record not yet changed".to_owned(),
--- a/crates/skylarkshore-core/src/control/roster.rs
+++ b/crates/skylarkshore-core/src/control/inventory.rs
@@ -12,9 +12,9 @@
 /// For how long no new engine is listed before the first homes are given out.
 ///
 /// Upstreams register at their first heartbeat, about a second apart.
-const SETTLED_AFTER: Duration = Duration::from_millis(1500);
+const LISTING_QUIET_PERIOD: Duration = Duration::from_millis(1500);
 /// How long they wait at most for that.
-const SETTLED_AT_LAST: Duration = Duration::from_secs(4);
+const LISTING_MAX_WAIT: Duration = Duration::from_secs(4);
 
 /// An engine of the host list, present or past.
 #[derive(Clone, Debug)]
@@ -28,13 +28,13 @@
     pub(super) pool: Option<ServiceName>,
     pub(super) standing: Standing,
     /// Since when the host list hasn't named it any more.
-    unlisted: Option<Time>,
+    unlisted_since: Option<Time>,
 }
 
 impl KnownEngine {
     /// Tells whether the host list names it.
     pub(super) const fn is_listed(&self) -> bool {
-        self.unlisted.is_none()
+        self.unlisted_since.is_none()
     }
 
     /// Tells whether it may get new work, as far as the host list knows.
@@ -45,26 +45,26 @@
 
 /// The engines that this process knows.
 #[derive(Debug, Default)]
-pub(super) struct Roster {
+pub(super) struct EngineInventory {
     engines: OrderedMap<UpstreamId, KnownEngine>,
     /// Engines that only records name, with the time since when that is known.
     never_listed: OrderedMap<UpstreamId, Time>,
-    reached: OrderedMap<UpstreamId, Time>,
+    last_reached: OrderedMap<UpstreamId, Time>,
     /// Since when the same engines are listed.
-    listed_since: Time,
+    last_listed_at: Time,
     /// When the first engine was listed.
-    first_listed: Option<Time>,
+    first_listed_at: Option<Time>,
 }
 
-impl Roster {
+impl EngineInventory {
     /// Tells whether all engines that are about to be listed probably are.
     ///
     /// Engines register one after the other. If the first homes were given out at
     /// the first registration, one engine would get them all.
-    pub(super) fn is_settled(&self, now: Time) -> bool {
-        let at_last = self.first_listed.map(|first| first.after(SETTLED_AT_LAST));
-        let quiet = self.listed_since.after(SETTLED_AFTER);
-        at_last.is_some_and(|at_last| quiet.min(at_last).is_due(now))
+    pub(super) fn is_stable(&self, now: Time) -> bool {
+        let latest = self.first_listed_at.map(|first| first.after(LISTING_MAX_WAIT));
+        let quiet_since = self.last_listed_at.after(LISTING_QUIET_PERIOD);
+        latest.is_some_and(|latest| quiet_since.min(latest).is_due(now))
     }
 
     /// Takes over what has changed on the host list.
@@ -80,8 +80,8 @@
     fn list(&mut self, now: Time, upstream: &Upstream) {
         let Some(spec) = upstream.engine() else { return self.unlist(now, &upstream.id) };
         if !self.engines.get(&upstream.id).is_some_and(KnownEngine::is_listed) {
-            self.listed_since = now;
-            self.first_listed.get_or_insert(now);
+            self.last_listed_at = now;
+            self.first_listed_at.get_or_insert(now);
         }
         self.never_listed.remove(&upstream.id);
         let known = KnownEngine {
@@ -93,31 +93,31 @@
             fence_check: spec.fence_check,
             pool: spec.pool.clone(),
             standing: upstream.standing,
-            unlisted: None,
+            unlisted_since: None,
         };
         self.engines.insert(upstream.id.clone(), known);
     }
 
     fn unlist(&mut self, now: Time, id: &UpstreamId) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.unlisted.get_or_insert(now);
+            engine.unlisted_since.get_or_insert(now);
         }
     }
 
     /// Takes note of engines that records name, and forgets those that nothing names any more.
-    pub(super) fn review(&mut self, cx: &Cx<'_>, named: &OrderedSet<UpstreamId>) {
-        for engine in named.iter().filter(|engine| !self.engines.contains_key(engine)) {
+    pub(super) fn review(&mut self, cx: &Cx<'_>, recorded: &OrderedSet<UpstreamId>) {
+        for engine in recorded.iter().filter(|engine| !self.engines.contains_key(engine)) {
             self.never_listed.entry(engine.clone()).or_insert(cx.now);
         }
-        self.never_listed.retain(|engine, _| named.contains(engine));
-        self.engines.retain(|id, engine| engine.is_listed() || named.contains(id));
-        self.reached.retain(|engine, _| named.contains(engine));
+        self.never_listed.retain(|engine, _| recorded.contains(engine));
+        self.engines.retain(|id, engine| engine.is_listed() || recorded.contains(id));
+        self.last_reached.retain(|engine, _| recorded.contains(engine));
     }
 
     /// Takes note of whether an engine answered this process.
     pub(super) fn on_report(&mut self, cx: &Cx<'_>, engine: &UpstreamId, reached: bool) {
         if reached {
-            self.reached.insert(engine.clone(), cx.now);
+            self.last_reached.insert(engine.clone(), cx.now);
         }
     }
 
@@ -142,12 +142,12 @@
     /// may serve others. Only when both have been against it for a long time may
     /// its replicas be counted out; before, a model could be loaded twice.
     pub(super) fn is_gone(&self, cx: &Cx<'_>, engine: &UpstreamId, owned_since: Option<Time>) -> bool {
-        let unlisted = match self.engines.get(engine) {
-            Some(known) => known.unlisted,
+        let unlisted_since = match self.engines.get(engine) {
+            Some(known) => known.unlisted_since,
             None => self.never_listed.get(engine).copied(),
         };
-        let Some(unlisted) = unlisted else { return false };
-        let reached = self.reached.get(engine).copied().max(owned_since).unwrap_or(Time::START);
-        unlisted.max(reached).after(cx.cfg.timings.gone_after).is_due(cx.now)
+        let Some(unlisted_since) = unlisted_since else { return false };
+        let last_reached = self.last_reached.get(engine).copied().max(owned_since).unwrap_or(Time::START);
+        unlisted_since.max(last_reached).after(cx.cfg.timings.gone_after).is_due(cx.now)
     }
 }
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -15,13 +15,13 @@
 /// How long a write of the member key is tried before it is looked at anew.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
 /// How many times the time-out of a call its answer is waited for.
-const LOST_AFTER_TIMEOUTS: u32 = 2;
+const CALL_TIMEOUT_FACTOR: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
     /// When the last confirmed call was sent; the service can't have counted from earlier.
-    confirmed: Time,
+    confirmed_at: Time,
     ttl: Duration,
 }
 
@@ -37,7 +37,7 @@
     call: CallId,
     purpose: Purpose,
     sent: Time,
-    lost_at: Time,
+    timeout_at: Time,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
         /// The first revision under the lease, if the key stands already.
         first: Option<StoreRevision>,
     },
-    Standing {
+    Registered {
         lease: LeaseId,
         leaving: bool,
         first: StoreRevision,
@@ -59,13 +59,13 @@
 /// How far this process is known to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Living,
+    Active,
     Leaving,
     /// The lease is being ended.
     Revoking {
-        give_up: Time,
+        deadline: Time,
     },
-    Gone,
+    Deregistered,
     /// A later life of the process runs on this host.
     Superseded,
 }
@@ -76,28 +76,28 @@
     stage: Stage,
     lease: Option<HeldLease>,
     call: Option<LeaseCall>,
-    calls: Backoff,
+    call_backoff: Backoff,
     registration: Registration,
-    writes: Backoff,
+    write_backoff: Backoff,
     /// When the key was last written after it had been lost.
-    returned: Option<Time>,
-    lost_before: bool,
-    reachable: bool,
+    re_registered_at: Option<Time>,
+    lease_was_lost: bool,
+    store_reachable: bool,
 }
 
 impl Membership {
     /// Makes the state of a process without a lease.
     pub(super) fn new() -> Self {
         Self {
-            stage: Stage::Living,
+            stage: Stage::Active,
             lease: None,
             call: None,
-            calls: Backoff::default(),
+            call_backoff: Backoff::default(),
             registration: Registration::Absent,
-            writes: Backoff::default(),
-            returned: None,
-            lost_before: false,
-            reachable: false,
+            write_backoff: Backoff::default(),
+            re_registered_at: None,
+            lease_was_lost: false,
+            store_reachable: false,
         }
     }
 
@@ -108,40 +108,40 @@
 
     /// Tells whether the process is about to go.
     pub(super) fn is_leaving(&self) -> bool {
-        self.stage != Stage::Living
+        self.stage != Stage::Active
     }
 
     /// Tells whether the member key is gone for good, as far as can be waited for.
-    pub(super) fn is_gone(&self) -> bool {
-        matches!(self.stage, Stage::Gone | Stage::Superseded)
+    pub(super) fn is_deregistered(&self) -> bool {
+        matches!(self.stage, Stage::Deregistered | Stage::Superseded)
     }
 
     /// Tells whether the last call about the lease succeeded.
     pub(super) const fn is_store_reachable(&self) -> bool {
-        self.reachable
+        self.store_reachable
     }
 
     /// Returns when the member key was last written again after having been lost.
-    pub(super) const fn returned(&self) -> Option<Time> {
-        self.returned
+    pub(super) const fn re_registered_at(&self) -> Option<Time> {
+        self.re_registered_at
     }
 
     /// Returns the first revision of the member key under the present lease.
     ///
     /// Whoever saw the key vanish at a later revision is right, whoever saw it
     /// vanish at an earlier one speaks of an earlier lease.
-    pub(super) fn registered_at(&self) -> Option<StoreRevision> {
+    pub(super) fn registration_revision(&self) -> Option<StoreRevision> {
         let lease = self.lease?.id;
         match self.registration {
-            Registration::Standing { lease: under, first, .. } if under == lease => Some(first),
+            Registration::Registered { lease: under, first, .. } if under == lease => Some(first),
             Registration::Writing { lease: under, first, .. } if under == lease => first,
             _ => None,
         }
     }
 
     /// Returns when the last confirmed renewal was sent.
-    pub(super) fn confirmed(&self) -> Option<Time> {
-        self.lease.map(|lease| lease.confirmed)
+    pub(super) fn confirmed_at(&self) -> Option<Time> {
+        self.lease.map(|lease| lease.confirmed_at)
     }
 
     /// Returns until when this process may take its member key for standing.
@@ -149,51 +149,51 @@
     /// It counts from before the renewal was sent, on this process's own clock:
     /// a process that was paused would otherwise count from when it woke, and
     /// give orders beside its successor.
-    pub(super) fn holds_until(&self, cfg: &NodeConfig) -> Option<Time> {
-        if !matches!(self.stage, Stage::Living | Stage::Leaving) {
+    pub(super) fn lease_valid_until(&self, cfg: &NodeConfig) -> Option<Time> {
+        if !matches!(self.stage, Stage::Active | Stage::Leaving) {
             return None;
         }
-        self.registered_at()?;
+        self.registration_revision()?;
         let lease = self.lease?;
-        Some(lease.confirmed.after(cfg.timings.hold.min(lease.ttl)))
+        Some(lease.confirmed_at.after(cfg.timings.hold.min(lease.ttl)))
     }
 
     /// Tells whether the member key stands for certain.
-    pub(super) fn is_certain(&self, cfg: &NodeConfig, now: Time) -> bool {
-        self.holds_until(cfg).is_some_and(|until| !until.is_due(now))
+    pub(super) fn is_lease_valid(&self, cfg: &NodeConfig, now: Time) -> bool {
+        self.lease_valid_until(cfg).is_some_and(|until| !until.is_due(now))
     }
 
     /// Begins to leave.
     pub(super) fn leave(&mut self) {
-        if self.stage == Stage::Living {
+        if self.stage == Stage::Active {
             self.stage = Stage::Leaving;
         }
     }
 
     /// Ends the lease, and with it the member key.
-    pub(super) fn revoke(&mut self, cx: &Cx<'_>) {
+    pub(super) fn revoke_lease(&mut self, cx: &Cx<'_>) {
         if self.stage != Stage::Leaving {
             return;
         }
         // The key vanishes by itself when the lease lapses, so that a process that
         // is to end doesn't wait for a service that is away.
-        self.stage = Stage::Revoking { give_up: cx.now.after(cx.cfg.timings.store_timeout * 2) };
+        self.stage = Stage::Revoking { deadline: cx.now.after(cx.cfg.timings.store_timeout * 2) };
         self.call = None;
-        self.calls.succeeded();
+        self.call_backoff.reset();
     }
 
     /// Does what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        if self.is_gone() {
+        if self.is_deregistered() {
             return;
         }
-        if let Stage::Revoking { give_up } = self.stage
-            && (give_up.is_due(cx.now) || self.lease.is_none())
+        if let Stage::Revoking { deadline } = self.stage
+            && (deadline.is_due(cx.now) || self.lease.is_none())
         {
-            self.stage = Stage::Gone;
+            self.stage = Stage::Deregistered;
             return;
         }
-        self.drop_lost_call(cx);
+        self.expire_call(cx);
         self.call_when_due(cx);
         self.register_when_due(cx);
     }
@@ -203,13 +203,13 @@
         let Some(sent) = self.call.take_if(|own| own.call == call) else { return };
         match result {
             Ok(answer) => {
-                self.reachable = true;
-                self.calls.succeeded();
+                self.store_reachable = true;
+                self.call_backoff.reset();
                 self.on_answer(cx, sent, answer);
             }
             Err(_failure) => {
-                self.reachable = false;
-                self.calls.failed(cx);
+                self.store_reachable = false;
+                self.call_backoff.record_failure(cx);
             }
         }
     }
@@ -218,19 +218,19 @@
     pub(super) fn on_write(&mut self, cx: &mut Cx<'_>, outcome: &WriteOutcome) {
         let Registration::Writing { lease, leaving, first } = self.registration else { return };
         let WriteOutcome::Done(written) = outcome else {
-            self.registration = first.map_or(Registration::Absent, |first| Registration::Standing {
+            self.registration = first.map_or(Registration::Absent, |first| Registration::Registered {
                 lease,
                 leaving: !leaving,
                 first,
             });
-            self.writes.failed(cx);
+            self.write_backoff.record_failure(cx);
             return;
         };
-        self.writes.succeeded();
+        self.write_backoff.reset();
         let first = first.unwrap_or(written.revision);
-        self.registration = Registration::Standing { lease, leaving, first };
-        if self.registered_at().is_some() && std::mem::take(&mut self.lost_before) {
-            self.returned = Some(cx.now);
+        self.registration = Registration::Registered { lease, leaving, first };
+        if self.registration_revision().is_some() && std::mem::take(&mut self.lease_was_lost) {
+            self.re_registered_at = Some(cx.now);
             cx.note("member_returned", cx.cfg.host.clone(), "registered again after its lease was lost");
         }
     }
@@ -244,8 +244,8 @@
                 let later = member.incarnation;
                 self.supersede(cx, &format!("incarnation {later} runs on this host"));
             }
-            None if self.registered_at().is_some_and(|first| first < revision) => {
-                self.lose(cx, "the member key vanished");
+            None if self.registration_revision().is_some_and(|first| first < revision) => {
+                self.lose_lease(cx, "the member key vanished");
             }
             _ => {}
         }
@@ -263,7 +263,7 @@
         cx.note("superseded", cx.cfg.host.clone(), why);
     }
 
-    fn lose(&mut self, cx: &mut Cx<'_>, why: &str) {
+    fn lose_lease(&mut self, cx: &mut Cx<'_>, why: &str) {
         self.lease = None;
         self.call = None;
         // A write under the lost lease may still be in progress; its outcome must not
@@ -271,22 +271,22 @@
         if !matches!(self.registration, Registration::Writing { .. }) {
             self.registration = Registration::Absent;
         }
-        self.lost_before = true;
-        self.calls.succeeded();
+        self.lease_was_lost = true;
+        self.call_backoff.reset();
         if !matches!(self.stage, Stage::Revoking { .. }) {
             cx.note("lease_lost", cx.cfg.host.clone(), why);
         }
     }
 
-    fn drop_lost_call(&mut self, cx: &mut Cx<'_>) {
-        if self.call.take_if(|call| call.lost_at.is_due(cx.now)).is_some() {
-            self.reachable = false;
-            self.calls.failed(cx);
+    fn expire_call(&mut self, cx: &mut Cx<'_>) {
+        if self.call.take_if(|call| call.timeout_at.is_due(cx.now)).is_some() {
+            self.store_reachable = false;
+            self.call_backoff.record_failure(cx);
         }
     }
 
     fn call_when_due(&mut self, cx: &mut Cx<'_>) {
-        if self.call.is_some() || !self.calls.is_over(cx.now) {
+        if self.call.is_some() || !self.call_backoff.is_ready(cx.now) {
             return;
         }
         let (purpose, request) = match (self.stage, self.lease) {
@@ -295,8 +295,8 @@
             (_, None) => (Purpose::Grant, StoreCall::GrantLease { ttl: cx.cfg.timings.lease_ttl }),
         };
         let call = cx.next_call();
-        let lost_at = cx.now.after(cx.cfg.timings.store_timeout * LOST_AFTER_TIMEOUTS);
-        self.call = Some(LeaseCall { call, purpose, sent: cx.now, lost_at });
+        let timeout_at = cx.now.after(cx.cfg.timings.store_timeout * CALL_TIMEOUT_FACTOR);
+        self.call = Some(LeaseCall { call, purpose, sent: cx.now, timeout_at });
         cx.push(Effect::Store { call, request });
     }
 
@@ -305,32 +305,32 @@
             (Purpose::Revoke, _) => {
                 self.lease = None;
                 self.registration = Registration::Absent;
-                self.stage = Stage::Gone;
+                self.stage = Stage::Deregistered;
             }
             (Purpose::Grant | Purpose::Renew, StoreAnswer::Lease { lease, ttl }) => {
-                self.lease = Some(HeldLease { id: *lease, confirmed: sent.sent, ttl: *ttl });
+                self.lease = Some(HeldLease { id: *lease, confirmed_at: sent.sent, ttl: *ttl });
                 let every = cx.cfg.timings.renew_every;
                 let next = sent.sent.after(every * 3 / 4 + cx.jitter(every / 4));
-                self.calls.rest_until(next);
+                self.call_backoff.delay_until(next);
                 self.register_when_due(cx);
             }
-            (Purpose::Renew, _) => self.lose(cx, "the lease lapsed"),
-            (Purpose::Grant, _) => self.calls.failed(cx),
+            (Purpose::Renew, _) => self.lose_lease(cx, "the lease lapsed"),
+            (Purpose::Grant, _) => self.call_backoff.record_failure(cx),
         }
     }
 
     fn register_when_due(&mut self, cx: &mut Cx<'_>) {
         let Some(lease) = self.lease else { return };
         let leaving = self.is_leaving();
-        let first = self.registered_at();
+        let first = self.registration_revision();
         let due = match self.registration {
             Registration::Writing { .. } => false,
-            Registration::Standing { lease: under, leaving: told, .. } => {
-                under != lease.id || told != leaving
+            Registration::Registered { lease: under, leaving: published, .. } => {
+                under != lease.id || published != leaving
             }
             Registration::Absent => true,
         };
-        if !due || !self.writes.is_over(cx.now) || matches!(self.stage, Stage::Revoking { .. }) {
+        if !due || !self.write_backoff.is_ready(cx.now) || matches!(self.stage, Stage::Revoking { .. }) {
             return;
         }
         self.registration = Registration::Writing { lease: lease.id, leaving, first };
--- a/crates/skylarkshore-core/src/control/holdings.rs
+++ b/crates/skylarkshore-core/src/control/owned_engine.rs
@@ -9,32 +9,32 @@
     /// The engine is kept.
     Held,
     /// No orders are begun any more; those in progress are waited for.
-    Settling { to: HostId, until: Time },
+    Draining { to: HostId, until: Time },
     /// The record that names the next owner may have been written.
-    Giving {
+    Transferring {
         to: HostId,
         /// The revision of the record that it replaces.
         based_on: StoreRevision,
         /// When to write again if the outcome isn't known.
-        again: Time,
+        retry_at: Time,
     },
 }
 
 /// An engine that this process owns.
 #[derive(Clone, Debug)]
-pub(super) struct Holding {
+pub(super) struct OwnedEngine {
     pub(super) fence: Fence,
     pub(super) since: Time,
     /// From when on orders may be given.
-    pub(super) orders_from: Time,
+    pub(super) orders_allowed_from: Time,
     /// The revision at which this process became owner.
-    pub(super) acquired: StoreRevision,
+    pub(super) acquired_revision: StoreRevision,
     /// The revision of the present record.
     pub(super) revision: StoreRevision,
     pub(super) phase: Phase,
 }
 
-impl Holding {
+impl OwnedEngine {
     /// Tells whether the engine isn't being handed over.
     pub(super) fn is_held(&self) -> bool {
         self.phase == Phase::Held
@@ -44,7 +44,7 @@
     pub(super) fn renew(&mut self, revision: StoreRevision) {
         self.revision = revision;
         // A hand-over that was based on the earlier record can't take effect any more.
-        if matches!(self.phase, Phase::Giving { based_on, .. } if based_on < revision) {
+        if matches!(self.phase, Phase::Transferring { based_on, .. } if based_on < revision) {
             self.phase = Phase::Held;
         }
     }
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
+use super::assignment::Assignment;
+use super::context::ReviewContext;
 use super::hashing::HashedHosts;
-use super::holdings::{Holding, Phase};
-use super::knowledge::Knowledge;
+use super::inventory::EngineInventory;
 use super::membership::Membership;
-use super::roster::Roster;
-use super::shares::Shares;
-use super::vacancy::{self, Former, Vacancies, Vacant};
+use super::owned_engine::{OwnedEngine, Phase};
+use super::vacancy::{self, FormerOwner, Vacancies, Vacant};
 use crate::authority::{EngineUse, OwnershipChange, Permit};
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::config::NodeConfig;
@@ -23,18 +23,18 @@
 /// How long the write of an owner record is tried.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
 /// How long a write of unknown outcome rests before it is made again.
-const DOUBT_REST: Duration = Duration::from_secs(1);
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// How often at most all engines are looked at.
-const SCAN_EVERY: Duration = Duration::from_millis(250);
+const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 /// The same where there are many.
-const SCAN_LARGE_EVERY: Duration = Duration::from_secs(1);
+const SCAN_INTERVAL_LARGE: Duration = Duration::from_secs(1);
 /// How often a process looks at engines that others should take.
-const OTHERS_EVERY: Duration = Duration::from_secs(1);
+const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A take-over that was written, and may have taken effect.
 #[derive(Clone, Copy, Debug)]
-struct Intent {
+struct TakeOver {
     fence: Fence,
     based_on: StoreRevision,
     late_orders_until: Time,
@@ -45,19 +45,19 @@
 /// The engines of this process.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
-    holdings: OrderedMap<UpstreamId, Holding>,
-    intents: OrderedMap<UpstreamId, Intent>,
+    owned_engines: OrderedMap<UpstreamId, OwnedEngine>,
+    take_overs: OrderedMap<UpstreamId, TakeOver>,
     /// Engines whose owner record this process is writing.
-    writing: OrderedSet<UpstreamId>,
+    writes_in_flight: OrderedSet<UpstreamId>,
     /// Engines that are left alone for a while after a failed write.
-    resting: OrderedMap<UpstreamId, Time>,
+    backing_off: OrderedMap<UpstreamId, Time>,
     vacancies: Vacancies,
-    shares: Shares,
+    assignment: Assignment,
     /// Engines that had no live owner when all were last looked at.
-    open: Vec<UpstreamId>,
+    vacant_engines: Vec<UpstreamId>,
     is_scan_due: bool,
     next_scan: Time,
-    next_others: Time,
+    next_fallback_check: Time,
     next_handover: Time,
     changes: Vec<OwnershipChange>,
     retired: bool,
@@ -70,13 +70,13 @@
     }
 
     /// Returns the engines that this process owns.
-    pub(super) const fn holdings(&self) -> &OrderedMap<UpstreamId, Holding> {
-        &self.holdings
+    pub(super) const fn owned_engines(&self) -> &OrderedMap<UpstreamId, OwnedEngine> {
+        &self.owned_engines
     }
 
     /// Returns an engine that this process owns and isn't about to hand over.
-    pub(super) fn held(&self, engine: &UpstreamId) -> Option<&Holding> {
-        self.holdings.get(engine).filter(|holding| holding.is_held())
+    pub(super) fn held(&self, engine: &UpstreamId) -> Option<&OwnedEngine> {
+        self.owned_engines.get(engine).filter(|owned| owned.is_held())
     }
 
     /// Returns since when an engine's owner has been gone.
@@ -85,7 +85,7 @@
     }
 
     /// Returns how many engines have no live owner.
-    pub(super) fn vacant(&self) -> usize {
+    pub(super) fn vacant_count(&self) -> usize {
         self.vacancies.len()
     }
 
@@ -95,18 +95,18 @@
     }
 
     /// Tells whether nothing is left that could be handed over.
-    pub(super) fn has_given_up(&self, eligible: &[HostId]) -> bool {
-        self.retired || self.holdings.is_empty() || eligible.is_empty()
+    pub(super) fn has_released_all(&self, eligible: &[HostId]) -> bool {
+        self.retired || self.owned_engines.is_empty() || eligible.is_empty()
     }
 
     /// Gives everything up for good.
     pub(super) fn retire(&mut self) {
         self.retired = true;
-        for engine in std::mem::take(&mut self.holdings).into_keys() {
+        for engine in std::mem::take(&mut self.owned_engines).into_keys() {
             self.changes.push(OwnershipChange::Lost { engine });
         }
-        self.intents.clear();
-        self.open.clear();
+        self.take_overs.clear();
+        self.vacant_engines.clear();
         self.vacancies.clear();
     }
 
@@ -115,47 +115,47 @@
         &self,
         cfg: &NodeConfig,
         membership: &Membership,
-        roster: &Roster,
+        inventory: &EngineInventory,
         now: Time,
         engine: &UpstreamId,
     ) -> Option<Permit> {
-        let holding = self.held(engine)?;
-        if roster.fence_check(engine) == FenceCheck::Refuses {
-            return Some(Permit { fence: holding.fence, not_after: Time::NEVER });
+        let owned = self.held(engine)?;
+        if inventory.fence_check(engine) == FenceCheck::Refuses {
+            return Some(Permit { fence: owned.fence, not_after: Time::NEVER });
         }
         // A successor that saw the member key vanish counts from then. If the key
         // was written again since, only a record written after it makes the
         // successor's write fail; before, both could act on the engine.
-        let registered = membership.registered_at()?;
-        let not_after = membership.holds_until(cfg)?;
+        let registered = membership.registration_revision()?;
+        let not_after = membership.lease_valid_until(cfg)?;
         // The engine's former owner, on another host, may have given an order a moment
         // ago; its orders and this process's have to be apart.
-        let is_apart = holding.orders_from.is_due(now);
-        let safe = holding.revision > registered && is_apart && !not_after.is_due(now);
-        safe.then_some(Permit { fence: holding.fence, not_after })
+        let is_order_gap_over = owned.orders_allowed_from.is_due(now);
+        let safe = owned.revision > registered && is_order_gap_over && !not_after.is_due(now);
+        safe.then_some(Permit { fence: owned.fence, not_after })
     }
 
     /// Compares an engine's record with what this process holds.
-    pub(super) fn refresh(&mut self, cx: &mut Cx<'_>, roster: &Roster, engine: &UpstreamId) {
+    pub(super) fn reconcile(&mut self, cx: &mut Cx<'_>, inventory: &EngineInventory, engine: &UpstreamId) {
         let record = cx.cache.owner(engine);
-        let named = record
+        let own = record
             .filter(|(_, owner)| owner.host == cx.cfg.host && owner.incarnation == cx.cfg.incarnation)
             .filter(|_| !self.retired)
-            .map(|(revision, owner)| Named { revision, fence: owner.fence });
-        let held = self.holdings.get_mut(engine);
-        match (named, held) {
-            (Some(named), Some(holding)) if holding.fence == named.fence => holding.renew(named.revision),
-            (Some(named), Some(_)) => {
-                self.lose(cx, engine);
-                self.acquire(cx, roster, engine, named);
+            .map(|(revision, owner)| OwnRecord { revision, fence: owner.fence });
+        let held = self.owned_engines.get_mut(engine);
+        match (own, held) {
+            (Some(own), Some(owned)) if owned.fence == own.fence => owned.renew(own.revision),
+            (Some(own), Some(_)) => {
+                self.drop_ownership(cx, engine);
+                self.acquire(cx, inventory, engine, own);
             }
-            (Some(named), None) => self.acquire(cx, roster, engine, named),
-            (None, Some(_)) => self.lose(cx, engine),
+            (Some(own), None) => self.acquire(cx, inventory, engine, own),
+            (None, Some(_)) => self.drop_ownership(cx, engine),
             (None, None) => {}
         }
         let present = record_revision(cx, engine);
-        if self.intents.get(engine).is_some_and(|intent| intent.based_on < present) {
-            self.intents.remove(engine);
+        if self.take_overs.get(engine).is_some_and(|take_over| take_over.based_on < present) {
+            self.take_overs.remove(engine);
         }
     }
 
@@ -163,84 +163,91 @@
     pub(super) fn on_write(
         &mut self,
         cx: &mut Cx<'_>,
-        roster: &Roster,
+        inventory: &EngineInventory,
         engine: &UpstreamId,
         outcome: &WriteOutcome,
     ) {
-        self.writing.remove(engine);
-        self.refresh(cx, roster, engine);
-        let rest = cx.now.after(cx.jitter(DOUBT_REST));
+        self.writes_in_flight.remove(engine);
+        self.reconcile(cx, inventory, engine);
+        let next_try = cx.now.after(cx.jitter(WRITE_RETRY_DELAY));
         if !matches!(outcome, WriteOutcome::Done(_)) {
-            self.resting.insert(engine.clone(), rest);
+            self.backing_off.insert(engine.clone(), next_try);
         }
-        let Some(holding) = self.holdings.get_mut(engine) else { return };
-        let Phase::Giving { again, .. } = &mut holding.phase else { return };
+        let Some(owned) = self.owned_engines.get_mut(engine) else { return };
+        let Phase::Transferring { retry_at, .. } = &mut owned.phase else { return };
         match outcome {
-            WriteOutcome::Unknown => *again = rest,
+            WriteOutcome::Unknown => *retry_at = next_try,
             // A lost earlier try may still be on its way, so that only a record
             // that is seen to be newer ends the doubt.
-            WriteOutcome::NotDone if *again != Time::NEVER => *again = rest,
-            WriteOutcome::NotDone => holding.phase = Phase::Held,
+            WriteOutcome::NotDone if *retry_at != Time::NEVER => *retry_at = next_try,
+            WriteOutcome::NotDone => owned.phase = Phase::Held,
             WriteOutcome::Done(_) | WriteOutcome::Conflict(_) => {}
         }
     }
 
     /// Does what is due: takes over, confirms and hands over.
-    pub(super) fn review(&mut self, cx: &mut Cx<'_>, knowledge: &Knowledge<'_>, engines: &dyn EngineUse) {
+    pub(super) fn review(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>, engines: &dyn EngineUse) {
         if self.retired {
             return;
         }
-        self.resting.retain(|_, until| !until.is_due(cx.now));
-        if knowledge.has_changed {
+        self.backing_off.retain(|_, until| !until.is_due(cx.now));
+        if context.has_changed {
             self.is_scan_due = true;
         }
         if self.is_scan_due && self.next_scan.is_due(cx.now) {
             self.is_scan_due = false;
-            let is_large = knowledge.has_spare_engines(cx);
-            self.next_scan = cx.now.after(if is_large { SCAN_LARGE_EVERY } else { SCAN_EVERY });
-            self.scan(cx, knowledge);
+            let is_large = context.has_spare_engines(cx);
+            self.next_scan = cx.now.after(if is_large { SCAN_INTERVAL_LARGE } else { SCAN_INTERVAL });
+            self.scan(cx, context);
         }
-        self.settle_handovers(cx, knowledge, engines);
-        if !knowledge.may_decide(cx) {
+        self.advance_handovers(cx, context, engines);
+        if !context.may_decide(cx) {
             return;
         }
-        self.confirm_records(cx, knowledge);
-        self.forget_gone(cx, knowledge);
-        if !knowledge.membership.is_leaving() {
-            self.take_vacant(cx, knowledge);
+        self.confirm_records(cx, context);
+        self.delete_gone_engines(cx, context);
+        if !context.membership.is_leaving() {
+            self.take_over_vacant(cx, context);
         }
-        self.begin_handovers(cx, knowledge);
+        self.begin_handovers(cx, context);
     }
 
-    fn acquire(&mut self, cx: &mut Cx<'_>, roster: &Roster, engine: &UpstreamId, named: Named) {
-        let late_orders_until = self.late_orders_until(cx, roster, engine, named.fence);
-        let gap = if self.is_own_again(cx, engine) { Duration::ZERO } else { cx.cfg.timings.order_gap };
-        let holding = Holding {
-            orders_from: cx.now.after(gap),
-            fence: named.fence,
+    fn acquire(&mut self, cx: &mut Cx<'_>, inventory: &EngineInventory, engine: &UpstreamId, own: OwnRecord) {
+        let late_orders_until = self.late_orders_until(cx, inventory, engine, own.fence);
+        let gap =
+            if self.was_owned_by_this_host(cx, engine) { Duration::ZERO } else { cx.cfg.timings.order_gap };
+        let owned = OwnedEngine {
+            orders_allowed_from: cx.now.after(gap),
+            fence: own.fence,
             since: cx.now,
-            acquired: named.revision,
-            revision: named.revision,
+            acquired_revision: own.revision,
+            revision: own.revision,
             phase: Phase::Held,
         };
-        self.holdings.insert(engine.clone(), holding);
+        self.owned_engines.insert(engine.clone(), owned);
         self.vacancies.forget(engine);
-        cx.note("engine_acquired", engine.clone(), format!("fence {}", named.fence));
-        let fence = named.fence;
+        cx.note("engine_acquired", engine.clone(), format!("fence {}", own.fence));
+        let fence = own.fence;
         self.changes.push(OwnershipChange::Acquired { engine: engine.clone(), fence, late_orders_until });
     }
 
     /// Tells whether no other host owned the engine before, as far as this process took part in it.
-    fn is_own_again(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
+    fn was_owned_by_this_host(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
         let entry = cx.cache.get(&Key::Owner(engine.clone()));
         let writer = entry.and_then(|entry| entry.writer.as_ref());
         let is_own = writer.is_some_and(|writer| writer.host == cx.cfg.host);
-        is_own && self.intents.get(engine).is_some_and(|intent| intent.from_same_host)
+        is_own && self.take_overs.get(engine).is_some_and(|take_over| take_over.from_same_host)
     }
 
     /// Returns until when an order of the former owner may still reach the engine.
-    fn late_orders_until(&self, cx: &Cx<'_>, roster: &Roster, engine: &UpstreamId, fence: Fence) -> Time {
-        if roster.fence_check(engine) == FenceCheck::Refuses {
+    fn late_orders_until(
+        &self,
+        cx: &Cx<'_>,
+        inventory: &EngineInventory,
+        engine: &UpstreamId,
+        fence: Fence,
+    ) -> Time {
+        if inventory.fence_check(engine) == FenceCheck::Refuses {
             return Time::START;
         }
         let entry = cx.cache.get(&Key::Owner(engine.clone()));
@@ -249,53 +256,57 @@
         if !taken_over {
             return Time::START;
         }
-        self.intents
+        self.take_overs
             .get(engine)
-            .filter(|intent| intent.fence == fence)
+            .filter(|take_over| take_over.fence == fence)
             .map_or(Time::NEVER, |i| i.late_orders_until)
     }
 
-    fn lose(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
-        let Some(holding) = self.holdings.remove(engine) else { return };
+    fn drop_ownership(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
+        let Some(owned) = self.owned_engines.remove(engine) else { return };
         let next = cx.cache.owner(engine).map(|(_, owner)| owner.host.to_string());
         let next = next.unwrap_or_else(|| "nobody".to_owned());
-        let event = if holding.is_held() { "engine_lost" } else { "engine_handed_over" };
+        let event = if owned.is_held() { "engine_lost" } else { "engine_handed_over" };
         cx.note(event, engine.clone(), format!("now owned by {next}"));
         self.changes.push(OwnershipChange::Lost { engine: engine.clone() });
     }
 
     /// Looks at all engines: who should own them, and which have no live owner.
-    fn scan(&mut self, cx: &Cx<'_>, knowledge: &Knowledge<'_>) {
-        let engines = looked_after(cx, knowledge);
+    fn scan(&mut self, cx: &Cx<'_>, context: &ReviewContext<'_>) {
+        let engines = ownable_engines(cx, context);
         self.vacancies.retain(&engines);
-        let others = engines.iter().filter(|engine| !self.holdings.contains_key(*engine));
-        let open = others.filter(|engine| !vacancy::has_owner(cx, knowledge, engine));
-        self.open = open.cloned().collect();
-        self.vacancies.keep_open(&self.open);
-        self.shares.update(knowledge.eligible, engines, self.open.iter().chain(self.holdings.keys()));
+        let others = engines.iter().filter(|engine| !self.owned_engines.contains_key(*engine));
+        let vacant_engines = others.filter(|engine| !vacancy::has_live_owner(cx, context, engine));
+        self.vacant_engines = vacant_engines.cloned().collect();
+        self.vacancies.retain_vacant(&self.vacant_engines);
+        self.assignment.update(
+            context.eligible,
+            engines,
+            self.vacant_engines.iter().chain(self.owned_engines.keys()),
+        );
     }
 
-    fn is_free(&self, engine: &UpstreamId) -> bool {
-        !self.writing.contains(engine) && !self.resting.contains_key(engine)
+    fn can_write(&self, engine: &UpstreamId) -> bool {
+        !self.writes_in_flight.contains(engine) && !self.backing_off.contains_key(engine)
     }
 
     /// Writes the records of engines that ignore fences anew after the member key was lost.
-    fn confirm_records(&mut self, cx: &mut Cx<'_>, knowledge: &Knowledge<'_>) {
-        let Some(registered) = knowledge.membership.registered_at() else { return };
-        let stale: Vec<UpstreamId> = self
-            .holdings
+    fn confirm_records(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
+        let Some(registered) = context.membership.registration_revision() else { return };
+        let unconfirmed: Vec<UpstreamId> = self
+            .owned_engines
             .iter()
-            .filter(|(engine, holding)| {
-                holding.is_held()
-                    && holding.revision < registered
-                    && knowledge.roster.fence_check(engine) == FenceCheck::Ignores
-                    && self.is_free(engine)
+            .filter(|(engine, owned)| {
+                owned.is_held()
+                    && owned.revision < registered
+                    && context.inventory.fence_check(engine) == FenceCheck::Ignores
+                    && self.can_write(engine)
             })
             .map(|(engine, _)| engine.clone())
             .collect();
-        for engine in stale {
-            let Some(holding) = self.holdings.get(&engine) else { continue };
-            let (fence, revision) = (holding.fence, holding.revision);
+        for engine in unconfirmed {
+            let Some(owned) = self.owned_engines.get(&engine) else { continue };
+            let (fence, revision) = (owned.fence, owned.revision);
             self.write(cx, &engine, Expect::At(revision), Some(own_record(cx, fence)));
         }
     }
@@ -304,40 +315,40 @@
     ///
     /// Engines come and go under new names every day. Without this, each of them
     /// would leave a record behind that every process reads and keeps.
-    fn forget_gone(&mut self, cx: &mut Cx<'_>, knowledge: &Knowledge<'_>) {
+    fn delete_gone_engines(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
         let gone: Vec<UpstreamId> = self
-            .holdings
+            .owned_engines
             .iter()
-            .filter(|(engine, holding)| {
-                holding.is_held()
-                    && knowledge.roster.is_gone(cx, engine, Some(holding.since))
-                    && self.is_free(engine)
-                    && !is_in_use(cx, knowledge, engine)
+            .filter(|(engine, owned)| {
+                owned.is_held()
+                    && context.inventory.is_gone(cx, engine, Some(owned.since))
+                    && self.can_write(engine)
+                    && !is_in_use(cx, context, engine)
             })
             .map(|(engine, _)| engine.clone())
             .collect();
         for engine in gone {
-            let Some(holding) = self.holdings.get(&engine) else { continue };
-            let expect = Expect::At(holding.revision);
+            let Some(owned) = self.owned_engines.get(&engine) else { continue };
+            let expect = Expect::At(owned.revision);
             cx.note("engine_gone", engine.clone(), "not listed, not reached, and without homes or power");
             self.write(cx, &engine, expect, None);
         }
     }
 
-    fn take_vacant(&mut self, cx: &mut Cx<'_>, knowledge: &Knowledge<'_>) {
-        let hosts = HashedHosts::new(knowledge.eligible);
-        let looks_at_others = self.next_others.is_due(cx.now);
-        if looks_at_others {
-            self.next_others = cx.now.after(OTHERS_EVERY);
+    fn take_over_vacant(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
+        let hosts = HashedHosts::new(context.eligible);
+        let includes_others = self.next_fallback_check.is_due(cx.now);
+        if includes_others {
+            self.next_fallback_check = cx.now.after(FALLBACK_CHECK_INTERVAL);
         }
-        for engine in self.open.clone() {
-            let share = self.shares.owner(&engine);
-            let is_own = share == Some(&cx.cfg.host);
-            if self.holdings.contains_key(&engine) || !is_own && !looks_at_others {
+        for engine in self.vacant_engines.clone() {
+            let assignee = self.assignment.owner(&engine);
+            let is_own = assignee == Some(&cx.cfg.host);
+            if self.owned_engines.contains_key(&engine) || !is_own && !includes_others {
                 continue;
             }
-            let Some(vacant) = self.vacancies.look(cx, knowledge, &hosts, &engine, share) else { continue };
-            if self.is_free(&engine) {
+            let Some(vacant) = self.vacancies.check(cx, context, &hosts, &engine, assignee) else { continue };
+            if self.can_write(&engine) {
                 self.take_over(cx, vacant);
             }
         }
@@ -347,9 +358,10 @@
         let Vacant { engine, former } = vacant;
         let fence = next_fence(cx, former.as_ref());
         let based_on = former.as_ref().map_or(StoreRevision(0), |former| former.revision);
-        let late_orders_until = former.as_ref().map_or(Time::START, |former| late_orders_of(cx, former));
+        let late_orders_until = former.as_ref().map_or(Time::START, |former| late_order_deadline(cx, former));
         let from_same_host = former.as_ref().is_none_or(|former| former.owner.host == cx.cfg.host);
-        self.intents.insert(engine.clone(), Intent { fence, based_on, late_orders_until, from_same_host });
+        self.take_overs
+            .insert(engine.clone(), TakeOver { fence, based_on, late_orders_until, from_same_host });
         if let Some(former) = &former {
             let why = if former.ended { "its process has ended" } else { "its member key is gone" };
             let detail = format!("from {}, since {why}; fence {fence}", former.owner.host);
@@ -360,7 +372,7 @@
     }
 
     fn write(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId, expect: Expect, owner: Option<OwnerRecord>) {
-        self.writing.insert(engine.clone());
+        self.writes_in_flight.insert(engine.clone());
         cx.write(WriteRequest {
             key: Key::Owner(engine.clone()),
             expect,
@@ -376,13 +388,13 @@
 /// An owner asks its engines how they stand, and all processes hear who owns
 /// which. Where there are many more engines than hosts, that is left out for
 /// those on which nothing is to be loaded; requests use what they hold.
-fn looked_after(cx: &Cx<'_>, knowledge: &Knowledge<'_>) -> OrderedSet<UpstreamId> {
+fn ownable_engines(cx: &Cx<'_>, context: &ReviewContext<'_>) -> OrderedSet<UpstreamId> {
     let mut engines: OrderedSet<UpstreamId> = cx.cache.owners().map(|(engine, _)| engine.clone()).collect();
-    if knowledge.has_spare_engines(cx) {
+    if context.has_spare_engines(cx) {
         let homes = cx.cache.all_homes().flat_map(|(_, homes)| &homes.engines);
         engines.extend(homes.cloned());
     } else {
-        let listed = knowledge.roster.iter().filter(|(_, known)| known.is_listed());
+        let listed = context.inventory.iter().filter(|(_, known)| known.is_listed());
         engines.extend(listed.map(|(id, _)| id.clone()));
     }
     engines
@@ -390,7 +402,7 @@
 
 /// A record that names this process.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct OwnRecord {
     revision: StoreRevision,
     fence: Fence,
 }
@@ -400,8 +412,8 @@
 }
 
 /// Tells whether a model's homes or a site's grants name the engine.
-fn is_in_use(cx: &Cx<'_>, knowledge: &Knowledge<'_>, engine: &UpstreamId) -> bool {
-    let site = knowledge.roster.get(engine).map(|known| &known.site);
+fn is_in_use(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId) -> bool {
+    let site = context.inventory.get(engine).map(|known| &known.site);
     let power = site.and_then(|site| cx.cache.power(site));
     let granted = power.is_some_and(|(_, record)| record.grants.contains_key(engine));
     granted || cx.cache.all_homes().any(|(_, homes)| homes.engines.contains(engine))
@@ -416,10 +428,10 @@
 /// The record of an engine that was gone for long is deleted. Should the engine
 /// come back, it may still know the fence of then; no fence is ever above the
 /// revision of its own record, so that a later revision is above them all.
-fn next_fence(cx: &Cx<'_>, former: Option<&Former>) -> Fence {
+fn next_fence(cx: &Cx<'_>, former: Option<&FormerOwner>) -> Fence {
     former.map_or(Fence(cx.cache.newest().0.max(1)), |former| former.owner.fence.next())
 }
 
-fn late_orders_of(cx: &Cx<'_>, former: &Former) -> Time {
+fn late_order_deadline(cx: &Cx<'_>, former: &FormerOwner) -> Time {
     if former.ended { cx.now.after(cx.cfg.timings.hold_margin) } else { Time::NEVER }
 }
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -4,110 +4,119 @@
 
 use super::{Ownership, own_record};
 use crate::authority::EngineUse;
-use crate::control::holdings::Phase;
-use crate::control::knowledge::Knowledge;
-use crate::control::shares::Balance;
+use crate::control::assignment::OwnershipBalance;
+use crate::control::context::ReviewContext;
+use crate::control::owned_engine::Phase;
 use crate::cx::Cx;
 use crate::id::UpstreamId;
 use crate::store::{Expect, OwnerRecord};
 use crate::time::Time;
 
 /// How long a hand-over waits for orders in progress before it is called off.
-const SETTLE_WITHIN: Duration = Duration::from_secs(20);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 /// How many engines are handed over at a time when little is to be evened out.
-const FEWEST_HANDOVERS: usize = 2;
+const MIN_CONCURRENT_HANDOVERS: usize = 2;
 /// How many engines are handed over at a time at most.
-const MOST_HANDOVERS: usize = 8;
+const MAX_CONCURRENT_HANDOVERS: usize = 8;
 /// How many engines beyond the mean a process has to own before it hands one over
 /// that takes no orders meanwhile.
-const EXCESS_WORTH_A_GAP: usize = 3;
+const MIN_EXCESS_WITH_ORDER_GAP: usize = 3;
 /// How long the engines' distribution is left alone after a hand-over.
-const HANDOVER_REST: Duration = Duration::from_secs(2);
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Ownership {
-    pub(super) fn begin_handovers(&mut self, cx: &mut Cx<'_>, knowledge: &Knowledge<'_>) {
-        let leaving = knowledge.membership.is_leaving();
-        let has_few = !cx.cfg.timings.order_gap.is_zero() && self.holdings.len() < EXCESS_WORTH_A_GAP;
+    pub(super) fn begin_handovers(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
+        let leaving = context.membership.is_leaving();
+        let has_few =
+            !cx.cfg.timings.order_gap.is_zero() && self.owned_engines.len() < MIN_EXCESS_WITH_ORDER_GAP;
         if !leaving && (has_few || !self.next_handover.is_due(cx.now)) {
             return;
         }
-        let mut balance = Balance::new(cx.cache, knowledge.eligible);
-        let most = if leaving { MOST_HANDOVERS } else { handovers_at_once(balance.excess(&cx.cfg.host)) };
-        if !leaving && !is_worth_a_gap(cx, balance.excess(&cx.cfg.host)) {
+        let mut balance = OwnershipBalance::new(cx.cache, context.eligible);
+        let max_handovers = if leaving {
+            MAX_CONCURRENT_HANDOVERS
+        } else {
+            max_concurrent_handovers(balance.excess(&cx.cfg.host))
+        };
+        if !leaving && !is_worth_order_gap(cx, balance.excess(&cx.cfg.host)) {
             return;
         }
-        let going = self.holdings.values().filter(|holding| !holding.is_held()).count();
-        if going >= most {
+        let in_progress = self.owned_engines.values().filter(|owned| !owned.is_held()).count();
+        if in_progress >= max_handovers {
             return;
         }
-        let candidates: Vec<UpstreamId> = self.holdings.keys().cloned().collect();
+        let candidates: Vec<UpstreamId> = self.owned_engines.keys().cloned().collect();
         let mut begun = 0;
         for engine in candidates {
-            if going + begun >= most {
+            if in_progress + begun >= max_handovers {
                 break;
             }
-            if !self.is_free(&engine) || self.held(&engine).is_none() {
+            if !self.can_write(&engine) || self.held(&engine).is_none() {
                 continue;
             }
-            let share = self.shares.owner(&engine);
-            let Some(to) = balance.receiver(&cx.cfg.host, share, leaving).cloned() else { continue };
-            balance.move_one(&cx.cfg.host, &to);
+            let assignee = self.assignment.owner(&engine);
+            let Some(to) = balance.receiver(&cx.cfg.host, assignee, leaving).cloned() else { continue };
+            balance.record_move(&cx.cfg.host, &to);
             begun += 1;
-            let until = cx.now.after(SETTLE_WITHIN);
-            if let Some(holding) = self.holdings.get_mut(&engine) {
-                holding.phase = Phase::Settling { to, until };
+            let until = cx.now.after(DRAIN_TIMEOUT);
+            if let Some(owned) = self.owned_engines.get_mut(&engine) {
+                owned.phase = Phase::Draining { to, until };
             }
         }
         if begun > 0 {
-            self.next_handover = cx.now.after(cx.jitter(HANDOVER_REST));
+            self.next_handover = cx.now.after(cx.jitter(HANDOVER_INTERVAL));
         }
     }
 
     /// Moves the hand-overs on that have begun.
-    pub(super) fn settle_handovers(
+    pub(super) fn advance_handovers(
         &mut self,
         cx: &mut Cx<'_>,
-        knowledge: &Knowledge<'_>,
+        context: &ReviewContext<'_>,
         engines: &dyn EngineUse,
     ) {
-        let ids: Vec<UpstreamId> =
-            self.holdings.iter().filter(|(_, h)| !h.is_held()).map(|(engine, _)| engine.clone()).collect();
+        let ids: Vec<UpstreamId> = self
+            .owned_engines
+            .iter()
+            .filter(|(_, h)| !h.is_held())
+            .map(|(engine, _)| engine.clone())
+            .collect();
         for engine in ids {
-            if self.is_free(&engine) {
-                self.settle_handover(cx, knowledge, engines, &engine);
+            if self.can_write(&engine) {
+                self.advance_handover(cx, context, engines, &engine);
             }
         }
     }
 
-    fn settle_handover(
+    fn advance_handover(
         &mut self,
         cx: &mut Cx<'_>,
-        knowledge: &Knowledge<'_>,
+        context: &ReviewContext<'_>,
         engines: &dyn EngineUse,
         engine: &UpstreamId,
     ) {
-        let Some(holding) = self.holdings.get_mut(engine) else { return };
-        let (to, based_on) = match holding.phase.clone() {
+        let Some(owned) = self.owned_engines.get_mut(engine) else { return };
+        let (to, based_on) = match owned.phase.clone() {
             Phase::Held => return,
-            Phase::Settling { to, until } => {
-                let called_off = until.is_due(cx.now) && !knowledge.membership.is_leaving();
-                if called_off || !knowledge.eligible.contains(&to) {
-                    holding.phase = Phase::Held;
+            Phase::Draining { to, until } => {
+                let called_off = until.is_due(cx.now) && !context.membership.is_leaving();
+                if called_off || !context.eligible.contains(&to) {
+                    owned.phase = Phase::Held;
                     return;
                 }
                 if !engines.is_settled(engine) {
                     return;
                 }
-                let based_on = holding.revision;
-                holding.phase = Phase::Giving { to: to.clone(), based_on, again: Time::NEVER };
+                let based_on = owned.revision;
+                owned.phase = Phase::Transferring { to: to.clone(), based_on, retry_at: Time::NEVER };
                 (to, based_on)
             }
-            Phase::Giving { again, .. } if !again.is_due(cx.now) => return,
-            Phase::Giving { to, based_on, .. } => (to, based_on),
+            Phase::Transferring { retry_at, .. } if !retry_at.is_due(cx.now) => return,
+            Phase::Transferring { to, based_on, .. } => (to, based_on),
         };
-        let fence = holding.fence.next();
+        let fence = owned.fence.next();
         let Some(member) = cx.cache.member(&to) else {
-            self.take_back(cx, engine);
+            self.cancel_transfer(cx, engine);
             return;
         };
         let owner = OwnerRecord { host: to, incarnation: member.incarnation, fence };
@@ -115,16 +124,16 @@
     }
 
     /// Ends the doubt about a hand-over whose receiver is gone by writing the own record anew.
-    fn take_back(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
-        let Some(holding) = self.holdings.get_mut(engine) else { return };
-        let Phase::Giving { again, based_on, .. } = &mut holding.phase else { return };
+    fn cancel_transfer(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
+        let Some(owned) = self.owned_engines.get_mut(engine) else { return };
+        let Phase::Transferring { retry_at, based_on, .. } = &mut owned.phase else { return };
         let expect = Expect::At(*based_on);
-        if *again == Time::NEVER {
-            holding.phase = Phase::Held;
+        if *retry_at == Time::NEVER {
+            owned.phase = Phase::Held;
             return;
         }
-        *again = cx.now;
-        let fence = holding.fence;
+        *retry_at = cx.now;
+        let fence = owned.fence;
         self.write(cx, engine, expect, Some(own_record(cx, fence)));
     }
 }
@@ -135,10 +144,10 @@
 /// hands takes none for that time. Hosts that restart one after the other would
 /// keep every engine without orders for seconds, over and over; so a few engines
 /// more than others have are kept.
-fn is_worth_a_gap(cx: &Cx<'_>, excess: usize) -> bool {
-    cx.cfg.timings.order_gap.is_zero() || excess >= EXCESS_WORTH_A_GAP
+fn is_worth_order_gap(cx: &Cx<'_>, excess: usize) -> bool {
+    cx.cfg.timings.order_gap.is_zero() || excess >= MIN_EXCESS_WITH_ORDER_GAP
 }
 
-fn handovers_at_once(excess: usize) -> usize {
-    (excess / 4).clamp(FEWEST_HANDOVERS, MOST_HANDOVERS)
+fn max_concurrent_handovers(excess: usize) -> usize {
+    (excess / 4).clamp(MIN_CONCURRENT_HANDOVERS, MAX_CONCURRENT_HANDOVERS)
 }
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -20,22 +20,22 @@
 /// How many peers hear the same process's heartbeats regularly.
 const RING_SUCCESSORS: usize = 5;
 /// How long a former member is remembered.
-const FORGET_AFTER: Duration = Duration::from_mins(10);
+const FORGET_PEER_AFTER: Duration = Duration::from_mins(10);
 /// Over how long members that vanish count as vanished together.
-const TOGETHER: Duration = Duration::from_secs(15);
+const MASS_EXPIRY_WINDOW: Duration = Duration::from_secs(15);
 /// How many members vanish together before an outage is suspected.
-const FEWEST_TOGETHER: usize = 2;
+const MASS_EXPIRY_MIN_MEMBERS: usize = 2;
 /// How often a process is probed whose life is in question.
-const PROBE_EVERY: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastHeartbeat {
     incarnation: Incarnation,
     at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LastMember {
+struct LastRegistration {
     incarnation: Incarnation,
     address: SocketAddr,
 }
@@ -43,19 +43,19 @@
 /// What is known of one other process.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    heard: Option<Heard>,
-    member: Option<LastMember>,
+    last_heartbeat: Option<LastHeartbeat>,
+    registration: Option<LastRegistration>,
     /// Every life before this one has ended for certain.
-    ended_before: Incarnation,
+    min_incarnation: Incarnation,
     next_probe: Time,
     /// When it became a member, or last said that it reaches the key-value service.
-    reached_store: Time,
-    seen: Time,
+    store_reached_at: Time,
+    last_seen: Time,
 }
 
 /// What a process tells its peers of itself.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OwnState {
+pub(super) struct LocalStatus {
     /// The revision up to which it knows the shared keys.
     pub(super) frontier: StoreRevision,
     pub(super) is_store_reachable: bool,
@@ -66,37 +66,38 @@
 /// What is known of the other processes.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    known: OrderedMap<HostId, Peer>,
-    vanished: VecDeque<Time>,
+    by_host: OrderedMap<HostId, Peer>,
+    recent_expiries: VecDeque<Time>,
     next_heartbeat: Time,
     /// The other members in the order in which they follow this one on the hash ring.
     ring: Vec<HostId>,
     /// The members of which the ring was made.
-    ring_version: Option<u64>,
+    ring_members_version: Option<u64>,
 }
 
 impl Peers {
     /// Tells whether this life of a process has ended for certain.
     pub(super) fn has_ended(&self, host: &HostId, incarnation: Incarnation) -> bool {
-        self.known.get(host).is_some_and(|peer| incarnation < peer.ended_before)
+        self.by_host.get(host).is_some_and(|peer| incarnation < peer.min_incarnation)
     }
 
     /// Tells whether this life of a process was heard of lately.
-    pub(super) fn is_heard(&self, cx: &Cx<'_>, host: &HostId, incarnation: Incarnation) -> bool {
-        let heard = self.known.get(host).and_then(|peer| peer.heard);
-        heard.is_some_and(|heard| {
-            heard.incarnation == incarnation && !heard.at.after(cx.cfg.timings.peer_timeout).is_due(cx.now)
+    pub(super) fn has_recent_heartbeat(&self, cx: &Cx<'_>, host: &HostId, incarnation: Incarnation) -> bool {
+        let last_heartbeat = self.by_host.get(host).and_then(|peer| peer.last_heartbeat);
+        last_heartbeat.is_some_and(|heartbeat| {
+            heartbeat.incarnation == incarnation
+                && !heartbeat.at.after(cx.cfg.timings.peer_timeout).is_due(cx.now)
         })
     }
 
     /// Returns when a process was heard of last.
-    pub(super) fn last_heard(&self, host: &HostId) -> Option<Time> {
-        self.known.get(host).and_then(|peer| peer.heard).map(|heard| heard.at)
+    pub(super) fn last_heartbeat_at(&self, host: &HostId) -> Option<Time> {
+        self.by_host.get(host).and_then(|peer| peer.last_heartbeat).map(|heartbeat| heartbeat.at)
     }
 
     /// Returns when a process last said that it reaches the key-value service, or became a member.
-    pub(super) fn reached_store(&self, host: &HostId) -> Time {
-        self.known.get(host).map_or(Time::START, |peer| peer.reached_store)
+    pub(super) fn store_reached_at(&self, host: &HostId) -> Time {
+        self.by_host.get(host).map_or(Time::START, |peer| peer.store_reached_at)
     }
 
     /// Tells whether so many members vanished together that the key-value service is to blame.
@@ -104,78 +105,80 @@
     /// After an outage, every lease may have lapsed though every process lives.
     /// If each of them took the others' engines over, all engines would change
     /// hands at once, several times.
-    pub(super) fn have_vanished_together(&self, cx: &Cx<'_>) -> bool {
-        let lately = self.vanished.iter().filter(|at| !at.after(TOGETHER).is_due(cx.now)).count();
-        lately >= FEWEST_TOGETHER && lately >= cx.cache.members().count()
+    pub(super) fn is_mass_expiry(&self, cx: &Cx<'_>) -> bool {
+        let recent =
+            self.recent_expiries.iter().filter(|at| !at.after(MASS_EXPIRY_WINDOW).is_due(cx.now)).count();
+        recent >= MASS_EXPIRY_MIN_MEMBERS && recent >= cx.cache.members().count()
     }
 
     /// Returns the live members that may own something and keep it.
     pub(super) fn eligible(&self, cx: &Cx<'_>, membership: &Membership) -> Vec<HostId> {
-        let goes = |host: &HostId, member: &MemberRecord| {
+        let leaves = |host: &HostId, member: &MemberRecord| {
             member.leaving || (*host == cx.cfg.host && membership.is_leaving())
         };
-        let ended = |host: &HostId, member: &MemberRecord| {
-            let other_life = *host == cx.cfg.host && member.incarnation != cx.cfg.incarnation;
-            other_life || self.has_ended(host, member.incarnation)
+        let is_replaced = |host: &HostId, member: &MemberRecord| {
+            let is_other_incarnation = *host == cx.cfg.host && member.incarnation != cx.cfg.incarnation;
+            is_other_incarnation || self.has_ended(host, member.incarnation)
         };
         let members = cx.cache.members();
         members
-            .filter(|(host, member)| !goes(host, member) && !ended(host, member))
+            .filter(|(host, member)| !leaves(host, member) && !is_replaced(host, member))
             .map(|(host, _)| host.clone())
             .collect()
     }
 
     /// Takes note of a peer's message.
     pub(super) fn on_peer(&mut self, cx: &Cx<'_>, from: &HostId, message: &PeerMessage) {
-        let peer = self.known.entry(from.clone()).or_default();
-        peer.seen = cx.now;
+        let peer = self.by_host.entry(from.clone()).or_default();
+        peer.last_seen = cx.now;
         if let PeerMessage::Heartbeat { incarnation, store_reachable, .. } = message {
-            if *incarnation < peer.ended_before {
+            if *incarnation < peer.min_incarnation {
                 return;
             }
-            peer.ended_before = *incarnation;
-            peer.heard = Some(Heard { incarnation: *incarnation, at: cx.now });
+            peer.min_incarnation = *incarnation;
+            peer.last_heartbeat = Some(LastHeartbeat { incarnation: *incarnation, at: cx.now });
             if *store_reachable {
-                peer.reached_store = cx.now;
+                peer.store_reached_at = cx.now;
             }
         }
     }
 
     /// Takes note that a life of a process has ended for certain.
-    pub(super) fn on_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
-        let peer = self.known.entry(host.clone()).or_default();
-        peer.seen = cx.now;
-        if incarnation < peer.ended_before {
+    pub(super) fn on_connection_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
+        let peer = self.by_host.entry(host.clone()).or_default();
+        peer.last_seen = cx.now;
+        if incarnation < peer.min_incarnation {
             return;
         }
-        peer.ended_before = incarnation.next();
+        peer.min_incarnation = incarnation.next();
         cx.note("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
     }
 
     /// Takes note of a change of a member key.
     pub(super) fn on_member(&mut self, cx: &Cx<'_>, host: &HostId) {
-        let peer = self.known.entry(host.clone()).or_default();
-        peer.seen = cx.now;
+        let peer = self.by_host.entry(host.clone()).or_default();
+        peer.last_seen = cx.now;
         let Some(member) = cx.cache.member(host) else {
-            self.vanished.push_back(cx.now);
+            self.recent_expiries.push_back(cx.now);
             return;
         };
-        peer.ended_before = peer.ended_before.max(member.incarnation);
-        if peer.member.is_none_or(|known| known.incarnation != member.incarnation) {
-            peer.reached_store = cx.now;
+        peer.min_incarnation = peer.min_incarnation.max(member.incarnation);
+        if peer.registration.is_none_or(|previous| previous.incarnation != member.incarnation) {
+            peer.store_reached_at = cx.now;
         }
-        peer.member = Some(LastMember { incarnation: member.incarnation, address: member.caller_address });
+        peer.registration =
+            Some(LastRegistration { incarnation: member.incarnation, address: member.caller_address });
     }
 
     /// Asks whether a life of a process has ended, now and then.
     pub(super) fn probe(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
-        let Some(peer) = self.known.get_mut(host) else { return };
-        let Some(member) = peer.member.filter(|member| member.incarnation == incarnation) else { return };
+        let Some(peer) = self.by_host.get_mut(host) else { return };
+        let Some(last) = peer.registration.filter(|last| last.incarnation == incarnation) else { return };
         if !peer.next_probe.is_due(cx.now) {
             return;
         }
-        peer.next_probe = cx.now.after(PROBE_EVERY);
-        cx.push(Effect::Probe { host: host.clone(), incarnation, address: member.address });
+        peer.next_probe = cx.now.after(PROBE_INTERVAL);
+        cx.push(Effect::Probe { host: host.clone(), incarnation, address: last.address });
     }
 
     /// Returns the next few members on the hash ring, and one more at random.
@@ -184,9 +187,9 @@
     /// spread within a few rounds, since every member has as many senders.
     fn heartbeat_receivers(&mut self, cx: &mut Cx<'_>) -> OrderedSet<HostId> {
         let version = cx.cache.members_version();
-        if self.ring_version != Some(version) {
+        if self.ring_members_version != Some(version) {
             self.ring = ring(cx);
-            self.ring_version = Some(version);
+            self.ring_members_version = Some(version);
         }
         let mut receivers: OrderedSet<HostId> = self.ring.iter().take(RING_SUCCESSORS).cloned().collect();
         let rest = self.ring.get(RING_SUCCESSORS..).unwrap_or_default();
@@ -197,15 +200,15 @@
     }
 
     /// Sends the heartbeats that are due and forgets who went long ago.
-    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, own: OwnState) {
+    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, own: LocalStatus) {
         if !self.next_heartbeat.is_due(cx.now) {
             return;
         }
         let every = cx.cfg.timings.heartbeat_every;
         self.next_heartbeat = cx.now.after(every / 2 + cx.jitter(every / 2));
-        self.vanished.retain(|at| !at.after(TOGETHER).is_due(cx.now));
-        self.known.retain(|host, peer| {
-            cx.cache.member(host).is_some() || !peer.seen.after(FORGET_AFTER).is_due(cx.now)
+        self.recent_expiries.retain(|at| !at.after(MASS_EXPIRY_WINDOW).is_due(cx.now));
+        self.by_host.retain(|host, peer| {
+            cx.cache.member(host).is_some() || !peer.last_seen.after(FORGET_PEER_AFTER).is_due(cx.now)
         });
         let message = PeerMessage::Heartbeat {
             incarnation: cx.cfg.incarnation,
@@ -217,7 +220,7 @@
         let mut receivers = self.heartbeat_receivers(cx);
         // Only where one process watches for its data centre do the others wait for its signs of life.
         if cx.cfg.watchers == Watchers::OnePerDataCentre && own.is_watching {
-            receivers.extend(neighbours(cx));
+            receivers.extend(data_centre_peers(cx));
         }
         for host in receivers {
             cx.tell(&host, message.clone());
@@ -228,18 +231,21 @@
 /// Returns the other members in the order in which they follow this one on the hash ring.
 fn ring(cx: &Cx<'_>) -> Vec<HostId> {
     let own = &cx.cfg.host;
-    let own_place = name_hash(own.as_str());
+    let own_position = name_hash(own.as_str());
     let mut others: Vec<HostId> =
         cx.cache.members().map(|(host, _)| host).filter(|host| *host != own).cloned().collect();
-    others.sort_by_cached_key(|host| name_hash(host.as_str()).wrapping_sub(own_place));
+    others.sort_by_cached_key(|host| name_hash(host.as_str()).wrapping_sub(own_position));
     others
 }
 
 /// Returns the other members of this data centre.
-pub(super) fn neighbours(cx: &Cx<'_>) -> impl Iterator<Item = HostId> {
+pub(super) fn data_centre_peers(cx: &Cx<'_>) -> impl Iterator<Item = HostId> {
     let own = cx.cfg;
-    let near = move |host: &HostId, member: &MemberRecord| {
+    let in_data_centre = move |host: &HostId, member: &MemberRecord| {
         *host != own.host && member.data_centre == own.data_centre
     };
-    cx.cache.members().filter(move |(host, member)| near(host, member)).map(|(host, _)| host.clone())
+    cx.cache
+        .members()
+        .filter(move |(host, member)| in_data_centre(host, member))
+        .map(|(host, _)| host.clone())
 }
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use super::hashing::{name_hash, pair_weight};
-use super::roster::{KnownEngine, Roster};
+use super::inventory::{EngineInventory, KnownEngine};
 use crate::catalogue::Document;
 use crate::collections::HashMap;
 use crate::cx::Cx;
@@ -17,10 +17,10 @@
 /// Processes that place different models at the same moment don't see each
 /// other's choices. If all took the least loaded engine, all would take the
 /// same one.
-const CHOICES: usize = 3;
+const CANDIDATE_COUNT: usize = 3;
 
 /// Load shares are compared in these parts of an engine's memory.
-const LOAD_PARTS: u64 = 1000;
+const LOAD_RESOLUTION: u64 = 1000;
 
 /// How the models' homes lie on the engines' memory.
 #[derive(Debug)]
@@ -28,19 +28,19 @@
     document: &'a Document,
     cache: &'a StoreCache,
     upstreams: &'a UpstreamList,
-    roster: &'a Roster,
+    inventory: &'a EngineInventory,
     /// Made for the first model that needs it; most reviews place none.
-    table: Option<Table<'a>>,
+    table: Option<PlacementTable<'a>>,
 }
 
 impl<'a> Placement<'a> {
-    pub(super) fn new(cx: &Cx<'a>, roster: &'a Roster) -> Self {
-        Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, roster, table: None }
+    pub(super) fn new(cx: &Cx<'a>, inventory: &'a EngineInventory) -> Self {
+        Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, inventory, table: None }
     }
 
     /// Returns how many live engines hold a model.
     pub(super) fn holders(&mut self, model: &ModelName) -> usize {
-        self.table().near_to(model).iter().filter(|near| near.nearness == Nearness::Held).count()
+        self.table().engines_with(model).iter().filter(|entry| entry.residency == Residency::Held).count()
     }
 
     /// Chooses an engine that isn't a home of the model yet, and counts the model there.
@@ -57,11 +57,11 @@
     ) -> Option<UpstreamId> {
         let known = self.document.catalogue.models.get(model)?;
         let footprint = known.footprint();
-        let roster = self.roster;
-        let near: Vec<&KnownEngine> = homes.iter().filter_map(|home| roster.get(home)).collect();
+        let inventory = self.inventory;
+        let other_homes: Vec<&KnownEngine> = homes.iter().filter_map(|home| inventory.get(home)).collect();
         let key = name_hash(model.as_str());
         let table = self.table();
-        let candidate = |index: usize, nearness: Nearness| {
+        let candidate = |index: usize, residency: Residency| {
             let live = &table.engines[index];
             let engine = live.known;
             let fits = engine.memory >= footprint && (known.pool.is_none() || engine.pool == known.pool);
@@ -70,38 +70,40 @@
             }
             Some(Candidate {
                 index,
-                nearness,
+                residency,
                 left: left.iter().rposition(|known| known == live.id),
-                shares_data_centre: near.iter().any(|home| home.data_centre == engine.data_centre),
+                shares_data_centre: other_homes.iter().any(|home| home.data_centre == engine.data_centre),
                 weight: Reverse(pair_weight(key, live.hash)),
             })
         };
         let mut best = BestCandidates::default();
-        let close = table.near_to(model);
-        for near in close {
-            if let Some(found) = candidate(near.index, near.nearness) {
+        let with_model = table.engines_with(model);
+        for entry in with_model {
+            if let Some(found) = candidate(entry.index, entry.residency) {
                 best.offer(found);
             }
         }
         // Whatever has something of the model is preferred to what has nothing.
         if !best.is_full() {
-            let is_close = |index: &usize| close.binary_search_by_key(index, |near| near.index).is_ok();
-            for index in (0..table.engines.len()).filter(|index| !is_close(index)) {
-                if let Some(found) = candidate(index, Nearness::Nothing) {
+            let is_with_model =
+                |index: &usize| with_model.binary_search_by_key(index, |entry| entry.index).is_ok();
+            for index in (0..table.engines.len()).filter(|index| !is_with_model(index)) {
+                if let Some(found) = candidate(index, Residency::Absent) {
                     best.offer(found);
                 }
             }
         }
         let load = |c: &Candidate| table.engines[c.index].load_with(footprint);
-        let chosen = best.into_iter().min_by_key(|c| (c.nearness, c.left, c.shares_data_centre, load(c)))?;
+        let chosen = best.into_iter().min_by_key(|c| (c.residency, c.left, c.shares_data_centre, load(c)))?;
         let live = &mut table.engines[chosen.index];
         live.load += footprint;
         Some(live.id.clone())
     }
 
-    fn table(&mut self) -> &mut Table<'a> {
-        let (document, cache, upstreams, roster) = (self.document, self.cache, self.upstreams, self.roster);
-        self.table.get_or_insert_with(|| Table::new(document, cache, upstreams, roster))
+    fn table(&mut self) -> &mut PlacementTable<'a> {
+        let (document, cache, upstreams, inventory) =
+            (self.document, self.cache, self.upstreams, self.inventory);
+        self.table.get_or_insert_with(|| PlacementTable::new(document, cache, upstreams, inventory))
     }
 }
 
@@ -118,54 +120,59 @@
     /// Returns which part of the memory is taken once a footprint is added.
     fn load_with(&self, footprint: Mebibytes) -> u64 {
         let load = self.load + footprint;
-        load.0.saturating_mul(LOAD_PARTS) / self.known.memory.0.max(1)
+        load.0.saturating_mul(LOAD_RESOLUTION) / self.known.memory.0.max(1)
     }
 }
 
 /// An engine that has something of a model already.
 #[derive(Clone, Copy, Debug)]
-struct Near {
+struct EngineWithModel {
     index: usize,
-    nearness: Nearness,
+    residency: Residency,
 }
 
 /// The live engines, and which models they have, looked up by model.
 #[derive(Debug)]
-struct Table<'a> {
+struct PlacementTable<'a> {
     engines: Vec<LiveEngine<'a>>,
     /// By model, the indexes of the engines that have it, in ascending order.
-    near: HashMap<&'a ModelName, Vec<Near>>,
+    by_model: HashMap<&'a ModelName, Vec<EngineWithModel>>,
 }
 
-impl<'a> Table<'a> {
-    fn new(document: &Document, cache: &StoreCache, upstreams: &'a UpstreamList, roster: &'a Roster) -> Self {
+impl<'a> PlacementTable<'a> {
+    fn new(
+        document: &Document,
+        cache: &StoreCache,
+        upstreams: &'a UpstreamList,
+        inventory: &'a EngineInventory,
+    ) -> Self {
         let loads = loads(document, cache);
-        let mut table = Self { engines: Vec::new(), near: HashMap::default() };
-        for (id, known) in roster.iter().filter(|(_, known)| known.is_live()) {
+        let mut table = Self { engines: Vec::new(), by_model: HashMap::default() };
+        for (id, known) in inventory.iter().filter(|(_, known)| known.is_live()) {
             let index = table.engines.len();
             let load = loads.get(id).copied().unwrap_or_default();
             table.engines.push(LiveEngine { id, known, hash: name_hash(id.as_str()), load });
             if let Some(upstream) = upstreams.get(id) {
-                table.note_models(index, upstream);
+                table.index_models(index, upstream);
             }
         }
         table
     }
 
-    fn note_models(&mut self, index: usize, upstream: &'a Upstream) {
-        let held = upstream.holds.iter().map(|model| (model, Nearness::Held));
+    fn index_models(&mut self, index: usize, upstream: &'a Upstream) {
+        let held = upstream.holds.iter().map(|model| (model, Residency::Held));
         let copies = upstream.copies.in_memory.iter().chain(&upstream.copies.on_disk);
-        for (model, nearness) in held.chain(copies.map(|model| (model, Nearness::Copied))) {
-            let near = self.near.entry(model).or_default();
+        for (model, residency) in held.chain(copies.map(|model| (model, Residency::Copied))) {
+            let entries = self.by_model.entry(model).or_default();
             // What it holds comes first, so that a copy beside it tells nothing new.
-            if near.last().is_none_or(|last| last.index != index) {
-                near.push(Near { index, nearness });
+            if entries.last().is_none_or(|last| last.index != index) {
+                entries.push(EngineWithModel { index, residency });
             }
         }
     }
 
-    fn near_to(&self, model: &ModelName) -> &[Near] {
-        self.near.get(model).map_or(&[], Vec::as_slice)
+    fn engines_with(&self, model: &ModelName) -> &[EngineWithModel] {
+        self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 }
 
@@ -183,19 +190,19 @@
 
 /// How far an engine has come with a model already; the first is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Nearness {
+enum Residency {
     /// It holds it.
     Held,
     /// It keeps a copy of the weights.
     Copied,
     /// It has nothing of it.
-    Nothing,
+    Absent,
 }
 
 /// An engine that could be chosen; the least is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    nearness: Nearness,
+    residency: Residency,
     /// Its place among the engines that the model left.
     left: Option<usize>,
     shares_data_centre: bool,
@@ -206,7 +213,7 @@
 /// The few candidates that are preferred, the first before the others.
 #[derive(Debug, Default)]
 struct BestCandidates {
-    candidates: [Option<Candidate>; CHOICES],
+    candidates: [Option<Candidate>; CANDIDATE_COUNT],
 }
 
 impl BestCandidates {
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -8,10 +8,10 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use super::budget::Budget;
-use super::knowledge::Knowledge;
+use super::context::ReviewContext;
+use super::inventory::KnownEngine;
 use super::ownership::Ownership;
-use super::roster::KnownEngine;
+use super::power_budget::PowerBudget;
 use crate::authority::EngineUse;
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
@@ -25,21 +25,21 @@
 /// How long the write of a power record is tried.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
 /// How long a site is left alone after a write that failed.
-const REST: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often at most other owners are asked for power.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 /// How many other owners are asked at a time.
-const ASKED_AT_ONCE: usize = 6;
+const MAX_REQUEST_RECIPIENTS: usize = 6;
 /// How long a call for power is remembered.
-const WANTED_FOR: Duration = Duration::from_secs(3);
+const REQUEST_TTL: Duration = Duration::from_secs(3);
 /// How long nothing is granted ahead of need after power was short.
-const SHORT_FOR: Duration = Duration::from_secs(30);
+const SHORTAGE_PERIOD: Duration = Duration::from_secs(30);
 /// How long a site may be over a lowered cap before engines at work have to stop.
-const OVER_FOR: Duration = Duration::from_secs(3);
+const OVER_CAP_GRACE: Duration = Duration::from_secs(3);
 
 /// Somebody's call for power.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct PowerRequest {
     watts: Watts,
     until: Time,
 }
@@ -51,17 +51,17 @@
     since: Time,
     revision: StoreRevision,
     record: PowerRecord,
-    capped: bool,
-    writing: bool,
-    rest: Time,
+    is_capped: bool,
+    is_writing: bool,
+    retry_at: Time,
     /// Engines whose grant this process has taken back, whatever the record says.
-    lowered: OrderedSet<UpstreamId>,
-    wanted: Option<Wanted>,
-    short_until: Time,
-    next_ask: Time,
+    revoked: OrderedSet<UpstreamId>,
+    request: Option<PowerRequest>,
+    shortage_until: Time,
+    next_request: Time,
     over_since: Option<Time>,
     /// Engines at work that have to stop, since the cap was lowered.
-    excess: OrderedSet<UpstreamId>,
+    must_stop: OrderedSet<UpstreamId>,
 }
 
 /// The power of the sites at which this process owns engines.
@@ -76,12 +76,17 @@
     /// A former owner that was paused may have a write under way that lowers the
     /// grant, and another engine could be granted what this one draws. Once the
     /// record was written after the engine changed hands, that write fails.
-    pub(super) fn granted(&self, id: &UpstreamId, engine: &KnownEngine, acquired: StoreRevision) -> Watts {
+    pub(super) fn granted(
+        &self,
+        id: &UpstreamId,
+        engine: &KnownEngine,
+        acquired_revision: StoreRevision,
+    ) -> Watts {
         let Some(site) = self.sites.get(&engine.site) else { return engine.sleep_watts };
-        if !site.capped {
+        if !site.is_capped {
             return engine.active_watts;
         }
-        if site.lowered.contains(id) || site.revision <= acquired {
+        if site.revoked.contains(id) || site.revision <= acquired_revision {
             return engine.sleep_watts;
         }
         site.record.grants.get(id).copied().unwrap_or_default().max(engine.sleep_watts)
@@ -89,7 +94,7 @@
 
     /// Tells whether the engine has to stop, since the cap was lowered.
     pub(super) fn has_to_stop(&self, id: &UpstreamId, engine: &KnownEngine) -> bool {
-        self.sites.get(&engine.site).is_some_and(|site| site.excess.contains(id))
+        self.sites.get(&engine.site).is_some_and(|site| site.must_stop.contains(id))
     }
 
     /// Returns the sites, with the time since when their grants are as they are.
@@ -98,8 +103,8 @@
     }
 
     /// Returns the engines whose grant was taken back before the record shows it.
-    pub(super) fn lowered(&self) -> impl Iterator<Item = &UpstreamId> {
-        self.sites.values().flat_map(|site| &site.lowered)
+    pub(super) fn revoked(&self) -> impl Iterator<Item = &UpstreamId> {
+        self.sites.values().flat_map(|site| &site.revoked)
     }
 
     /// Takes note of a change of a site's record.
@@ -109,44 +114,45 @@
 
     /// Takes the outcome of a write of a site's record.
     pub(super) fn on_write(&mut self, cx: &mut Cx<'_>, name: &SiteName, outcome: &WriteOutcome) {
-        let rest = cx.now.after(cx.jitter(REST));
+        let retry_at = cx.now.after(cx.jitter(RETRY_DELAY));
         if let Some(site) = self.sites.get_mut(name) {
-            site.writing = false;
+            site.is_writing = false;
             match outcome {
                 WriteOutcome::Done(_) => {}
                 // Somebody else wrote first; the next try builds on that.
-                WriteOutcome::Conflict(_) => site.rest = cx.now.after(cx.jitter(REST / 8)),
-                WriteOutcome::NotDone | WriteOutcome::Unknown => site.rest = rest,
+                WriteOutcome::Conflict(_) => site.retry_at = cx.now.after(cx.jitter(RETRY_DELAY / 8)),
+                WriteOutcome::NotDone | WriteOutcome::Unknown => site.retry_at = retry_at,
             }
         }
         self.update(cx, name);
     }
 
     /// Takes note of a call for power.
-    pub(super) fn on_wanted(&mut self, cx: &Cx<'_>, name: &SiteName, watts: Watts) {
+    pub(super) fn on_power_request(&mut self, cx: &Cx<'_>, name: &SiteName, watts: Watts) {
         let Some(site) = self.sites.get_mut(name) else { return };
-        site.wanted = Some(Wanted { watts, until: cx.now.after(WANTED_FOR) });
-        site.short_until = cx.now.after(SHORT_FOR);
+        site.request = Some(PowerRequest { watts, until: cx.now.after(REQUEST_TTL) });
+        site.shortage_until = cx.now.after(SHORTAGE_PERIOD);
     }
 
     /// Does what is due at every site.
     pub(super) fn review(
         &mut self,
         cx: &mut Cx<'_>,
-        knowledge: &Knowledge<'_>,
+        context: &ReviewContext<'_>,
         ownership: &Ownership,
         engines: &dyn EngineUse,
     ) {
-        let mut own: OrderedMap<SiteName, Vec<UpstreamId>> = OrderedMap::new();
-        for id in ownership.holdings().keys() {
-            let Some(engine) = knowledge.roster.get(id) else { continue };
-            own.entry(engine.site.clone()).or_default().push(id.clone());
+        let mut engines_by_site: OrderedMap<SiteName, Vec<UpstreamId>> = OrderedMap::new();
+        for id in ownership.owned_engines().keys() {
+            let Some(engine) = context.inventory.get(id) else { continue };
+            engines_by_site.entry(engine.site.clone()).or_default().push(id.clone());
         }
-        self.sites.retain(|name, _| own.contains_key(name));
-        for (name, ids) in own {
+        self.sites.retain(|name, _| engines_by_site.contains_key(name));
+        for (name, own_engines) in engines_by_site {
             self.update(cx, &name);
             let Some(cap) = cx.document.power_caps.get(&name).copied() else { continue };
-            let review = Review { knowledge, ownership, engines, name: &name, ids: &ids, cap };
+            let review =
+                SiteReview { context, ownership, engines, name: &name, own_engines: &own_engines, cap };
             if let Some(site) = self.sites.get_mut(&name) {
                 site.review(cx, &review);
             }
@@ -155,7 +161,7 @@
 
     fn update(&mut self, cx: &Cx<'_>, name: &SiteName) {
         let site = self.sites.entry(name.clone()).or_default();
-        site.capped = !cx.document.is_known() || cx.document.power_caps.contains_key(name);
+        site.is_capped = !cx.document.is_known() || cx.document.power_caps.contains_key(name);
         if let Some((revision, record)) = cx.cache.power(name) {
             if site.record != *record {
                 site.since = cx.now;
@@ -164,19 +170,19 @@
             site.revision = revision;
         }
         let record = &site.record;
-        site.lowered.retain(|engine| record.grants.contains_key(engine));
+        site.revoked.retain(|engine| record.grants.contains_key(engine));
     }
 }
 
 /// What the review of one site looks at.
 #[derive(Clone, Copy)]
-struct Review<'a> {
-    knowledge: &'a Knowledge<'a>,
+struct SiteReview<'a> {
+    context: &'a ReviewContext<'a>,
     ownership: &'a Ownership,
     engines: &'a dyn EngineUse,
     name: &'a SiteName,
     /// The engines of the site that this process owns.
-    ids: &'a [UpstreamId],
+    own_engines: &'a [UpstreamId],
     cap: Watts,
 }
 
@@ -187,9 +193,9 @@
     lacks: Option<(Watts, ServiceOrder)>,
 }
 
-impl Review<'_> {
+impl SiteReview<'_> {
     fn engine(&self, id: &UpstreamId) -> Option<&KnownEngine> {
-        self.knowledge.roster.get(id)
+        self.context.inventory.get(id)
     }
 
     /// Tells whether the engine draws no more than it does asleep.
@@ -198,14 +204,14 @@
     }
 
     fn is_gone(&self, cx: &Cx<'_>, id: &UpstreamId) -> bool {
-        let since = self.ownership.held(id).map(|holding| holding.since);
-        since.is_some() && self.knowledge.roster.is_gone(cx, id, since)
+        let since = self.ownership.held(id).map(|owned| owned.since);
+        since.is_some() && self.context.inventory.is_gone(cx, id, since)
     }
 
     /// Returns the engines with less than full power, those that need it most first.
-    fn underpowered(&self, budget: &Budget) -> Vec<Underpowered<'_>> {
+    fn underpowered(&self, budget: &PowerBudget) -> Vec<Underpowered<'_>> {
         let mut underpowered: Vec<Underpowered<'_>> = self
-            .ids
+            .own_engines
             .iter()
             .filter(|id| self.ownership.held(id).is_some())
             .filter_map(|id| self.engine(id).map(|engine| (id, engine)))
@@ -220,125 +226,129 @@
 }
 
 impl Site {
-    fn review(&mut self, cx: &mut Cx<'_>, review: &Review<'_>) {
-        let mut budget = Budget::new(review.cap, review.name, &self.record, review.knowledge.roster);
-        self.watch_cap(cx, &budget);
-        self.wanted.take_if(|wanted| wanted.until.is_due(cx.now) || budget.room() >= wanted.watts);
-        self.lowered.retain(|id| review.ids.contains(id));
+    fn review(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>) {
+        let mut budget = PowerBudget::new(review.cap, review.name, &self.record, review.context.inventory);
+        self.check_cap(cx, &budget);
+        self.request.take_if(|request| request.until.is_due(cx.now) || budget.headroom() >= request.watts);
+        self.revoked.retain(|id| review.own_engines.contains(id));
         // A process that lost an engine without knowing it yet must not write on the
         // new owner's record. It knows of every loss up to its frontier.
-        let current = self.revision <= review.knowledge.feed.frontier();
-        if self.writing || !self.rest.is_due(cx.now) || !current || !review.knowledge.may_decide(cx) {
+        let current = self.revision <= review.context.store_sync.frontier();
+        if self.is_writing || !self.retry_at.is_due(cx.now) || !current || !review.context.may_decide(cx) {
             return;
         }
-        let mut changed = review.ids.iter().any(|id| self.is_unconfirmed(review, id));
-        changed |= self.take_back(cx, review, &mut budget);
-        changed |= self.raise(cx, review, &mut budget);
+        let mut changed = review.own_engines.iter().any(|id| self.is_unconfirmed(review, id));
+        changed |= self.revoke_grants(cx, review, &mut budget);
+        changed |= self.raise_grants(cx, review, &mut budget);
         if changed {
             self.write(cx, review.name, budget.into_record());
         }
     }
 
-    fn watch_cap(&mut self, cx: &Cx<'_>, budget: &Budget) {
-        if !budget.is_over() {
+    fn check_cap(&mut self, cx: &Cx<'_>, budget: &PowerBudget) {
+        if !budget.exceeds_cap() {
             self.over_since = None;
-            self.excess.clear();
+            self.must_stop.clear();
             return;
         }
         let since = *self.over_since.get_or_insert(cx.now);
-        if since.after(OVER_FOR).is_due(cx.now) {
-            self.excess = budget.excess().into_iter().collect();
+        if since.after(OVER_CAP_GRACE).is_due(cx.now) {
+            self.must_stop = budget.engines_over_cap().into_iter().collect();
         }
     }
 
     /// Tells whether the grant was recorded before the engine changed hands.
-    fn is_unconfirmed(&self, review: &Review<'_>, id: &UpstreamId) -> bool {
-        let acquired = review.ownership.held(id).map(|holding| holding.acquired);
-        self.record.grants.contains_key(id) && acquired.is_some_and(|acquired| acquired > self.revision)
+    fn is_unconfirmed(&self, review: &SiteReview<'_>, id: &UpstreamId) -> bool {
+        let acquired_revision = review.ownership.held(id).map(|owned| owned.acquired_revision);
+        self.record.grants.contains_key(id)
+            && acquired_revision.is_some_and(|acquired_revision| acquired_revision > self.revision)
     }
 
     /// Takes grants back that others need or that the cap doesn't allow any more.
-    fn take_back(&mut self, cx: &mut Cx<'_>, review: &Review<'_>, budget: &mut Budget) -> bool {
+    fn revoke_grants(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, budget: &mut PowerBudget) -> bool {
         let mut changed = false;
-        for id in review.ids {
+        for id in review.own_engines {
             let recorded = budget.grant(id);
             let Some(engine) = review.engine(id) else { continue };
             if recorded <= engine.sleep_watts || review.ownership.held(id).is_none() {
                 continue;
             }
-            let again = self.lowered.contains(id);
-            let gone = review.is_gone(cx, id);
-            let needed = budget.is_over() || self.is_wanted(budget);
-            let idle = needed && review.is_asleep(id) && review.engines.lacks(id).is_none();
-            if !(again || gone || idle) {
+            let is_already_revoked = self.revoked.contains(id);
+            let is_engine_gone = review.is_gone(cx, id);
+            let is_power_needed = budget.exceeds_cap() || self.is_requested(budget);
+            let is_idle = is_power_needed && review.is_asleep(id) && review.engines.lacks(id).is_none();
+            if !(is_already_revoked || is_engine_gone || is_idle) {
                 continue;
             }
-            if !again {
+            if !is_already_revoked {
                 cx.note("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
             }
             // The own use is lowered first; the record may show it at any later moment.
-            self.lowered.insert(id.clone());
-            budget.lower(id);
+            self.revoked.insert(id.clone());
+            budget.revoke(id);
             changed = true;
         }
         changed
     }
 
-    fn is_wanted(&self, budget: &Budget) -> bool {
-        self.wanted.is_some_and(|wanted| budget.room() < wanted.watts)
+    fn is_requested(&self, budget: &PowerBudget) -> bool {
+        self.request.is_some_and(|request| budget.headroom() < request.watts)
     }
 
     /// Raises the grants of own engines, as far as the cap allows.
-    fn raise(&mut self, cx: &mut Cx<'_>, review: &Review<'_>, budget: &mut Budget) -> bool {
+    fn raise_grants(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, budget: &mut PowerBudget) -> bool {
         let mut changed = false;
-        let plenty = self.short_until.is_due(cx.now);
+        let is_surplus_available = self.shortage_until.is_due(cx.now);
         let before = budget.clone();
         for underpowered in review.underpowered(&before) {
-            if self.lowered.contains(underpowered.id) || (underpowered.lacks.is_none() && !plenty) {
+            if self.revoked.contains(underpowered.id)
+                || (underpowered.lacks.is_none() && !is_surplus_available)
+            {
                 continue;
             }
             if budget.raise(underpowered.id, underpowered.engine.active_watts) {
                 changed = true;
             } else if let Some((_, order)) = underpowered.lacks {
                 let missing = underpowered.engine.active_watts.saturating_sub(budget.grant(underpowered.id));
-                self.ask(cx, review, missing, order);
+                self.request_power(cx, review, missing, order);
             }
         }
         changed
     }
 
     /// Asks owners of other engines of the site to give power up, at a bounded rate.
-    fn ask(&mut self, cx: &mut Cx<'_>, review: &Review<'_>, watts: Watts, order: ServiceOrder) {
-        if !self.next_ask.is_due(cx.now) {
+    fn request_power(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, watts: Watts, order: ServiceOrder) {
+        if !self.next_request.is_due(cx.now) {
             return;
         }
-        self.next_ask = cx.now.after(cx.jitter(ASK_EVERY));
-        self.short_until = cx.now.after(SHORT_FOR);
-        self.wanted = Some(Wanted { watts, until: cx.now.after(WANTED_FOR) });
-        for host in self.givers(cx, review) {
+        self.next_request = cx.now.after(cx.jitter(REQUEST_INTERVAL));
+        self.shortage_until = cx.now.after(SHORTAGE_PERIOD);
+        self.request = Some(PowerRequest { watts, until: cx.now.after(REQUEST_TTL) });
+        for host in self.request_recipients(cx, review) {
             cx.tell(&host, PeerMessage::PowerWanted { site: review.name.clone(), watts, order });
         }
     }
 
     /// Returns some owners of engines with grants, this process included.
-    fn givers(&self, cx: &mut Cx<'_>, review: &Review<'_>) -> Vec<HostId> {
+    fn request_recipients(&self, cx: &mut Cx<'_>, review: &SiteReview<'_>) -> Vec<HostId> {
         use rand::seq::IndexedRandom;
 
         let owners: OrderedSet<HostId> = self
             .record
             .grants
             .keys()
-            .filter(|id| !review.ids.contains(id))
+            .filter(|id| !review.own_engines.contains(id))
             .filter_map(|id| cx.cache.owner(id).map(|(_, owner)| owner.host.clone()))
             .collect();
         let owners: Vec<HostId> = owners.into_iter().collect();
-        let mut givers: Vec<HostId> = owners.choose_multiple(cx.rng, ASKED_AT_ONCE).cloned().collect();
-        givers.push(cx.cfg.host.clone());
-        givers
+        let mut recipients: Vec<HostId> =
+            owners.choose_multiple(cx.rng, MAX_REQUEST_RECIPIENTS).cloned().collect();
+        recipients.push(cx.cfg.host.clone());
+        recipients
     }
 
     fn write(&mut self, cx: &mut Cx<'_>, name: &SiteName, record: PowerRecord) {
-        self.writing = true;
+        self.is_writing = true;
         let expect =
             if self.revision == StoreRevision(0) { Expect::Absent } else { Expect::At(self.revision) };
         cx.write(WriteRequest {
--- a/crates/skylarkshore-core/src/control/budget.rs
+++ b/crates/skylarkshore-core/src/control/power_budget.rs
@@ -1,6 +1,6 @@
 //! The sums of a site's power.
 
-use super::roster::Roster;
+use super::inventory::EngineInventory;
 use crate::collections::OrderedMap;
 use crate::id::{SiteName, UpstreamId};
 use crate::store::PowerRecord;
@@ -8,16 +8,21 @@
 
 /// What the engines of a site may draw together.
 #[derive(Clone, Debug)]
-pub(super) struct Budget {
+pub(super) struct PowerBudget {
     cap: Watts,
     sleep: OrderedMap<UpstreamId, Watts>,
     grants: OrderedMap<UpstreamId, Watts>,
 }
 
-impl Budget {
+impl PowerBudget {
     /// Takes a site's record and the sleep watts of its engines, recorded or not.
-    pub(super) fn new(cap: Watts, site: &SiteName, record: &PowerRecord, roster: &Roster) -> Self {
-        let here = roster.iter().filter(|(id, engine)| {
+    pub(super) fn new(
+        cap: Watts,
+        site: &SiteName,
+        record: &PowerRecord,
+        inventory: &EngineInventory,
+    ) -> Self {
+        let here = inventory.iter().filter(|(id, engine)| {
             engine.site == *site && (engine.is_listed() || record.grants.contains_key(*id))
         });
         let sleep = here.map(|(id, engine)| (id.clone(), engine.sleep_watts)).collect();
@@ -25,7 +30,7 @@
     }
 
     /// Returns what the engines may draw together, each at least what it draws asleep.
-    pub(super) fn sum(&self) -> Watts {
+    pub(super) fn total_draw(&self) -> Watts {
         let granted: Watts = self.grants.iter().map(|(id, watts)| (*watts).max(self.sleep_of(id))).sum();
         let asleep: Watts =
             self.sleep.iter().filter(|(id, _)| !self.grants.contains_key(*id)).map(|(_, watts)| *watts).sum();
@@ -33,13 +38,13 @@
     }
 
     /// Returns what is left under the cap.
-    pub(super) fn room(&self) -> Watts {
-        self.cap.saturating_sub(self.sum())
+    pub(super) fn headroom(&self) -> Watts {
+        self.cap.saturating_sub(self.total_draw())
     }
 
     /// Tells whether the cap is passed.
-    pub(super) fn is_over(&self) -> bool {
-        self.sum() > self.cap
+    pub(super) fn exceeds_cap(&self) -> bool {
+        self.total_draw() > self.cap
     }
 
     /// Returns what an engine may draw.
@@ -49,7 +54,7 @@
 
     /// Raises an engine's grant if the sum stays under the cap; tells whether it did.
     pub(super) fn raise(&mut self, engine: &UpstreamId, to: Watts) -> bool {
-        if to.saturating_sub(self.grant(engine)) > self.room() {
+        if to.saturating_sub(self.grant(engine)) > self.headroom() {
             return false;
         }
         self.grants.insert(engine.clone(), to);
@@ -57,26 +62,26 @@
     }
 
     /// Takes an engine's grant back, down to what it draws asleep.
-    pub(super) fn lower(&mut self, engine: &UpstreamId) {
+    pub(super) fn revoke(&mut self, engine: &UpstreamId) {
         self.grants.remove(engine);
     }
 
     /// Returns the engines that have to stop for the sum to come under the cap.
     ///
     /// Every process comes to the same result from the same record.
-    pub(super) fn excess(&self) -> Vec<UpstreamId> {
-        let mut left = self.clone();
-        let mut excess = Vec::new();
+    pub(super) fn engines_over_cap(&self) -> Vec<UpstreamId> {
+        let mut remaining = self.clone();
+        let mut engines_over_cap = Vec::new();
         for engine in self.grants.keys().rev() {
-            if !left.is_over() {
+            if !remaining.exceeds_cap() {
                 break;
             }
-            if left.grant(engine) > left.sleep_of(engine) {
-                left.lower(engine);
-                excess.push(engine.clone());
+            if remaining.grant(engine) > remaining.sleep_of(engine) {
+                remaining.revoke(engine);
+                engines_over_cap.push(engine.clone());
             }
         }
-        excess
+        engines_over_cap
     }
 
     /// Returns the grants as they are to be recorded.
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::tree::{Tree, roots};
+use super::relay_tree::{RelayTree, roots};
 use crate::collections::OrderedMap;
 use crate::config::Watchers;
 use crate::cx::Cx;
@@ -18,50 +18,51 @@
 use crate::time::Time;
 
 /// How often the tree is worked out anew.
-const REVIEW_EVERY: Duration = Duration::from_secs(1);
+const TREE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// How often a process that has just started does so, which learns of most members then.
-const REVIEW_EARLY: Duration = Duration::from_millis(200);
+const TREE_UPDATE_INTERVAL_AT_START: Duration = Duration::from_millis(200);
 /// For how long a process has just started.
-const EARLY: Duration = Duration::from_secs(5);
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 /// Up to how many members are few.
-const FEW_MEMBERS: usize = 64;
+const MAX_DIRECT_MEMBERS: usize = 64;
 
 /// For how long a process that asked for everything is told news beside the children.
 ///
 /// It takes this process for its parent, which other members may not do yet.
-const GUEST_FOR: Duration = Duration::from_secs(5);
+const TEMPORARY_CHILD_TTL: Duration = Duration::from_secs(5);
 
 /// This process's part in passing news on.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    tree: Tree,
-    started: Option<Time>,
-    due: Time,
+    tree: RelayTree,
+    started_at: Option<Time>,
+    next_tree_update: Time,
     /// Up to where news has been passed on.
-    passed: StoreRevision,
+    relayed_upto: StoreRevision,
     /// Who has asked for everything lately, and until when each is told news.
-    guests: OrderedMap<HostId, Time>,
+    temporary_children: OrderedMap<HostId, Time>,
 }
 
 impl Relay {
     /// Finds out now and then which place this process has.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        if cx.cfg.watchers != Watchers::Relayed || !self.due.is_due(cx.now) {
+        if cx.cfg.watchers != Watchers::Relayed || !self.next_tree_update.is_due(cx.now) {
             return;
         }
-        let started = *self.started.get_or_insert(cx.now);
-        let is_early = !started.after(EARLY).is_due(cx.now);
-        self.due = cx.now.after(if is_early { REVIEW_EARLY } else { REVIEW_EVERY });
+        let started_at = *self.started_at.get_or_insert(cx.now);
+        let is_starting = !started_at.after(STARTUP_PERIOD).is_due(cx.now);
+        self.next_tree_update =
+            cx.now.after(if is_starting { TREE_UPDATE_INTERVAL_AT_START } else { TREE_UPDATE_INTERVAL });
         let was_root = self.tree.is_root;
-        self.tree = Tree::of(cx);
+        self.tree = RelayTree::of(cx);
         if self.tree.is_root != was_root {
             cx.push(Effect::ReadNewsForOthers(self.tree.is_root));
         }
     }
 
     /// Passes on what this process has read.
-    pub(super) fn on_read(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.tell_children(cx, news);
+    pub(super) fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
+        self.send_to_children(cx, news);
     }
 
     /// Passes on what a peer has told.
@@ -70,18 +71,18 @@
     /// other's parent. So nothing is passed on twice, unless it comes from the
     /// parent: then it shows the children that nothing has changed.
     pub(super) fn on_news(&mut self, cx: &mut Cx<'_>, from: &HostId, news: &News) {
-        if news.upto > self.passed || self.is_parent(from) {
-            self.tell_children(cx, news);
+        if news.upto > self.relayed_upto || self.is_parent(from) {
+            self.send_to_children(cx, news);
         }
     }
 
     /// Takes note that a process has asked for everything.
-    pub(super) fn note_asked(&mut self, now: Time, from: &HostId) {
-        self.guests.insert(from.clone(), now.after(GUEST_FOR));
+    pub(super) fn add_temporary_child(&mut self, now: Time, from: &HostId) {
+        self.temporary_children.insert(from.clone(), now.after(TEMPORARY_CHILD_TTL));
     }
 
     /// Passes on what all processes are to hear.
-    pub(super) fn on_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
+    pub(super) fn relay_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         if self.tree.is_root || self.is_parent(from) {
             for child in &self.tree.children {
                 cx.tell(child, message.clone());
@@ -90,7 +91,7 @@
     }
 
     /// Asks the parent for everything.
-    pub(super) fn ask_parent(&self, cx: &mut Cx<'_>) {
+    pub(super) fn request_state_from_parent(&self, cx: &mut Cx<'_>) {
         if let Some(parent) = &self.tree.parent {
             cx.tell(parent, PeerMessage::StateWanted);
         }
@@ -100,24 +101,25 @@
         self.tree.parent.as_ref() == Some(host)
     }
 
-    fn tell_children(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.passed = self.passed.max(news.upto);
-        self.guests.retain(|_, until| !until.is_due(cx.now));
-        let guests = self.guests.keys().filter(|guest| !self.tree.children.contains(guest));
-        for host in self.tree.children.iter().chain(guests) {
+    fn send_to_children(&mut self, cx: &mut Cx<'_>, news: &News) {
+        self.relayed_upto = self.relayed_upto.max(news.upto);
+        self.temporary_children.retain(|_, until| !until.is_due(cx.now));
+        let temporary_children =
+            self.temporary_children.keys().filter(|child| !self.tree.children.contains(child));
+        for host in self.tree.children.iter().chain(temporary_children) {
             cx.tell(host, PeerMessage::News(news.clone()));
         }
     }
 }
 
 /// Tells whether the members are so many that what all of them do at once is too much for anyone.
-pub(super) fn are_members_many(cx: &Cx<'_>) -> bool {
-    cx.cache.members().nth(FEW_MEMBERS).is_some()
+pub(super) fn has_many_members(cx: &Cx<'_>) -> bool {
+    cx.cache.members().nth(MAX_DIRECT_MEMBERS).is_some()
 }
 
 /// Sends a message to every other live member, by way of the trees where there are many.
 pub(crate) fn tell_everyone(cx: &mut Cx<'_>, message: &PeerMessage) {
-    if cx.cfg.watchers != Watchers::Relayed || !are_members_many(cx) {
+    if cx.cfg.watchers != Watchers::Relayed || !has_many_members(cx) {
         return cx.tell_all(message);
     }
     let spread = PeerMessage::Spread { origin: cx.cfg.host.clone(), message: Box::new(message.clone()) };
--- a/crates/skylarkshore-core/src/control/tree.rs
+++ b/crates/skylarkshore-core/src/control/relay_tree.rs
@@ -12,38 +12,38 @@
 use crate::units::Capacity;
 
 /// The capacity that a member needs for each child, in thousandths of a core.
-const CAPACITY_PER_CHILD: u32 = 30;
+const MCORES_PER_CHILD: u32 = 30;
 /// The fewest children of a member, so that the tree stays shallow where capacities aren't told.
-const FEWEST_CHILDREN: usize = 2;
+const MIN_CHILDREN: usize = 2;
 /// The most children of a member.
-const MOST_CHILDREN: usize = 16;
+const MAX_CHILDREN: usize = 16;
 
 /// A process's place among the members of its data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Tree {
+pub(super) struct RelayTree {
     /// Whether the process stands at the top, which reads for all.
     pub(super) is_root: bool,
     pub(super) parent: Option<HostId>,
     pub(super) children: Vec<HostId>,
 }
 
-impl Tree {
+impl RelayTree {
     /// Works out the place of this process.
     pub(super) fn of(cx: &Cx<'_>) -> Self {
-        let order = order(cx, &cx.cfg.data_centre);
-        let Some(own) = order.iter().position(|(host, _)| **host == cx.cfg.host) else {
+        let tree_order = tree_order(cx, &cx.cfg.data_centre);
+        let Some(own) = tree_order.iter().position(|(host, _)| **host == cx.cfg.host) else {
             return Self::default();
         };
         let mut tree = Self { is_root: own == 0, ..Self::default() };
         let mut next = 1;
-        for (place, (host, member)) in order.iter().enumerate() {
-            let end = (next + fan_out(member)).min(order.len());
+        for (index, (host, member)) in tree_order.iter().enumerate() {
+            let end = (next + fan_out(member)).min(tree_order.len());
             let children = next.min(end)..end;
             if children.contains(&own) {
                 tree.parent = Some((*host).clone());
             }
-            if place == own {
-                tree.children = order[children].iter().map(|(host, _)| (*host).clone()).collect();
+            if index == own {
+                tree.children = tree_order[children].iter().map(|(host, _)| (*host).clone()).collect();
                 break;
             }
             next = end;
@@ -58,16 +58,19 @@
         cx.cache.members().map(|(_, member)| &member.data_centre).collect();
     data_centres.sort_unstable();
     data_centres.dedup();
-    data_centres.into_iter().filter_map(|near| Some(order(cx, near).first()?.0.clone())).collect()
+    data_centres
+        .into_iter()
+        .filter_map(|in_data_centre| Some(tree_order(cx, in_data_centre).first()?.0.clone()))
+        .collect()
 }
 
 /// Returns the members of a data centre in the order of the tree; those that leave come last.
-fn order<'a>(cx: &Cx<'a>, data_centre: &DataCentre) -> Vec<(&'a HostId, &'a MemberRecord)> {
-    let near = || cx.cache.members().filter(|(_, member)| member.data_centre == *data_centre);
-    let staying = near().filter(|(_, member)| !member.leaving);
+fn tree_order<'a>(cx: &Cx<'a>, data_centre: &DataCentre) -> Vec<(&'a HostId, &'a MemberRecord)> {
+    let in_data_centre = || cx.cache.members().filter(|(_, member)| member.data_centre == *data_centre);
+    let staying = in_data_centre().filter(|(_, member)| !member.leaving);
     let ranked = ranking_by_capacity(&format!("news/{data_centre}"), staying);
     let staying = ranked.into_iter().filter_map(|host| Some((host, cx.cache.member(host)?)));
-    staying.chain(near().filter(|(_, member)| member.leaving)).collect()
+    staying.chain(in_data_centre().filter(|(_, member)| member.leaving)).collect()
 }
 
 fn fan_out(member: &MemberRecord) -> usize {
@@ -75,6 +78,6 @@
         return 0;
     }
     let Capacity(mcores) = member.capacity;
-    let children = usize::try_from(mcores / CAPACITY_PER_CHILD).unwrap_or(MOST_CHILDREN);
-    children.clamp(FEWEST_CHILDREN, MOST_CHILDREN)
+    let children = usize::try_from(mcores / MCORES_PER_CHILD).unwrap_or(MAX_CHILDREN);
+    children.clamp(MIN_CHILDREN, MAX_CHILDREN)
 }
--- a/crates/skylarkshore-core/src/control/feed.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -8,8 +8,8 @@
 
 use super::backoff::Backoff;
 use super::hashing;
-use super::peers::{Peers, neighbours};
-use super::tree::Tree;
+use super::peers::{Peers, data_centre_peers};
+use super::relay_tree::RelayTree;
 use crate::config::Watchers;
 use crate::cx::Cx;
 use crate::effect::Effect;
@@ -20,26 +20,26 @@
 
 /// How much longer than the one before it each process of a data centre waits before it watches
 /// in place of a silent one.
-const STAND_IN_STEP: Duration = Duration::from_millis(1500);
+const WATCHER_FAILOVER_STEP: Duration = Duration::from_millis(1500);
 /// How long a process has watched before it passes changes on.
 ///
 /// When a whole data centre starts, each process takes itself for the watcher
 /// until it has heard of the others. If all passed on what they see, the
 /// messages would grow with the cube of the hosts.
-const SETTLED_AFTER: Duration = Duration::from_secs(1);
+const WATCH_WARM_UP: Duration = Duration::from_secs(1);
 /// How often at most a peer is asked for what was missed.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a peer may lag behind before it is sent what it lacks unasked.
-const USUAL_LAG: Duration = Duration::from_millis(1500);
+const TOLERATED_LAG: Duration = Duration::from_millis(1500);
 /// How often at most a process that the service doesn't answer asks a peer for everything.
-const ASK_STATE_EVERY: Duration = Duration::from_secs(1);
+const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 /// How many times the time-out of a call its answer is waited for.
-const LOST_AFTER_TIMEOUTS: u32 = 3;
+const READ_TIMEOUT_FACTOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Read {
     call: CallId,
-    lost_at: Time,
+    timeout_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -51,27 +51,27 @@
 
 /// How far this process knows the shared keys, and how it learns of changes.
 #[derive(Debug, Default)]
-pub(super) struct Feed {
+pub(super) struct StoreSync {
     /// Up to here nothing is missing.
     frontier: StoreRevision,
     /// Where the first complete snapshot was taken; deletions before it are unknown here.
-    base: Option<StoreRevision>,
+    first_snapshot: Option<StoreRevision>,
     /// The frontier of a while ago, which peers ought to have reached.
-    expected: StoreRevision,
-    next_expected: Time,
+    expected_frontier: StoreRevision,
+    next_expected_update: Time,
     watch: Option<Watch>,
     read: Option<Read>,
-    reads: Backoff,
-    wants_read: bool,
+    read_backoff: Backoff,
+    is_read_pending: bool,
     last_snapshot: Option<StoreRevision>,
     synced_at: Time,
-    next_ask: Time,
+    next_records_request: Time,
     /// Whether the service has left the last watch unanswered.
-    is_unanswered: bool,
-    next_state_ask: Time,
+    is_watch_unanswered: bool,
+    next_state_request: Time,
 }
 
-impl Feed {
+impl StoreSync {
     /// Returns the revision up to which nothing is missing.
     pub(super) const fn frontier(&self) -> StoreRevision {
         self.frontier
@@ -79,7 +79,7 @@
 
     /// Tells whether the process has had a complete snapshot of the shared keys.
     pub(super) const fn is_synced(&self) -> bool {
-        self.base.is_some()
+        self.first_snapshot.is_some()
     }
 
     /// Returns the revision of the latest complete snapshot.
@@ -89,7 +89,7 @@
 
     /// Tells whether no read of the service is overdue.
     pub(super) const fn is_store_reachable(&self) -> bool {
-        !self.wants_read
+        !self.is_read_pending
     }
 
     /// Returns since when this process watches the service.
@@ -102,34 +102,34 @@
         if !self.is_synced() {
             self.stop(cx);
         }
-        self.wants_read = true;
+        self.is_read_pending = true;
         self.read_when_due(cx);
     }
 
     /// Waits for a peer to tell every shared key, and for news after that.
-    pub(super) fn await_state(&mut self, cx: &mut Cx<'_>) {
+    pub(super) fn await_peer_state(&mut self, cx: &mut Cx<'_>) {
         self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
         cx.push(Effect::AwaitState);
         cx.push(Effect::Watch { from: StoreRevision(0) });
     }
 
     /// Takes note that a peer has told every shared key.
-    pub(super) fn on_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
+    pub(super) fn on_peer_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         if let Some(watch) = &mut self.watch {
             watch.upto = watch.upto.max(upto);
         }
-        self.wants_read = false;
-        self.take_snapshot(cx, upto);
+        self.is_read_pending = false;
+        self.record_snapshot(cx, upto);
     }
 
     /// Does what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        if self.next_expected.is_due(cx.now) {
-            self.expected = self.frontier;
-            self.next_expected = cx.now.after(USUAL_LAG);
+        if self.next_expected_update.is_due(cx.now) {
+            self.expected_frontier = self.frontier;
+            self.next_expected_update = cx.now.after(TOLERATED_LAG);
         }
-        if self.read.take_if(|read| read.lost_at.is_due(cx.now)).is_some() {
-            self.reads.failed(cx);
+        if self.read.take_if(|read| read.timeout_at.is_due(cx.now)).is_some() {
+            self.read_backoff.record_failure(cx);
         }
         self.read_when_due(cx);
     }
@@ -139,23 +139,23 @@
         if self.read.take_if(|read| read.call == call).is_none() {
             // The service answers again, and the rest after the last failure is needless.
             if result.is_ok() {
-                self.reads.succeeded();
+                self.read_backoff.reset();
                 self.read_when_due(cx);
             }
             return;
         }
         let Ok(StoreAnswer::Shared { revision, .. }) = result else {
-            self.reads.failed(cx);
+            self.read_backoff.record_failure(cx);
             return;
         };
-        self.reads.succeeded();
-        self.wants_read = false;
-        self.take_snapshot(cx, *revision);
+        self.read_backoff.reset();
+        self.is_read_pending = false;
+        self.record_snapshot(cx, *revision);
     }
 
     /// Takes note of whether the service has answered a watch.
-    pub(super) const fn note_watch(&mut self, is_answered: bool) {
-        self.is_unanswered = !is_answered;
+    pub(super) const fn set_watch_answered(&mut self, is_answered: bool) {
+        self.is_watch_unanswered = !is_answered;
     }
 
     /// Passes on what the watch has seen to the members of this data centre.
@@ -163,16 +163,16 @@
         let Some(watch) = &mut self.watch else { return };
         let after = watch.upto;
         watch.upto = watch.upto.max(upto);
-        let settled =
-            cx.cfg.watchers == Watchers::OnePerDataCentre && watch.since.after(SETTLED_AFTER).is_due(cx.now);
+        let is_warmed_up =
+            cx.cfg.watchers == Watchers::OnePerDataCentre && watch.since.after(WATCH_WARM_UP).is_due(cx.now);
         if self.is_synced() && upto > self.frontier {
             self.frontier = upto;
         }
-        if changes.is_empty() || !settled {
+        if changes.is_empty() || !is_warmed_up {
             return;
         }
         let message = PeerMessage::Records(RecordBatch { after: Some(after), upto, records: changes });
-        let receivers: Vec<HostId> = neighbours(cx).collect();
+        let receivers: Vec<HostId> = data_centre_peers(cx).collect();
         for host in receivers {
             cx.tell(&host, message.clone());
         }
@@ -183,8 +183,8 @@
         if self.watch.take().is_none() {
             return;
         }
-        self.wants_read = true;
-        self.reads.failed(cx);
+        self.is_read_pending = true;
+        self.read_backoff.record_failure(cx);
         cx.note("watch_broken", cx.cfg.host.clone(), "reading the shared keys anew");
     }
 
@@ -197,25 +197,27 @@
         upto: StoreRevision,
     ) {
         let Some(after) = after else {
-            self.take_snapshot(cx, upto);
+            self.record_snapshot(cx, upto);
             return;
         };
         if self.is_synced() && after <= self.frontier {
             self.frontier = self.frontier.max(upto);
             return;
         }
-        self.ask(cx, from);
+        self.request_records(cx, from);
     }
 
     /// Answers a peer that is behind, and asks one that is ahead.
     pub(super) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
             PeerMessage::Heartbeat { store, .. } if cx.cfg.watchers == Watchers::Relayed => {
-                self.ask_if_cut_off(cx, from, *store);
+                self.request_state_if_cut_off(cx, from, *store);
             }
-            PeerMessage::Heartbeat { store, .. } if *store > self.frontier => self.ask(cx, from),
-            PeerMessage::Heartbeat { store, .. } if *store < self.expected => self.answer(cx, from, *store),
-            PeerMessage::RecordsWanted { after } => self.answer(cx, from, *after),
+            PeerMessage::Heartbeat { store, .. } if *store > self.frontier => self.request_records(cx, from),
+            PeerMessage::Heartbeat { store, .. } if *store < self.expected_frontier => {
+                self.send_missing_records(cx, from, *store)
+            }
+            PeerMessage::RecordsWanted { after } => self.send_missing_records(cx, from, *after),
             _ => {}
         }
     }
@@ -227,31 +229,31 @@
         }
     }
 
-    fn take_snapshot(&mut self, cx: &Cx<'_>, revision: StoreRevision) {
+    fn record_snapshot(&mut self, cx: &Cx<'_>, revision: StoreRevision) {
         self.frontier = self.frontier.max(revision);
         self.last_snapshot = self.last_snapshot.max(Some(revision));
-        if self.base.is_none() {
-            self.base = Some(revision);
+        if self.first_snapshot.is_none() {
+            self.first_snapshot = Some(revision);
             self.synced_at = cx.now;
         }
     }
 
     /// Asks a peer that knows more for everything, where the service doesn't answer.
-    fn ask_if_cut_off(&mut self, cx: &mut Cx<'_>, from: &HostId, store: StoreRevision) {
+    fn request_state_if_cut_off(&mut self, cx: &mut Cx<'_>, from: &HostId, store: StoreRevision) {
         if store <= self.frontier || !self.is_synced() {
             return;
         }
-        if self.is_unanswered && self.next_state_ask.is_due(cx.now) {
-            self.next_state_ask = cx.now.after(ASK_STATE_EVERY);
+        if self.is_watch_unanswered && self.next_state_request.is_due(cx.now) {
+            self.next_state_request = cx.now.after(STATE_REQUEST_INTERVAL);
             cx.tell(from, PeerMessage::StateWanted);
         }
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, from: &HostId) {
-        if !self.next_ask.is_due(cx.now) {
+    fn request_records(&mut self, cx: &mut Cx<'_>, from: &HostId) {
+        if !self.next_records_request.is_due(cx.now) {
             return;
         }
-        self.next_ask = cx.now.after(ASK_EVERY);
+        self.next_records_request = cx.now.after(RECORDS_REQUEST_INTERVAL);
         cx.tell(from, PeerMessage::RecordsWanted { after: self.frontier });
     }
 
@@ -260,34 +262,38 @@
     /// A process knows nothing of keys that were deleted before its own first
     /// snapshot. Whoever is behind that gets everything, since a list of changes
     /// would leave deleted members and owners alive there.
-    fn answer(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
-        let Some(base) = self.base.filter(|_| after < self.frontier) else { return };
-        let whole = after < base;
-        let from = if whole { StoreRevision(0) } else { after };
-        let records: Vec<Versioned> =
-            cx.cache.changes_after(from).filter(|entry| !whole || entry.record.is_some()).cloned().collect();
-        let after = (!whole).then_some(after);
+    fn send_missing_records(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
+        let Some(first_snapshot) = self.first_snapshot.filter(|_| after < self.frontier) else { return };
+        let is_full = after < first_snapshot;
+        let from = if is_full { StoreRevision(0) } else { after };
+        let records: Vec<Versioned> = cx
+            .cache
+            .changes_after(from)
+            .filter(|entry| !is_full || entry.record.is_some())
+            .cloned()
+            .collect();
+        let after = (!is_full).then_some(after);
         cx.tell(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
     }
 
     fn read_when_due(&mut self, cx: &mut Cx<'_>) {
-        if !self.wants_read || self.read.is_some() || !self.reads.is_over(cx.now) {
+        if !self.is_read_pending || self.read.is_some() || !self.read_backoff.is_ready(cx.now) {
             return;
         }
         let call = cx.next_call();
-        let lost_at = cx.now.after(cx.cfg.timings.store_timeout * LOST_AFTER_TIMEOUTS);
-        self.read = Some(Read { call, lost_at });
+        let timeout_at = cx.now.after(cx.cfg.timings.store_timeout * READ_TIMEOUT_FACTOR);
+        self.read = Some(Read { call, timeout_at });
         cx.push(Effect::Store { call, request: StoreCall::ReadShared });
     }
 
     /// Begins or ends the watch.
     pub(super) fn review(&mut self, cx: &mut Cx<'_>, peers: &Peers, eligible: &[HostId]) {
-        let wanted = self.is_watcher(cx, peers, eligible);
+        let should_watch = self.is_watcher(cx, peers, eligible);
         match self.watch {
-            Some(_) if !wanted => self.stop(cx),
-            None if wanted && self.is_synced() && !self.wants_read => {
+            Some(_) if !should_watch => self.stop(cx),
+            None if should_watch && self.is_synced() && !self.is_read_pending => {
                 self.watch = Some(Watch { upto: self.frontier, since: cx.now });
-                if cx.cfg.watchers == Watchers::Relayed && Tree::of(cx).parent.is_some() {
+                if cx.cfg.watchers == Watchers::Relayed && RelayTree::of(cx).parent.is_some() {
                     cx.push(Effect::AwaitState);
                 }
                 cx.push(Effect::Watch { from: self.frontier.next() });
@@ -307,16 +313,16 @@
             return true;
         }
         let own = &cx.cfg.host;
-        let near = |host: &&HostId| {
+        let in_data_centre = |host: &&HostId| {
             cx.cache.member(host).is_some_and(|member| member.data_centre == cx.cfg.data_centre)
         };
         let key = format!("watch/{}", cx.cfg.data_centre);
-        let ranked = hashing::ranking(&key, eligible.iter().filter(near));
+        let ranked = hashing::ranking(&key, eligible.iter().filter(in_data_centre));
         let Some(rank) = ranked.iter().position(|host| *host == own) else { return false };
         let before = &ranked[..rank];
-        let Some(last) = before.iter().map(|host| peers.reached_store(host)).max() else { return true };
-        let steps = STAND_IN_STEP.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
-        let patience = cx.cfg.timings.peer_timeout + steps;
-        last.max(self.synced_at).after(patience).is_due(cx.now)
+        let Some(last) = before.iter().map(|host| peers.store_reached_at(host)).max() else { return true };
+        let step_delay = WATCHER_FAILOVER_STEP.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
+        let failover_delay = cx.cfg.timings.peer_timeout + step_delay;
+        last.max(self.synced_at).after(failover_delay).is_due(cx.now)
     }
 }
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::context::ReviewContext;
 use super::hashing::HashedHosts;
-use super::knowledge::Knowledge;
 use crate::collections::{HashSet, OrderedMap, OrderedSet};
 use crate::cx::Cx;
 use crate::effect::Effect;
@@ -15,23 +15,23 @@
 /// How long a member that lives but lost its key is given to register again.
 const RETURN_GRACE: Duration = Duration::from_secs(15);
 /// How long the process that should take an engine is given before the next one tries.
-const NEXT_IN_RANK: Duration = Duration::from_secs(5);
+const RANK_DELAY: Duration = Duration::from_secs(5);
 /// How long the members have to stay the same before new engines are shared out.
 ///
 /// When all hosts start together, the first one sees no other. If it took every
 /// engine at once, they would have to be handed over one after the other.
-const QUIET_FOR: Duration = Duration::from_millis(1500);
+const MEMBERSHIP_QUIET_PERIOD: Duration = Duration::from_millis(1500);
 /// How long new engines wait at most for that.
-const QUIET_AT_LAST: Duration = Duration::from_secs(5);
+const MAX_QUIET_WAIT: Duration = Duration::from_secs(5);
 /// How often an uncertain member key is read.
-const READ_EVERY: Duration = Duration::from_secs(2);
+const MEMBER_READ_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Where an engine's owner stands, as far as this process knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnerState {
-    Present,
+    Live,
     /// Its member key was absent after it became owner.
-    Absent,
+    Deregistered,
     /// Its life has ended for certain.
     Ended,
     /// The key was absent before it became owner; the news is too old to tell.
@@ -43,21 +43,21 @@
 struct Vacancy {
     host: HostId,
     incarnation: Incarnation,
-    record: StoreRevision,
+    record_revision: StoreRevision,
     since: Time,
-    ready: Time,
+    takeable_from: Time,
 }
 
 /// An engine that may be taken over now.
 #[derive(Clone, Debug)]
 pub(super) struct Vacant {
     pub(super) engine: UpstreamId,
-    pub(super) former: Option<Former>,
+    pub(super) former: Option<FormerOwner>,
 }
 
 /// The record of the former owner.
 #[derive(Clone, Debug)]
-pub(super) struct Former {
+pub(super) struct FormerOwner {
     pub(super) revision: StoreRevision,
     pub(super) owner: OwnerRecord,
     /// Whether its life has ended for certain.
@@ -67,9 +67,9 @@
 /// The engines whose owners are gone.
 #[derive(Debug, Default)]
 pub(super) struct Vacancies {
-    absent: OrderedMap<UpstreamId, Vacancy>,
+    orphaned: OrderedMap<UpstreamId, Vacancy>,
     /// Engines that nobody has owned yet, and since when they are known.
-    unowned: OrderedMap<UpstreamId, Time>,
+    never_owned: OrderedMap<UpstreamId, Time>,
     reads: OrderedMap<HostId, Time>,
     probes: OrderedMap<HostId, Incarnation>,
 }
@@ -77,31 +77,31 @@
 impl Vacancies {
     /// Returns since when an engine's owner has been gone.
     pub(super) fn since(&self, engine: &UpstreamId) -> Option<Time> {
-        self.absent.get(engine).map(|vacancy| vacancy.since)
+        self.orphaned.get(engine).map(|vacancy| vacancy.since)
     }
 
     /// Returns how many engines have no live owner.
     pub(super) fn len(&self) -> usize {
-        self.absent.len() + self.unowned.len()
+        self.orphaned.len() + self.never_owned.len()
     }
 
     /// Forgets an engine that has an owner again.
     pub(super) fn forget(&mut self, engine: &UpstreamId) {
-        self.absent.remove(engine);
-        self.unowned.remove(engine);
+        self.orphaned.remove(engine);
+        self.never_owned.remove(engine);
     }
 
     /// Forgets the engines that are no longer known.
     pub(super) fn retain(&mut self, engines: &OrderedSet<UpstreamId>) {
-        self.absent.retain(|engine, _| engines.contains(engine));
-        self.unowned.retain(|engine, _| engines.contains(engine));
+        self.orphaned.retain(|engine, _| engines.contains(engine));
+        self.never_owned.retain(|engine, _| engines.contains(engine));
     }
 
     /// Forgets the engines that have an owner again.
-    pub(super) fn keep_open(&mut self, open: &[UpstreamId]) {
-        let open: HashSet<&UpstreamId> = open.iter().collect();
-        self.absent.retain(|engine, _| open.contains(engine));
-        self.unowned.retain(|engine, _| open.contains(engine));
+    pub(super) fn retain_vacant(&mut self, vacant_engines: &[UpstreamId]) {
+        let vacant_engines: HashSet<&UpstreamId> = vacant_engines.iter().collect();
+        self.orphaned.retain(|engine, _| vacant_engines.contains(engine));
+        self.never_owned.retain(|engine, _| vacant_engines.contains(engine));
     }
 
     /// Forgets everything.
@@ -110,73 +110,76 @@
     }
 
     /// Looks at an engine and tells whether this process may take it over now.
-    pub(super) fn look(
+    pub(super) fn check(
         &mut self,
         cx: &mut Cx<'_>,
-        knowledge: &Knowledge<'_>,
+        context: &ReviewContext<'_>,
         hosts: &HashedHosts<'_>,
         engine: &UpstreamId,
-        share: Option<&HostId>,
+        assignee: Option<&HostId>,
     ) -> Option<Vacant> {
         let Some((revision, owner)) = cx.cache.owner(engine) else {
-            let since = *self.unowned.entry(engine.clone()).or_insert(cx.now);
-            let quiet = knowledge.eligible_since.after(QUIET_FOR).min(since.after(QUIET_AT_LAST));
+            let since = *self.never_owned.entry(engine.clone()).or_insert(cx.now);
+            let quiet =
+                context.eligible_since.after(MEMBERSHIP_QUIET_PERIOD).min(since.after(MAX_QUIET_WAIT));
             if !quiet.is_due(cx.now) {
                 return None;
             }
             let vacant = Vacant { engine: engine.clone(), former: None };
-            return is_own_turn(cx, hosts, engine, share, since).then_some(vacant);
+            return is_own_turn(cx, hosts, engine, assignee, since).then_some(vacant);
         };
-        self.unowned.remove(engine);
+        self.never_owned.remove(engine);
         let owner = owner.clone();
-        let state = owner_state(cx, knowledge, revision, &owner);
+        let state = owner_state(cx, context, revision, &owner);
         match state {
-            OwnerState::Present => {
-                self.absent.remove(engine);
+            OwnerState::Live => {
+                self.orphaned.remove(engine);
                 return None;
             }
             OwnerState::Uncertain => {
                 self.read_member(cx, &owner.host);
                 return None;
             }
-            OwnerState::Absent => self.want_probe(knowledge, engine, &owner),
+            OwnerState::Deregistered => self.request_probe(context, engine, &owner),
             OwnerState::Ended => {}
         }
         let ended = state == OwnerState::Ended;
-        let since = self.note(cx, knowledge, engine, revision, &owner, ended)?;
-        let vacant = Vacant { engine: engine.clone(), former: Some(Former { revision, owner, ended }) };
-        is_own_turn(cx, hosts, engine, share, since).then_some(vacant)
+        let since = self.record_vacancy(cx, context, engine, revision, &owner, ended)?;
+        let vacant = Vacant { engine: engine.clone(), former: Some(FormerOwner { revision, owner, ended }) };
+        is_own_turn(cx, hosts, engine, assignee, since).then_some(vacant)
     }
 
     /// Takes note of the vacancy; returns since when the engine may be taken, if it may.
-    fn note(
+    fn record_vacancy(
         &mut self,
         cx: &Cx<'_>,
-        knowledge: &Knowledge<'_>,
+        context: &ReviewContext<'_>,
         engine: &UpstreamId,
-        record: StoreRevision,
+        record_revision: StoreRevision,
         owner: &OwnerRecord,
         ended: bool,
     ) -> Option<Time> {
-        let known = self.absent.get(engine);
-        let same = known.is_some_and(|known| {
-            known.record == record && known.host == owner.host && known.incarnation == owner.incarnation
+        let known = self.orphaned.get(engine);
+        let is_unchanged = known.is_some_and(|known| {
+            known.record_revision == record_revision
+                && known.host == owner.host
+                && known.incarnation == owner.incarnation
         });
-        if !same {
+        if !is_unchanged {
             let vacancy = Vacancy {
                 host: owner.host.clone(),
                 incarnation: owner.incarnation,
-                record,
+                record_revision,
                 since: cx.now,
-                ready: ready_at(cx, knowledge, engine, owner),
+                takeable_from: takeable_at(cx, context, engine, owner),
             };
-            self.absent.insert(engine.clone(), vacancy);
+            self.orphaned.insert(engine.clone(), vacancy);
         }
-        let vacancy = self.absent.get_mut(engine)?;
+        let vacancy = self.orphaned.get_mut(engine)?;
         if ended {
-            vacancy.ready = vacancy.ready.min(cx.now);
+            vacancy.takeable_from = vacancy.takeable_from.min(cx.now);
         }
-        vacancy.ready.is_due(cx.now).then_some(vacancy.ready)
+        vacancy.takeable_from.is_due(cx.now).then_some(vacancy.takeable_from)
     }
 
     /// Returns the lives of processes whose end would allow a take-over at once.
@@ -184,8 +187,8 @@
         std::mem::take(&mut self.probes)
     }
 
-    fn want_probe(&mut self, knowledge: &Knowledge<'_>, engine: &UpstreamId, owner: &OwnerRecord) {
-        if knowledge.roster.fence_check(engine) == FenceCheck::Ignores {
+    fn request_probe(&mut self, context: &ReviewContext<'_>, engine: &UpstreamId, owner: &OwnerRecord) {
+        if context.inventory.fence_check(engine) == FenceCheck::Ignores {
             self.probes.insert(owner.host.clone(), owner.incarnation);
         }
     }
@@ -195,25 +198,25 @@
         if !next.is_due(cx.now) {
             return;
         }
-        *next = cx.now.after(cx.jitter(READ_EVERY));
+        *next = cx.now.after(cx.jitter(MEMBER_READ_INTERVAL));
         let call = cx.next_call();
         cx.push(Effect::Store { call, request: StoreCall::Read(Key::Member(host.clone())) });
     }
 }
 
 /// Tells whether an engine has an owner that lives, as far as this process knows.
-pub(super) fn has_owner(cx: &Cx<'_>, knowledge: &Knowledge<'_>, engine: &UpstreamId) -> bool {
+pub(super) fn has_live_owner(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId) -> bool {
     let owner = cx.cache.owner(engine);
-    owner.is_some_and(|(revision, owner)| owner_state(cx, knowledge, revision, owner) == OwnerState::Present)
+    owner.is_some_and(|(revision, owner)| owner_state(cx, context, revision, owner) == OwnerState::Live)
 }
 
 fn owner_state(
     cx: &Cx<'_>,
-    knowledge: &Knowledge<'_>,
-    record: StoreRevision,
+    context: &ReviewContext<'_>,
+    record_revision: StoreRevision,
     owner: &OwnerRecord,
 ) -> OwnerState {
-    if knowledge.peers.has_ended(&owner.host, owner.incarnation) {
+    if context.peers.has_ended(&owner.host, owner.incarnation) {
         return OwnerState::Ended;
     }
     if owner.host == cx.cfg.host && owner.incarnation < cx.cfg.incarnation {
@@ -222,30 +225,31 @@
     let key = Key::Member(owner.host.clone());
     let entry = cx.cache.get(&key);
     if entry.is_some_and(|entry| entry.record.is_some()) {
-        return OwnerState::Present;
+        return OwnerState::Live;
     }
     // A member key that was seen absent before the owner's record was written may
     // stand again by now: the owner lost its lease, registered anew and confirmed
     // the record. Taking over then would set two owners on an engine that
     // ignores fences.
-    let absent_at = entry.map(|entry| entry.revision).max(knowledge.feed.last_snapshot());
-    if absent_at.is_some_and(|absent_at| absent_at > record) {
-        OwnerState::Absent
+    let deregistered_at = entry.map(|entry| entry.revision).max(context.store_sync.last_snapshot());
+    if deregistered_at.is_some_and(|deregistered_at| deregistered_at > record_revision) {
+        OwnerState::Deregistered
     } else {
         OwnerState::Uncertain
     }
 }
 
-fn ready_at(cx: &Cx<'_>, knowledge: &Knowledge<'_>, engine: &UpstreamId, owner: &OwnerRecord) -> Time {
+fn takeable_at(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId, owner: &OwnerRecord) -> Time {
     let timings = &cx.cfg.timings;
-    let hold = match knowledge.roster.fence_check(engine) {
+    let hold = match context.inventory.fence_check(engine) {
         FenceCheck::Refuses => Duration::ZERO,
         FenceCheck::Ignores => timings.hold + timings.hold_margin,
     };
-    let returned = knowledge.membership.returned().is_some_and(|at| !at.after(RETURN_GRACE).is_due(cx.now));
-    let may_return = returned
-        || knowledge.peers.is_heard(cx, &owner.host, owner.incarnation)
-        || knowledge.peers.have_vanished_together(cx);
+    let has_re_registered =
+        context.membership.re_registered_at().is_some_and(|at| !at.after(RETURN_GRACE).is_due(cx.now));
+    let may_return = has_re_registered
+        || context.peers.has_recent_heartbeat(cx, &owner.host, owner.incarnation)
+        || context.peers.is_mass_expiry(cx);
     let grace = if may_return { RETURN_GRACE } else { Duration::ZERO };
     cx.now.after(hold.max(grace))
 }
@@ -255,19 +259,19 @@
     cx: &Cx<'_>,
     hosts: &HashedHosts<'_>,
     engine: &UpstreamId,
-    share: Option<&HostId>,
+    assignee: Option<&HostId>,
     since: Time,
 ) -> bool {
     let own = &cx.cfg.host;
-    if share == Some(own) {
+    if assignee == Some(own) {
         return true;
     }
     // The process whose turn it is may be cut off or superseded; without a next
     // one, the engine would stay without an owner for as long.
-    if !since.after(NEXT_IN_RANK).is_due(cx.now) {
+    if !since.after(RANK_DELAY).is_due(cx.now) {
         return false;
     }
-    let Some(rank) = hosts.rank_beside(engine.as_str(), own, share) else { return false };
+    let Some(rank) = hosts.rank_excluding(engine.as_str(), own, assignee) else { return false };
     let turns = u32::try_from(rank + 1).unwrap_or(u32::MAX);
-    since.after(NEXT_IN_RANK.saturating_mul(turns)).is_due(cx.now)
+    since.after(RANK_DELAY.saturating_mul(turns)).is_due(cx.now)
 }
