--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -1,4 +1,8 @@
-//! Which process is alive, which owns which engine, where models may be loaded, who gets the power.
+//! Control plane of one process: membership, engine ownership, model homes and power
+//! grants.
+//!
+//! Open [`Control`] first. It receives events from the node and runs a periodic review
+//! that lets each part decide on the same snapshot of state.
 
 mod assignment;
 mod backoff;
@@ -45,11 +49,12 @@
 use crate::time::Time;
 use crate::units::Watts;
 
-/// How often everything is looked at again.
+/// Interval between two reviews when nothing has changed.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// How soon it is looked at again after a change.
+/// Delay of the next review after a change.
 const REVIEW_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(100);
-/// How often it is looked at again while an engine lacks power or a model a home.
+/// Interval between two reviews while an engine lacks power or a model needs another
+/// home.
 const REVIEW_INTERVAL_URGENT: Duration = Duration::from_millis(250);
 
 /// Membership, ownership, homes and power of one process.
@@ -65,19 +70,19 @@
     ownership: Ownership,
     homes: Homes,
     power: Power,
-    /// The live members that may own something and keep it.
+    /// The live members that may become owners.
     eligible: Vec<HostId>,
     members_changed: bool,
-    /// When the live members last changed.
+    /// When `eligible` last changed.
     eligible_since: Time,
     last_review: Time,
     next_inventory_review: Time,
-    /// Whether something has changed since the last review.
+    /// Whether anything has changed since the last review.
     changed: bool,
 }
 
 impl Control {
-    /// Makes the state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(cfg: &NodeConfig) -> Self {
         Self {
             cfg: cfg.clone(),
@@ -99,18 +104,18 @@
         }
     }
 
-    /// Takes new settings over.
+    /// Replaces the configuration.
     pub fn configure(&mut self, cfg: &NodeConfig) {
         self.cfg = cfg.clone();
     }
 
-    /// Begins the lease and the first read of the shared keys.
+    /// Requests a lease and starts the first read of the shared keys.
     pub fn start(&mut self, cx: &mut Cx<'_>) {
         self.bootstrap.start(cx, &mut self.store_sync);
         self.membership.on_tick(cx);
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, engines: &dyn EngineUse) {
         self.membership.on_tick(cx);
         self.peers.on_tick(cx, self.local_status());
@@ -141,19 +146,20 @@
         if urgent { REVIEW_INTERVAL_URGENT } else { REVIEW_INTERVAL }
     }
 
-    /// Takes news that this process has read itself.
+    /// Handles changes that this process has read from the store itself.
     pub fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
         self.store_sync.set_watch_answered(true);
         self.relay.on_news_read(cx, news);
     }
 
-    /// Begins to leave.
+    /// Starts an orderly shutdown.
     pub fn on_shutdown(&mut self, _cx: &mut Cx<'_>) {
         self.membership.leave();
         self.on_members_changed();
     }
 
-    /// Ends the lease, now that nothing is in progress any more.
+    /// Revokes the lease, if every engine is handed over or the lease is no longer
+    /// valid.
     pub fn on_drained(&mut self, cx: &mut Cx<'_>) {
         if self.ownership.has_released_all(&self.eligible) || !self.membership.is_lease_valid(cx.cfg, cx.now)
         {
@@ -162,18 +168,18 @@
         }
     }
 
-    /// Tells whether nothing is left to be given up.
+    /// Reports whether this process is deregistered and may exit.
     pub fn has_left(&self) -> bool {
         self.membership.is_deregistered()
     }
 
-    /// Takes note that upstreams of the host list have changed.
+    /// Handles upstreams that were added to, changed on or removed from the host list.
     pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
         self.inventory.on_host_list(cx, touched);
         self.changed = true;
     }
 
-    /// Takes the result of a call that isn't a write.
+    /// Handles the result of a store call other than a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         self.membership.on_store(cx, call, result);
         self.store_sync.on_store(cx, call, result);
@@ -181,7 +187,7 @@
         self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
-    /// Takes the outcome of a write of a member, owner, homes or power key.
+    /// Handles the outcome of a write of a member, owner, homes or power key.
     pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         self.changed = true;
         match key {
@@ -193,7 +199,7 @@
         }
     }
 
-    /// Takes note that a shared key has changed in the cache.
+    /// Handles a change of a shared key in the cache.
     pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         self.changed = true;
         match key {
@@ -206,16 +212,17 @@
         }
     }
 
-    /// Takes note that a peer has told every shared key.
+    /// Records that a peer has sent all shared keys up to `upto`.
     pub fn on_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         self.store_sync.on_peer_state(cx, upto);
         self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
-    /// Decides where to learn what news from peers have left out.
+    /// Chooses a source for changes that news from peers have left out.
     ///
-    /// Where members are few the service is read, which takes a moment; were all
-    /// of many to do so, its link would be busy for longer than a parent takes.
+    /// In a small cluster the process reads the store. In a large one it asks its
+    /// parent in the relay tree, since reads by every process at once would keep the
+    /// store's link busy for longer than a parent takes to answer.
     pub fn on_news_missed(&self, cx: &mut Cx<'_>, persists: bool) {
         if !relay::has_many_members(cx) {
             cx.push(Effect::ReadOn);
@@ -224,23 +231,24 @@
         }
     }
 
-    /// Takes note that the service didn't answer a watch.
+    /// Records that the store did not answer a watch.
     pub fn on_watch_unanswered(&mut self) {
         self.store_sync.set_watch_answered(false);
     }
 
-    /// Takes note that the watch may have missed changes.
+    /// Records that the watch may have missed changes.
     pub fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
         self.store_sync.set_watch_answered(false);
         self.store_sync.on_watch_broken(cx);
     }
 
-    /// Takes note of changes that the watch saw, and of the revision up to which it missed none.
+    /// Handles changes reported by the watch, which is complete up to `upto`.
     pub fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
         self.store_sync.on_watched(cx, changes, upto);
     }
 
-    /// Takes note of what a batch from a peer covers, after its records went into the cache.
+    /// Records the range that a peer's batch covers, after its records were applied to
+    /// the cache.
     pub fn on_records(
         &mut self,
         cx: &mut Cx<'_>,
@@ -251,12 +259,12 @@
         self.store_sync.on_records(cx, from, after, upto);
     }
 
-    /// Takes note of whether an engine of this process answered.
+    /// Records whether an engine of this process answered a report request.
     pub fn on_report(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId, reached: bool) {
         self.inventory.on_report(cx, engine, reached);
     }
 
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer message.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         self.peers.on_peer(cx, from, message);
         self.store_sync.on_peer(cx, from, message);
@@ -273,28 +281,29 @@
         }
     }
 
-    /// Takes note that a process has connected whose certificate no known member has published.
+    /// Handles a connection from a process whose certificate no known member has
+    /// published.
     pub fn on_unknown_peer(&mut self, cx: &mut Cx<'_>) {
         self.bootstrap.on_unknown_peer(cx);
     }
 
-    /// Takes note that a process has ended for certain.
+    /// Records that this incarnation of a process has definitely ended.
     pub fn on_peer_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
         self.peers.on_connection_refused(cx, host, incarnation);
         self.on_members_changed();
     }
 
-    /// Returns the changes of ownership since the last call.
+    /// Returns the ownership changes since the last call.
     pub fn take_changes(&mut self) -> Vec<OwnershipChange> {
         self.ownership.take_changes()
     }
 
-    /// Tells what is believed.
+    /// Returns the entries for a state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
         introspection::beliefs(self, cx)
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self, cx: &Cx<'_>) -> Vec<Gauge> {
         introspection::gauges(self, cx)
     }
@@ -311,7 +320,6 @@
         self.on_members_changed();
     }
 
-    /// Takes note of a change of who lives.
     const fn on_members_changed(&mut self) {
         self.members_changed = true;
         self.changed = true;
@@ -356,7 +364,8 @@
         }
     }
 
-    /// Tells whether the shared keys are known as of when the engine was acquired.
+    /// Reports whether the shared keys are known up to the revision at which the engine
+    /// was acquired.
     fn is_synced_past(&self, acquired_revision: StoreRevision) -> bool {
         self.store_sync.is_synced() && self.store_sync.frontier() >= acquired_revision
     }
@@ -390,7 +399,7 @@
     }
 }
 
-/// Returns every engine that a record names.
+/// Returns every engine named by an owner or homes record.
 fn recorded_engines(cx: &Cx<'_>) -> OrderedSet<UpstreamId> {
     let owned = cx.cache.owners().map(|(engine, _)| engine);
     let homes = cx.cache.all_homes().flat_map(|(_, homes)| &homes.engines);
--- a/crates/skylarkshore-core/src/control/hashing.rs
+++ b/crates/skylarkshore-core/src/control/hashing.rs
@@ -1,7 +1,8 @@
-//! Rendezvous hashing: every process finds the same one of several without asking.
+//! Rendezvous hashing, with which all processes pick the same host for a key without
+//! coordination.
 //!
-//! The hash is written out here, since processes of different builds have to
-//! agree on it while an upgrade is under way.
+//! The hash is implemented here because processes of different builds must agree on it
+//! during an upgrade.
 
 use crate::collections::OrderedMap;
 use crate::id::HostId;
@@ -11,13 +12,12 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Returns a name's hash.
 pub(crate) fn name_hash(name: &str) -> u64 {
     let fnv = name.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
     mix(fnv)
 }
 
-/// Returns the weight of a pair of name hashes.
+/// Returns the rendezvous weight of a key and a candidate.
 pub(super) const fn pair_weight(key: u64, candidate: u64) -> u64 {
     mix(key ^ candidate.rotate_left(32))
 }
@@ -29,7 +29,7 @@
     x ^ (x >> 31)
 }
 
-/// Returns the hosts in the order in which they look after the key.
+/// Returns the hosts by descending weight for the key.
 pub(crate) fn ranking<'a>(key: &str, hosts: impl Iterator<Item = &'a HostId>) -> Vec<&'a HostId> {
     let key = name_hash(key);
     let mut ranked: Vec<&HostId> = hosts.collect();
@@ -37,9 +37,10 @@
     ranked
 }
 
-/// Returns members in the order in which they look after what is easier for large hosts.
+/// Returns the members in the order in which they should serve the key, larger hosts
+/// first.
 ///
-/// The larger ones come first, and the hash decides among equal ones.
+/// Among equal capacities the rendezvous weight decides.
 pub(crate) fn ranking_by_capacity<'a>(
     key: &str,
     members: impl Iterator<Item = (&'a HostId, &'a MemberRecord)>,
@@ -51,7 +52,7 @@
     ranked
 }
 
-/// Hosts with their hashes, for whoever asks about many keys.
+/// Hosts with precomputed name hashes, for lookups of many keys.
 #[derive(Debug)]
 pub(super) struct HashedHosts<'a> {
     hosts: Vec<(u64, &'a HostId)>,
@@ -62,18 +63,18 @@
         Self { hosts: hosts.iter().map(|host| (name_hash(host.as_str()), host)).collect() }
     }
 
-    /// Returns the host that looks after the key.
+    /// Returns the host with the highest weight for the key.
     pub(super) fn winner(&self, key: &str) -> Option<&'a HostId> {
         let key = name_hash(key);
         self.hosts.iter().max_by_key(|(hash, _)| pair_weight(key, *hash)).map(|(_, host)| *host)
     }
 
-    /// Returns how many hosts look after the key before this one does.
+    /// Returns how many hosts rank before `host` for the key.
     pub(super) fn rank(&self, key: &str, host: &HostId) -> Option<usize> {
         self.rank_excluding(key, host, None)
     }
 
-    /// Returns the same where one of the others doesn't count.
+    /// Returns the rank without counting `excluded`.
     pub(super) fn rank_excluding(
         &self,
         key: &str,
--- a/crates/skylarkshore-core/src/control/introspection.rs
+++ b/crates/skylarkshore-core/src/control/introspection.rs
@@ -1,4 +1,4 @@
-//! What this part believes, for state dumps and metrics.
+//! State dump entries and metrics of the control plane.
 
 use super::Control;
 use crate::cx::Cx;
@@ -6,7 +6,7 @@
 use crate::id::{StoreRevision, UpstreamId};
 use crate::store::Key;
 
-/// Tells what is believed of members, ownership, homes and power.
+/// Returns the entries on members, ownership, homes and power.
 pub(super) fn beliefs(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
     let mut beliefs = vec![own_membership(control, cx), store_sync(control, cx)];
     beliefs.extend(members(control, cx));
@@ -16,7 +16,7 @@
     beliefs
 }
 
-/// Returns the numbers for the metrics.
+/// Returns the gauges for the metrics.
 pub(super) fn gauges(control: &Control, cx: &Cx<'_>) -> Vec<Gauge> {
     let counts = control.homes.counts();
     let mut gauges = vec![
