--- a/crates/skylarkshore-core/src/control/assignment.rs
+++ b/crates/skylarkshore-core/src/control/assignment.rs
@@ -1,28 +1,33 @@
-//! Which process each engine should belong to.
+//! Assignment of engines to members by rendezvous hashing, and the balance of owned
+//! engines.
+//!
+//! Open [`Assignment`] first.
 
 use super::hashing::{HashedHosts, name_hash, pair_weight};
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::id::{HostId, UpstreamId};
 use crate::store::StoreCache;
 
-/// How much less the receiver has to own for an engine to change hands; with
-/// less, the engine could as well move back.
+/// Minimum difference in owned engines for a move; with less, the engine could move
+/// straight back.
 const MIN_DIFFERENCE_TO_MOVE: usize = 2;
 
-/// Up to how many pairs of an engine and a host all engines are shared out together.
+/// Maximum number of engine-host pairs for which all engines are assigned together,
+/// with a bound per host.
 ///
-/// Beyond, the hosts' largest shares aren't bounded from the start; hand-overs even them out.
+/// Above it each engine is assigned by itself without a bound, and hand-overs balance
+/// the numbers.
 const MAX_BOUNDED_PAIRS: usize = 100_000;
 
-/// The most engines that one of `hosts` processes should own.
+/// Returns the maximum number of engines that one of `hosts` processes should own.
 pub(super) fn max_owned(engines: usize, hosts: usize) -> usize {
     (engines * 5).div_ceil(hosts.max(1) * 4)
 }
 
-/// Shares the engines out by rendezvous hashing, none more than [`largest_share`] to one host.
+/// Assigns engines by rendezvous hashing, at most [`max_owned`] to each host.
 ///
-/// The result depends on the two sets alone, so that processes that know the
-/// same members and engines agree on it.
+/// The result depends only on the two sets, so processes that know the same members and
+/// engines agree on it.
 fn assign<'a>(
     engines: impl ExactSizeIterator<Item = &'a UpstreamId>,
     hosts: &[HostId],
@@ -45,7 +50,7 @@
     assignment
 }
 
-/// Who should own which engine, kept until members or engines change.
+/// The assigned owner of each engine, cached until members or engines change.
 #[derive(Debug, Default)]
 pub(super) struct Assignment {
     hosts: Vec<HostId>,
@@ -54,14 +59,14 @@
 }
 
 impl Assignment {
-    /// Returns who should own an engine, as far as that is of interest to this process.
+    /// Returns the assigned owner of an engine, if it is known here.
     pub(super) fn owner(&self, engine: &UpstreamId) -> Option<&HostId> {
         self.owners.get(engine)
     }
 
-    /// Shares the engines out anew where members or engines have changed.
+    /// Recomputes the assignment if members or engines have changed.
     ///
-    /// Where they are many, only the engines `of_interest` are, each by itself.
+    /// In a large cluster only the `relevant` engines are assigned, each by itself.
     pub(super) fn update<'a>(
         &mut self,
         hosts: &[HostId],
@@ -95,7 +100,7 @@
     engines: usize,
 }
 
-/// How many engines each live member owns by the records.
+/// How many engines each live member owns according to the records.
 #[derive(Debug)]
 pub(super) struct OwnershipBalance {
     owned_by_host: OrderedMap<HostId, usize>,
@@ -103,7 +108,6 @@
 }
 
 impl OwnershipBalance {
-    /// Counts the records.
     pub(super) fn new(cache: &StoreCache, hosts: &[HostId]) -> Self {
         let mut owned_by_host: OrderedMap<HostId, usize> =
             hosts.iter().map(|host| (host.clone(), 0)).collect();
@@ -117,10 +121,12 @@
         Self { owned_by_host, total }
     }
 
-    /// Returns who should get an engine of `own`, if it should change hands at all.
+    /// Returns the member that should receive one of the engines of `own`, if one
+    /// should move.
     ///
-    /// An engine only moves to a member that owns fewer by [`WORTHWHILE`], so
-    /// that every move evens the numbers out and none is undone by the next.
+    /// An engine moves only to a member that owns at least [`MIN_DIFFERENCE_TO_MOVE`]
+    /// fewer, so that every move reduces the imbalance and the next one does not undo
+    /// it.
     pub(super) fn receiver<'a>(
         &'a self,
         own: &HostId,
@@ -150,7 +156,6 @@
         self.count(host).saturating_sub(self.total.div_ceil(self.owned_by_host.len().max(1)))
     }
 
-    /// Counts an engine as moved.
     pub(super) fn record_move(&mut self, from: &HostId, to: &HostId) {
         if let Some(count) = self.owned_by_host.get_mut(from) {
             *count = count.saturating_sub(1);
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -1,4 +1,6 @@
-//! Which engines this process owns: taking over, handing over, and leave to act.
+//! Engine ownership: take-over, confirmation, hand-over, and permission to send orders.
+//!
+//! Open [`Ownership`] first.
 
 mod handover;
 
@@ -20,40 +22,41 @@
 use crate::time::Time;
 use crate::upstream::FenceCheck;
 
-/// How long the write of an owner record is tried.
+/// Deadline of one write of an owner record.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
-/// How long a write of unknown outcome rests before it is made again.
+/// Delay before a failed or unconfirmed write is repeated, before jitter.
 const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How often at most all engines are looked at.
+/// Minimum interval between two scans of all engines.
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// The same where there are many.
+/// Minimum interval between two scans in a cluster with more engines than its hosts can
+/// own.
 const SCAN_INTERVAL_LARGE: Duration = Duration::from_secs(1);
-/// How often a process looks at engines that others should take.
+/// Interval between two checks of vacant engines that are assigned to other processes.
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A take-over that was written, and may have taken effect.
+/// A take-over whose owner record was sent to the store and may have been written.
 #[derive(Clone, Copy, Debug)]
 struct TakeOver {
     fence: Fence,
     based_on: StoreRevision,
     late_orders_until: Time,
-    /// Whether nobody or an earlier life of this host owned the engine before.
+    /// Whether the engine had no owner before, or an earlier incarnation on this host.
     from_same_host: bool,
 }
 
-/// The engines of this process.
+/// The engines that this process owns or tries to take over.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
     owned_engines: OrderedMap<UpstreamId, OwnedEngine>,
     take_overs: OrderedMap<UpstreamId, TakeOver>,
-    /// Engines whose owner record this process is writing.
+    /// Engines with a write of their owner record in flight.
     writes_in_flight: OrderedSet<UpstreamId>,
-    /// Engines that are left alone for a while after a failed write.
+    /// Engines whose last write failed, and when they may be written again.
     backing_off: OrderedMap<UpstreamId, Time>,
     vacancies: Vacancies,
     assignment: Assignment,
-    /// Engines that had no live owner when all were last looked at.
+    /// Engines without a live owner as of the last scan.
     vacant_engines: Vec<UpstreamId>,
     is_scan_due: bool,
     next_scan: Time,
@@ -64,42 +67,41 @@
 }
 
 impl Ownership {
-    /// Returns the changes of ownership since the last call.
+    /// Returns the ownership changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<OwnershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the engines that this process owns.
     pub(super) const fn owned_engines(&self) -> &OrderedMap<UpstreamId, OwnedEngine> {
         &self.owned_engines
     }
 
-    /// Returns an engine that this process owns and isn't about to hand over.
+    /// Returns an engine that this process owns and is not handing over.
     pub(super) fn held(&self, engine: &UpstreamId) -> Option<&OwnedEngine> {
         self.owned_engines.get(engine).filter(|owned| owned.is_held())
     }
 
-    /// Returns since when an engine's owner has been gone.
+    /// Returns when an engine lost its owner.
     pub(super) fn vacant_since(&self, engine: &UpstreamId) -> Option<Time> {
         self.vacancies.since(engine)
     }
 
-    /// Returns how many engines have no live owner.
+    /// Returns the number of engines without a live owner.
     pub(super) fn vacant_count(&self) -> usize {
         self.vacancies.len()
     }
 
-    /// Returns the lives of processes whose end would allow a take-over at once.
+    /// Returns the incarnations whose confirmed end would allow an immediate take-over.
     pub(super) fn take_probes(&mut self) -> OrderedMap<HostId, Incarnation> {
         self.vacancies.take_probes()
     }
 
-    /// Tells whether nothing is left that could be handed over.
+    /// Reports whether there is nothing left that could be handed over.
     pub(super) fn has_released_all(&self, eligible: &[HostId]) -> bool {
         self.retired || self.owned_engines.is_empty() || eligible.is_empty()
     }
 
-    /// Gives everything up for good.
+    /// Drops all engines and stops making decisions.
     pub(super) fn retire(&mut self) {
         self.retired = true;
         for engine in std::mem::take(&mut self.owned_engines).into_keys() {
@@ -110,7 +112,8 @@
         self.vacancies.clear();
     }
 
-    /// Returns leave to give orders to the engine now, if there is any.
+    /// Returns a permit to send orders to the engine, if this process may act on it
+    /// now.
     pub(super) fn permit(
         &self,
         cfg: &NodeConfig,
@@ -123,19 +126,21 @@
         if inventory.fence_check(engine) == FenceCheck::Refuses {
             return Some(Permit { fence: owned.fence, not_after: Time::NEVER });
         }
-        // A successor that saw the member key vanish counts from then. If the key
-        // was written again since, only a record written after it makes the
-        // successor's write fail; before, both could act on the engine.
+        // A successor that saw the member key deleted starts its waiting period at that
+        // moment. If the key was registered again since, only an owner record written
+        // after the registration makes the successor's write fail. Until then both
+        // could act on the engine.
         let registered = membership.registration_revision()?;
         let not_after = membership.lease_valid_until(cfg)?;
-        // The engine's former owner, on another host, may have given an order a moment
-        // ago; its orders and this process's have to be apart.
+        // The former owner, on another host, may have sent an order shortly before; the
+        // orders of the two owners must be at least `order_gap` apart.
         let is_order_gap_over = owned.orders_allowed_from.is_due(now);
         let safe = owned.revision > registered && is_order_gap_over && !not_after.is_due(now);
         safe.then_some(Permit { fence: owned.fence, not_after })
     }
 
-    /// Compares an engine's record with what this process holds.
+    /// Compares an engine's owner record with the local state, and acquires or drops
+    /// the engine.
     pub(super) fn reconcile(&mut self, cx: &mut Cx<'_>, inventory: &EngineInventory, engine: &UpstreamId) {
         let record = cx.cache.owner(engine);
         let own = record
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Takes the outcome of a write of an owner record.
+    /// Handles the outcome of a write of an owner record.
     pub(super) fn on_write(
         &mut self,
         cx: &mut Cx<'_>,
@@ -177,15 +182,16 @@
         let Phase::Transferring { retry_at, .. } = &mut owned.phase else { return };
         match outcome {
             WriteOutcome::Unknown => *retry_at = next_try,
-            // A lost earlier try may still be on its way, so that only a record
-            // that is seen to be newer ends the doubt.
+            // An earlier attempt may still reach the store, so that the outcome stays
+            // open until a newer record is read.
             WriteOutcome::NotDone if *retry_at != Time::NEVER => *retry_at = next_try,
             WriteOutcome::NotDone => owned.phase = Phase::Held,
             WriteOutcome::Done(_) | WriteOutcome::Conflict(_) => {}
         }
     }
 
-    /// Does what is due: takes over, confirms and hands over.
+    /// Runs what is due: advances hand-overs, confirms records, takes over vacant
+    /// engines and starts hand-overs.
     pub(super) fn review(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>, engines: &dyn EngineUse) {
         if self.retired {
             return;
@@ -231,7 +237,9 @@
         self.changes.push(OwnershipChange::Acquired { engine: engine.clone(), fence, late_orders_until });
     }
 
-    /// Tells whether no other host owned the engine before, as far as this process took part in it.
+    /// Reports whether the engine's previous owner, if any, ran on this host.
+    ///
+    /// This is known only if this process wrote the take-over itself.
     fn was_owned_by_this_host(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
         let entry = cx.cache.get(&Key::Owner(engine.clone()));
         let writer = entry.and_then(|entry| entry.writer.as_ref());
@@ -271,7 +279,7 @@
         self.changes.push(OwnershipChange::Lost { engine: engine.clone() });
     }
 
-    /// Looks at all engines: who should own them, and which have no live owner.
+    /// Finds the engines without a live owner and updates the assignment.
     fn scan(&mut self, cx: &Cx<'_>, context: &ReviewContext<'_>) {
         let engines = ownable_engines(cx, context);
         self.vacancies.retain(&engines);
@@ -290,7 +298,8 @@
         !self.writes_in_flight.contains(engine) && !self.backing_off.contains_key(engine)
     }
 
-    /// Writes the records of engines that ignore fences anew after the member key was lost.
+    /// Rewrites the owner records of engines that ignore fences, if they are older than
+    /// the current registration.
     fn confirm_records(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
         let Some(registered) = context.membership.registration_revision() else { return };
         let unconfirmed: Vec<UpstreamId> = self
@@ -311,10 +320,11 @@
         }
     }
 
-    /// Deletes the records of engines that are gone for good and that nothing names any more.
+    /// Deletes the owner records of engines that are gone and not referenced by any
+    /// other record.
     ///
-    /// Engines come and go under new names every day. Without this, each of them
-    /// would leave a record behind that every process reads and keeps.
+    /// Engines come and go under new names every day. Every process would read and keep
+    /// one stale record for each of them.
     fn delete_gone_engines(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
         let gone: Vec<UpstreamId> = self
             .owned_engines
@@ -363,8 +373,8 @@
         self.take_overs
             .insert(engine.clone(), TakeOver { fence, based_on, late_orders_until, from_same_host });
         if let Some(former) = &former {
-            let why = if former.ended { "its process has ended" } else { "its member key is gone" };
-            let detail = format!("from {}, since {why}; fence {fence}", former.owner.host);
+            let why = if former.ended { "its process has ended" } else { "its member key was deleted" };
+            let detail = format!("from {}, because {why}; fence {fence}", former.owner.host);
             cx.note("engine_taking_over", engine.clone(), detail);
         }
         let expect = former.map_or(Expect::Absent, |former| Expect::At(former.revision));
@@ -383,11 +393,12 @@
     }
 }
 
-/// Returns the engines that are to have an owner.
+/// Returns the engines that need an owner.
 ///
-/// An owner asks its engines how they stand, and all processes hear who owns
-/// which. Where there are many more engines than hosts, that is left out for
-/// those on which nothing is to be loaded; requests use what they hold.
+/// Each owned engine costs periodic report requests and a record that every process
+/// reads. If there are many more engines than the hosts can own, only homes and engines
+/// with an owner record count; requests still use the models that the other engines
+/// hold.
 fn ownable_engines(cx: &Cx<'_>, context: &ReviewContext<'_>) -> OrderedSet<UpstreamId> {
     let mut engines: OrderedSet<UpstreamId> = cx.cache.owners().map(|(engine, _)| engine.clone()).collect();
     if context.has_spare_engines(cx) {
@@ -400,7 +411,7 @@
     engines
 }
 
-/// A record that names this process.
+/// Revision and fence of an owner record that names this process.
 #[derive(Clone, Copy, Debug)]
 struct OwnRecord {
     revision: StoreRevision,
@@ -411,7 +422,7 @@
     OwnerRecord { host: cx.cfg.host.clone(), incarnation: cx.cfg.incarnation, fence }
 }
 
-/// Tells whether a model's homes or a site's grants name the engine.
+/// Reports whether a homes record or a power grant names the engine.
 fn is_in_use(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId) -> bool {
     let site = context.inventory.get(engine).map(|known| &known.site);
     let power = site.and_then(|site| cx.cache.power(site));
@@ -425,9 +436,9 @@
 
 /// Returns a fence above every earlier one of the engine.
 ///
-/// The record of an engine that was gone for long is deleted. Should the engine
-/// come back, it may still know the fence of then; no fence is ever above the
-/// revision of its own record, so that a later revision is above them all.
+/// The record of a gone engine is deleted, but the engine may come back and still
+/// enforce its last fence. No fence exceeds the revision of its own record, so a later
+/// store revision is above all of them.
 fn next_fence(cx: &Cx<'_>, former: Option<&FormerOwner>) -> Fence {
     former.map_or(Fence(cx.cache.newest().0.max(1)), |former| former.owner.fence.next())
 }
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -1,4 +1,5 @@
-//! Handing engines over to newcomers, and to everybody when the process leaves.
+//! Hand-over of engines to other members, to balance their numbers or because this
+//! process is leaving.
 
 use std::time::Duration;
 
@@ -12,16 +13,14 @@
 use crate::store::{Expect, OwnerRecord};
 use crate::time::Time;
 
-/// How long a hand-over waits for orders in progress before it is called off.
+/// How long a hand-over waits for orders in progress before it is cancelled.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
-/// How many engines are handed over at a time when little is to be evened out.
 const MIN_CONCURRENT_HANDOVERS: usize = 2;
-/// How many engines are handed over at a time at most.
 const MAX_CONCURRENT_HANDOVERS: usize = 8;
-/// How many engines beyond the mean a process has to own before it hands one over
-/// that takes no orders meanwhile.
+/// How many engines beyond the mean a process must own before it hands one over, if the
+/// engine receives no orders during the order gap.
 const MIN_EXCESS_WITH_ORDER_GAP: usize = 3;
-/// How long the engines' distribution is left alone after a hand-over.
+/// Pause between two rounds of hand-overs, before jitter.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Ownership {
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Moves the hand-overs on that have begun.
+    /// Continues the hand-overs that are in progress.
     pub(super) fn advance_handovers(
         &mut self,
         cx: &mut Cx<'_>,
@@ -123,7 +122,8 @@
         self.write(cx, engine, Expect::At(based_on), Some(owner));
     }
 
-    /// Ends the doubt about a hand-over whose receiver is gone by writing the own record anew.
+    /// Rewrites the own record after the receiver of an unconfirmed transfer is gone,
+    /// so that the transfer can no longer take effect.
     fn cancel_transfer(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
         let Some(owned) = self.owned_engines.get_mut(engine) else { return };
         let Phase::Transferring { retry_at, based_on, .. } = &mut owned.phase else { return };
@@ -138,12 +138,11 @@
     }
 }
 
-/// Tells whether evening the numbers out is worth what it costs.
+/// Reports whether an imbalance of `excess` engines justifies a hand-over.
 ///
-/// Where the orders of two owners have to lie apart, an engine that changes
-/// hands takes none for that time. Hosts that restart one after the other would
-/// keep every engine without orders for seconds, over and over; so a few engines
-/// more than others have are kept.
+/// With a configured order gap, an engine receives no orders for that time after a
+/// hand-over. A rolling restart would keep every engine without orders for seconds,
+/// over and over, so a small imbalance is tolerated.
 fn is_worth_order_gap(cx: &Cx<'_>, excess: usize) -> bool {
     cx.cfg.timings.order_gap.is_zero() || excess >= MIN_EXCESS_WITH_ORDER_GAP
 }
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -1,4 +1,6 @@
-//! When an engine whose owner is gone may be taken over.
+//! Engines without a live owner, and when this process may take them over.
+//!
+//! Open [`Vacancies`] first.
 
 use std::time::Duration;
 
@@ -12,33 +14,34 @@
 use crate::time::Time;
 use crate::upstream::FenceCheck;
 
-/// How long a member that lives but lost its key is given to register again.
+/// How long a live member whose key was deleted may take to register again.
 const RETURN_GRACE: Duration = Duration::from_secs(15);
-/// How long the process that should take an engine is given before the next one tries.
+/// Delay between two processes of the ranking that try to take an engine over.
 const RANK_DELAY: Duration = Duration::from_secs(5);
-/// How long the members have to stay the same before new engines are shared out.
+/// How long the members must stay the same before engines that were never owned are
+/// assigned.
 ///
-/// When all hosts start together, the first one sees no other. If it took every
-/// engine at once, they would have to be handed over one after the other.
+/// When all hosts start together, the first one sees no others. If it took every engine
+/// at once, they would have to be handed over one by one.
 const MEMBERSHIP_QUIET_PERIOD: Duration = Duration::from_millis(1500);
-/// How long new engines wait at most for that.
+/// How long a new engine waits for stable membership at most.
 const MAX_QUIET_WAIT: Duration = Duration::from_secs(5);
-/// How often an uncertain member key is read.
+/// Interval between two reads of an uncertain member key, before jitter.
 const MEMBER_READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where an engine's owner stands, as far as this process knows.
+/// State of an engine's owner, as far as this process knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnerState {
     Live,
-    /// Its member key was absent after it became owner.
+    /// Its member key was absent at a revision after the owner record was written.
     Deregistered,
-    /// Its life has ended for certain.
+    /// Its incarnation has definitely ended.
     Ended,
-    /// The key was absent before it became owner; the news is too old to tell.
+    /// Its member key was absent only at revisions before the owner record was written.
     Uncertain,
 }
 
-/// An engine without a live owner.
+/// An engine whose recorded owner is gone.
 #[derive(Clone, Debug)]
 struct Vacancy {
     host: HostId,
@@ -48,68 +51,66 @@
     takeable_from: Time,
 }
 
-/// An engine that may be taken over now.
+/// An engine that this process may take over now.
 #[derive(Clone, Debug)]
 pub(super) struct Vacant {
     pub(super) engine: UpstreamId,
     pub(super) former: Option<FormerOwner>,
 }
 
-/// The record of the former owner.
+/// The owner record that a take-over replaces.
 #[derive(Clone, Debug)]
 pub(super) struct FormerOwner {
     pub(super) revision: StoreRevision,
     pub(super) owner: OwnerRecord,
-    /// Whether its life has ended for certain.
+    /// Whether that incarnation has definitely ended.
     pub(super) ended: bool,
 }
 
-/// The engines whose owners are gone.
+/// The engines without a live owner.
 #[derive(Debug, Default)]
 pub(super) struct Vacancies {
     orphaned: OrderedMap<UpstreamId, Vacancy>,
-    /// Engines that nobody has owned yet, and since when they are known.
+    /// Engines that never had an owner, and when each became known.
     never_owned: OrderedMap<UpstreamId, Time>,
     reads: OrderedMap<HostId, Time>,
     probes: OrderedMap<HostId, Incarnation>,
 }
 
 impl Vacancies {
-    /// Returns since when an engine's owner has been gone.
+    /// Returns when an engine's owner was found gone.
     pub(super) fn since(&self, engine: &UpstreamId) -> Option<Time> {
         self.orphaned.get(engine).map(|vacancy| vacancy.since)
     }
 
-    /// Returns how many engines have no live owner.
     pub(super) fn len(&self) -> usize {
         self.orphaned.len() + self.never_owned.len()
     }
 
-    /// Forgets an engine that has an owner again.
+    /// Removes an engine that has an owner again.
     pub(super) fn forget(&mut self, engine: &UpstreamId) {
         self.orphaned.remove(engine);
         self.never_owned.remove(engine);
     }
 
-    /// Forgets the engines that are no longer known.
+    /// Removes the engines that are no longer known.
     pub(super) fn retain(&mut self, engines: &OrderedSet<UpstreamId>) {
         self.orphaned.retain(|engine, _| engines.contains(engine));
         self.never_owned.retain(|engine, _| engines.contains(engine));
     }
 
-    /// Forgets the engines that have an owner again.
+    /// Removes the engines that have an owner again.
     pub(super) fn retain_vacant(&mut self, vacant_engines: &[UpstreamId]) {
         let vacant_engines: HashSet<&UpstreamId> = vacant_engines.iter().collect();
         self.orphaned.retain(|engine, _| vacant_engines.contains(engine));
         self.never_owned.retain(|engine, _| vacant_engines.contains(engine));
     }
 
-    /// Forgets everything.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Looks at an engine and tells whether this process may take it over now.
+    /// Returns the vacancy if this process may take the engine over now.
     pub(super) fn check(
         &mut self,
         cx: &mut Cx<'_>,
@@ -149,7 +150,8 @@
         is_own_turn(cx, hosts, engine, assignee, since).then_some(vacant)
     }
 
-    /// Takes note of the vacancy; returns since when the engine may be taken, if it may.
+    /// Records the vacancy, and returns since when the engine may be taken over, if
+    /// that time has come.
     fn record_vacancy(
         &mut self,
         cx: &Cx<'_>,
@@ -182,7 +184,7 @@
         vacancy.takeable_from.is_due(cx.now).then_some(vacancy.takeable_from)
     }
 
-    /// Returns the lives of processes whose end would allow a take-over at once.
+    /// Returns the incarnations whose confirmed end would allow an immediate take-over.
     pub(super) fn take_probes(&mut self) -> OrderedMap<HostId, Incarnation> {
         std::mem::take(&mut self.probes)
     }
@@ -204,7 +206,7 @@
     }
 }
 
-/// Tells whether an engine has an owner that lives, as far as this process knows.
+/// Reports whether an engine's owner is live, as far as this process knows.
 pub(super) fn has_live_owner(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId) -> bool {
     let owner = cx.cache.owner(engine);
     owner.is_some_and(|(revision, owner)| owner_state(cx, context, revision, owner) == OwnerState::Live)
@@ -227,10 +229,9 @@
     if entry.is_some_and(|entry| entry.record.is_some()) {
         return OwnerState::Live;
     }
-    // A member key that was seen absent before the owner's record was written may
-    // stand again by now: the owner lost its lease, registered anew and confirmed
-    // the record. Taking over then would set two owners on an engine that
-    // ignores fences.
+    // A member key that was absent before the owner record was written may exist again:
+    // the owner lost its lease, registered again and confirmed the record. A take-over
+    // now would give an engine that ignores fences two owners.
     let deregistered_at = entry.map(|entry| entry.revision).max(context.store_sync.last_snapshot());
     if deregistered_at.is_some_and(|deregistered_at| deregistered_at > record_revision) {
         OwnerState::Deregistered
@@ -254,7 +255,8 @@
     cx.now.after(hold.max(grace))
 }
 
-/// Tells whether it is up to this process to take an engine that has been free `since`.
+/// Reports whether it is this process's turn to take over an engine that has been
+/// available since `since`.
 fn is_own_turn(
     cx: &Cx<'_>,
     hosts: &HashedHosts<'_>,
@@ -266,8 +268,9 @@
     if assignee == Some(own) {
         return true;
     }
-    // The process whose turn it is may be cut off or superseded; without a next
-    // one, the engine would stay without an owner for as long.
+    // The process whose turn it is may be cut off or superseded. The next one in the
+    // ranking takes over after a delay, so that the engine does not stay without an
+    // owner.
     if !since.after(RANK_DELAY).is_due(cx.now) {
         return false;
     }
