--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -1,9 +1,9 @@
-//! How a process that starts learns all that the key-value service holds.
+//! Initial synchronisation of a process with the shared keys.
 //!
-//! Where all processes start together, the service would send everything to each
-//! of them, and its link would be busy with that for longer than callers wait.
-//! In a large fleet a process reads only who the members are, and asks one of
-//! them for the rest; where nobody answers it reads for itself.
+//! If all processes of a large cluster start together and read everything, the store's
+//! link is busy for longer than callers wait. A process of a large cluster therefore
+//! reads only the members and requests the rest from one of them; it reads everything
+//! itself if none answers. Open [`Bootstrap`] first.
 
 use std::time::Duration;
 
@@ -22,47 +22,50 @@
 use crate::store::{StoreAnswer, StoreCall, StoreResult};
 use crate::time::Time;
 
-/// How long a process waits before it reads the members again, so that others that start with it are registered.
+/// Delay before the members are read again, so that processes that start at the same
+/// time are registered.
 const REGISTRATION_WAIT: Duration = Duration::from_millis(700);
-/// How often at most the members are read because an unknown process has connected.
+/// Minimum interval between two reads of the members caused by unknown peers.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// How many times the time-out of a call the members are waited for, which come in several.
+/// Timeout of the read of the members, which takes several calls, as a multiple of the
+/// store timeout.
 const MEMBERS_READ_TIMEOUT_FACTOR: u32 = 8;
-/// How many times the parent is asked before anybody else is.
+/// Number of requests to the parent before another member is asked.
 const MAX_PARENT_REQUESTS: u32 = 3;
-/// After how long without an answer another member is asked.
+/// How long to wait for an answer before another member is asked.
 const STATE_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// After how long a member is told everything again that asks for it again.
+/// How soon the full state is sent again to a member that repeats its request.
 const STATE_RESEND_INTERVAL: Duration = Duration::from_secs(4);
-/// How many members are asked, and how often it is waited for one of them to know more itself.
+/// Maximum number of requests, including repeats to a member that is not in sync
+/// itself.
 const MAX_STATE_REQUESTS: u32 = 6;
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// The members are being read; their keys may be those of former processes.
+    /// Reading the members; the keys may belong to processes that no longer run.
     ReadingMembers { call: CallId },
-    /// They are to be read again.
+    /// Waiting until other starting processes are registered.
     AwaitingRegistrations { until: Time },
-    /// They are being read again.
+    /// Reading the members again.
     RereadingMembers { call: CallId, timeout_at: Time },
-    /// Somebody is to be asked.
+    /// Waiting for the state from a member.
     AwaitingState { until: Time },
 }
 
-/// How far this process has come with learning everything, and who waits for it.
+/// Progress of the initial synchronisation, and the members that wait for this process.
 #[derive(Debug, Default)]
 pub(super) struct Bootstrap {
     stage: Option<Stage>,
     state_requests: u32,
     next_members_read: Time,
-    /// Members that asked before this process knew everything itself.
+    /// Members that requested the state before this process was in sync.
     pending_requesters: Vec<HostId>,
-    /// When members were told everything.
+    /// When the state was last sent to each member.
     state_sent_at: OrderedMap<HostId, Time>,
 }
 
 impl Bootstrap {
-    /// Begins to learn everything.
+    /// Starts the initial synchronisation.
     pub(super) fn start(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         if cx.cfg.watchers != Watchers::Relayed {
             return store_sync.read(cx);
@@ -72,7 +75,7 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
-    /// Takes the result of a call if it is one of this part.
+    /// Handles the result of a store call.
     pub(super) fn on_store(
         &mut self,
         cx: &mut Cx<'_>,
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Begins to ask, unless it is this process that reads for the others.
+    /// Requests the state from a member, or reads it if this process is the root of the
+    /// relay tree.
     fn on_members(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         if RelayTree::of(cx).is_root {
             self.stage = None;
@@ -105,7 +109,7 @@
         self.request_state(cx, store_sync);
     }
 
-    /// Reads who the members are, since a process has connected that isn't known as one.
+    /// Reads the members after a connection from a process that is not a known member.
     pub(super) fn on_unknown_peer(&mut self, cx: &mut Cx<'_>) {
         if cx.cfg.watchers == Watchers::Relayed && self.next_members_read.is_due(cx.now) {
             self.next_members_read = cx.now.after(MEMBERS_READ_INTERVAL);
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Asks the next member when that is due.
+    /// Requests the state from the next member when that is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         if store_sync.is_synced() || !store_sync.is_store_reachable() {
             self.stage = None;
@@ -139,7 +143,8 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
-    /// Asks a member, or reads everything where enough have been asked.
+    /// Requests the state from a member, or reads it from the store after enough
+    /// requests.
     fn request_state(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         let host = self.next_provider(cx).filter(|_| self.state_requests < MAX_STATE_REQUESTS);
         let Some(host) = host else {
@@ -152,7 +157,8 @@
         self.stage = Some(Stage::AwaitingState { until: cx.now.after(STATE_REQUEST_TIMEOUT) });
     }
 
-    /// Returns whom to ask: the parent, which may have to learn of this process first, then anybody near.
+    /// Returns the member to ask: first the parent, which may not know this process
+    /// yet, then a random one of the data centre.
     fn next_provider(&self, cx: &mut Cx<'_>) -> Option<HostId> {
         if self.state_requests < MAX_PARENT_REQUESTS
             && let Some(parent) = RelayTree::of(cx).parent
@@ -163,7 +169,7 @@
         (!local_peers.is_empty()).then(|| local_peers[cx.rng.random_range(0..local_peers.len())].clone())
     }
 
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer message.
     pub(super) fn on_peer(
         &mut self,
         cx: &mut Cx<'_>,
@@ -190,7 +196,7 @@
         }
     }
 
-    /// Takes a part of the state, and gives the next ones time to come.
+    /// Applies a part of the state, and extends the timeout for the next one.
     fn on_state_part(&mut self, cx: &mut Cx<'_>, part: &StatePart) {
         if let Some(Stage::AwaitingState { until }) = &mut self.stage {
             *until = cx.now.after(STATE_REQUEST_TIMEOUT);
@@ -198,7 +204,7 @@
         cx.push(Effect::TakeState(part.clone()));
     }
 
-    /// Tells those who have waited, now that everything is known.
+    /// Sends the state to all members that wait for it, once this process is in sync.
     pub(super) fn send_pending_state(&mut self, cx: &mut Cx<'_>, store_sync: &StoreSync) {
         if !store_sync.is_synced() || self.pending_requesters.is_empty() {
             return;
@@ -209,7 +215,8 @@
         send_state(cx, store_sync, pending_requesters);
     }
 
-    /// Tells whether everything is probably on its way to a process that asks for it again.
+    /// Reports whether the state was sent so recently that it is probably still in
+    /// transit.
     fn was_sent_recently(&self, now: Time, host: &HostId) -> bool {
         self.state_sent_at.get(host).is_some_and(|at| !at.after(STATE_RESEND_INTERVAL).is_due(now))
     }
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -1,10 +1,10 @@
-//! News of the key-value service that one process of a data centre reads and passes on to the others.
+//! Forwarding of store changes and broadcasts along the relay tree.
 //!
-//! Where every process looks for news itself, each change costs as many calls
-//! as there are processes. With the relay the root of a tree reads, and each
-//! process passes on what it hears to its children; whoever hears nothing for a
-//! while reads for itself and passes that on, so that nobody depends on another
-//! one for longer than that.
+//! If every process polled the store, each change would cost one call per process. With
+//! the relay, the root of a data centre's tree reads the changes and each process
+//! forwards them to its children. A process that receives nothing for a while reads the
+//! store itself and forwards the result, so that a failed parent delays its children
+//! only for that time.
 
 use std::time::Duration;
 
@@ -17,34 +17,36 @@
 use crate::peer::{News, PeerMessage};
 use crate::time::Time;
 
-/// How often the tree is worked out anew.
+/// Interval between two computations of the tree.
 const TREE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a process that has just started does so, which learns of most members then.
+/// Interval for a process that has just started, which learns of most members in that
+/// time.
 const TREE_UPDATE_INTERVAL_AT_START: Duration = Duration::from_millis(200);
-/// For how long a process has just started.
+/// How long a process counts as just started.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
-/// Up to how many members are few.
+/// Maximum number of members that contact each other and the store directly.
 const MAX_DIRECT_MEMBERS: usize = 64;
 
-/// For how long a process that asked for everything is told news beside the children.
+/// How long a process that requested the state receives news in addition to the
+/// children.
 ///
-/// It takes this process for its parent, which other members may not do yet.
+/// It regards this process as its parent, although other members may not know it yet.
 const TEMPORARY_CHILD_TTL: Duration = Duration::from_secs(5);
 
-/// This process's part in passing news on.
+/// This process's position in the relay tree and its forwarding state.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
     tree: RelayTree,
     started_at: Option<Time>,
     next_tree_update: Time,
-    /// Up to where news has been passed on.
+    /// The revision up to which news was forwarded.
     relayed_upto: StoreRevision,
-    /// Who has asked for everything lately, and until when each is told news.
+    /// Processes that recently requested the state, and until when each receives news.
     temporary_children: OrderedMap<HostId, Time>,
 }
 
 impl Relay {
-    /// Finds out now and then which place this process has.
+    /// Recomputes the position in the tree when that is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         if cx.cfg.watchers != Watchers::Relayed || !self.next_tree_update.is_due(cx.now) {
             return;
@@ -60,28 +62,27 @@
         }
     }
 
-    /// Passes on what this process has read.
+    /// Forwards news that this process has read itself.
     pub(super) fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
         self.send_to_children(cx, news);
     }
 
-    /// Passes on what a peer has told.
+    /// Forwards news from a peer.
     ///
-    /// While two processes know different members, each may take itself for the
-    /// other's parent. So nothing is passed on twice, unless it comes from the
-    /// parent: then it shows the children that nothing has changed.
+    /// While two processes know different members, each may regard itself as the
+    /// other's parent. News is therefore forwarded only once, except from the parent,
+    /// where it also shows the children that nothing has changed.
     pub(super) fn on_news(&mut self, cx: &mut Cx<'_>, from: &HostId, news: &News) {
         if news.upto > self.relayed_upto || self.is_parent(from) {
             self.send_to_children(cx, news);
         }
     }
 
-    /// Takes note that a process has asked for everything.
     pub(super) fn add_temporary_child(&mut self, now: Time, from: &HostId) {
         self.temporary_children.insert(from.clone(), now.after(TEMPORARY_CHILD_TTL));
     }
 
-    /// Passes on what all processes are to hear.
+    /// Forwards a broadcast to the children.
     pub(super) fn relay_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         if self.tree.is_root || self.is_parent(from) {
             for child in &self.tree.children {
@@ -90,7 +91,6 @@
         }
     }
 
-    /// Asks the parent for everything.
     pub(super) fn request_state_from_parent(&self, cx: &mut Cx<'_>) {
         if let Some(parent) = &self.tree.parent {
             cx.tell(parent, PeerMessage::StateWanted);
@@ -112,12 +112,14 @@
     }
 }
 
-/// Tells whether the members are so many that what all of them do at once is too much for anyone.
+/// Reports whether there are too many members for all of them to act on a peer or the
+/// store at once.
 pub(super) fn has_many_members(cx: &Cx<'_>) -> bool {
     cx.cache.members().nth(MAX_DIRECT_MEMBERS).is_some()
 }
 
-/// Sends a message to every other live member, by way of the trees where there are many.
+/// Sends a message to every other live member, through the relay trees in a large
+/// cluster.
 pub(crate) fn tell_everyone(cx: &mut Cx<'_>, message: &PeerMessage) {
     if cx.cfg.watchers != Watchers::Relayed || !has_many_members(cx) {
         return cx.tell_all(message);
--- a/crates/skylarkshore-core/src/control/relay_tree.rs
+++ b/crates/skylarkshore-core/src/control/relay_tree.rs
@@ -1,9 +1,9 @@
-//! From whom each process of a data centre hears what one of them has read, and whom it tells.
+//! The tree along which the processes of a data centre forward news.
 //!
-//! The members of a data centre form a tree, the largest ones first. Each has as
-//! many children as its capacity allows, so that what one process sends doesn't
-//! grow with the fleet, and news takes as many steps as the tree is deep. All who
-//! know the same members work out the same tree.
+//! Members are ordered by capacity, the largest first, and each has as many children as
+//! its capacity allows. The load of one process does not grow with the cluster, and
+//! news takes as many hops as the tree is deep. All processes that know the same
+//! members compute the same tree.
 
 use super::hashing::ranking_by_capacity;
 use crate::cx::Cx;
@@ -11,24 +11,23 @@
 use crate::store::MemberRecord;
 use crate::units::Capacity;
 
-/// The capacity that a member needs for each child, in thousandths of a core.
+/// Capacity required for each child, in thousandths of a core.
 const MCORES_PER_CHILD: u32 = 30;
-/// The fewest children of a member, so that the tree stays shallow where capacities aren't told.
+/// Keeps the tree shallow if capacities are unknown.
 const MIN_CHILDREN: usize = 2;
-/// The most children of a member.
 const MAX_CHILDREN: usize = 16;
 
-/// A process's place among the members of its data centre.
+/// The position of a process in the tree of its data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct RelayTree {
-    /// Whether the process stands at the top, which reads for all.
+    /// Whether the process is the root, which reads the store for all others.
     pub(super) is_root: bool,
     pub(super) parent: Option<HostId>,
     pub(super) children: Vec<HostId>,
 }
 
 impl RelayTree {
-    /// Works out the place of this process.
+    /// Returns the position of this process.
     pub(super) fn of(cx: &Cx<'_>) -> Self {
         let tree_order = tree_order(cx, &cx.cfg.data_centre);
         let Some(own) = tree_order.iter().position(|(host, _)| **host == cx.cfg.host) else {
@@ -52,7 +51,7 @@
     }
 }
 
-/// Returns the first member of each data centre.
+/// Returns the root of each data centre's tree.
 pub(super) fn roots(cx: &Cx<'_>) -> Vec<HostId> {
     let mut data_centres: Vec<&DataCentre> =
         cx.cache.members().map(|(_, member)| &member.data_centre).collect();
@@ -64,7 +63,8 @@
         .collect()
 }
 
-/// Returns the members of a data centre in the order of the tree; those that leave come last.
+/// Returns the members of a data centre in breadth-first order of the tree, leaving
+/// members last.
 fn tree_order<'a>(cx: &Cx<'a>, data_centre: &DataCentre) -> Vec<(&'a HostId, &'a MemberRecord)> {
     let in_data_centre = || cx.cache.members().filter(|(_, member)| member.data_centre == *data_centre);
     let staying = in_data_centre().filter(|(_, member)| !member.leaving);
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -1,8 +1,10 @@
-//! How changes of the shared keys reach this process, and from it the others.
+//! Synchronisation of the shared keys: reads and watches of the key-value store, and
+//! anti-entropy between peers.
 //!
-//! One process of each data centre watches the key-value service and passes on
-//! what it sees. Heartbeats tell how far each process has come, so that whoever
-//! is behind, or is cut off from the service, asks a peer.
+//! By default one process per data centre watches the store and forwards changes.
+//! Heartbeats carry each process's frontier, so that a process that lags behind or
+//! cannot reach the store asks a peer for the missing records. Open [`StoreSync`]
+//! first.
 
 use std::time::Duration;
 
@@ -18,22 +20,22 @@
 use crate::store::{RecordBatch, StoreAnswer, StoreCall, StoreResult, Versioned};
 use crate::time::Time;
 
-/// How much longer than the one before it each process of a data centre waits before it watches
-/// in place of a silent one.
+/// Additional delay per rank before a process takes over from a silent watcher.
 const WATCHER_FAILOVER_STEP: Duration = Duration::from_millis(1500);
-/// How long a process has watched before it passes changes on.
+/// How long a process must have watched before it forwards changes.
 ///
-/// When a whole data centre starts, each process takes itself for the watcher
-/// until it has heard of the others. If all passed on what they see, the
+/// When a whole data centre starts, each process considers itself the watcher until it
+/// receives heartbeats from the others. If all of them forwarded changes, the number of
 /// messages would grow with the cube of the hosts.
 const WATCH_WARM_UP: Duration = Duration::from_secs(1);
-/// How often at most a peer is asked for what was missed.
+/// Minimum interval between two requests for missing records.
 const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a peer may lag behind before it is sent what it lacks unasked.
+/// How long a peer may lag behind before it is sent the missing records unasked.
 const TOLERATED_LAG: Duration = Duration::from_millis(1500);
-/// How often at most a process that the service doesn't answer asks a peer for everything.
+/// Minimum interval between two requests for the full state by a process that the store
+/// does not answer.
 const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
-/// How many times the time-out of a call its answer is waited for.
+/// Timeout of the read of all shared keys, as a multiple of the store timeout.
 const READ_TIMEOUT_FACTOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -44,19 +46,20 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    /// The revision up to which the watch has told everything.
+    /// The revision up to which the watch is complete.
     upto: StoreRevision,
     since: Time,
 }
 
-/// How far this process knows the shared keys, and how it learns of changes.
+/// The synchronisation state of this process.
 #[derive(Debug, Default)]
 pub(super) struct StoreSync {
-    /// Up to here nothing is missing.
+    /// The revision up to which no change is missing.
     frontier: StoreRevision,
-    /// Where the first complete snapshot was taken; deletions before it are unknown here.
+    /// The revision of the first complete snapshot; deletions before it are unknown
+    /// here.
     first_snapshot: Option<StoreRevision>,
-    /// The frontier of a while ago, which peers ought to have reached.
+    /// An earlier value of `frontier` that peers should have reached by now.
     expected_frontier: StoreRevision,
     next_expected_update: Time,
     watch: Option<Watch>,
@@ -66,38 +69,38 @@
     last_snapshot: Option<StoreRevision>,
     synced_at: Time,
     next_records_request: Time,
-    /// Whether the service has left the last watch unanswered.
+    /// Whether the store left the last watch unanswered.
     is_watch_unanswered: bool,
     next_state_request: Time,
 }
 
 impl StoreSync {
-    /// Returns the revision up to which nothing is missing.
+    /// Returns the revision up to which no change is missing.
     pub(super) const fn frontier(&self) -> StoreRevision {
         self.frontier
     }
 
-    /// Tells whether the process has had a complete snapshot of the shared keys.
+    /// Reports whether this process has received a complete snapshot of the shared
+    /// keys.
     pub(super) const fn is_synced(&self) -> bool {
         self.first_snapshot.is_some()
     }
 
-    /// Returns the revision of the latest complete snapshot.
     pub(super) const fn last_snapshot(&self) -> Option<StoreRevision> {
         self.last_snapshot
     }
 
-    /// Tells whether no read of the service is overdue.
+    /// Reports whether no read of the shared keys is pending.
     pub(super) const fn is_store_reachable(&self) -> bool {
         !self.is_read_pending
     }
 
-    /// Returns since when this process watches the service.
+    /// Returns since when this process has watched the store.
     pub(super) fn watching_since(&self) -> Option<Time> {
         self.watch.map(|watch| watch.since)
     }
 
-    /// Reads every shared key, and waits for no peer to tell them any more.
+    /// Reads all shared keys from the store instead of waiting for a peer to send them.
     pub(super) fn read(&mut self, cx: &mut Cx<'_>) {
         if !self.is_synced() {
             self.stop(cx);
@@ -106,14 +109,14 @@
         self.read_when_due(cx);
     }
 
-    /// Waits for a peer to tell every shared key, and for news after that.
+    /// Waits for a peer to send all shared keys, and for news after that.
     pub(super) fn await_peer_state(&mut self, cx: &mut Cx<'_>) {
         self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
         cx.push(Effect::AwaitState);
         cx.push(Effect::Watch { from: StoreRevision(0) });
     }
 
-    /// Takes note that a peer has told every shared key.
+    /// Records that a peer has sent all shared keys up to `upto`.
     pub(super) fn on_peer_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         if let Some(watch) = &mut self.watch {
             watch.upto = watch.upto.max(upto);
@@ -122,7 +125,7 @@
         self.record_snapshot(cx, upto);
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         if self.next_expected_update.is_due(cx.now) {
             self.expected_frontier = self.frontier;
@@ -134,10 +137,10 @@
         self.read_when_due(cx);
     }
 
-    /// Takes the result of a call if it is the read of the shared keys.
+    /// Handles the result of a store call.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         if self.read.take_if(|read| read.call == call).is_none() {
-            // The service answers again, and the rest after the last failure is needless.
+            // The store answers again, so the remaining backoff is skipped.
             if result.is_ok() {
                 self.read_backoff.reset();
                 self.read_when_due(cx);
@@ -153,12 +156,13 @@
         self.record_snapshot(cx, *revision);
     }
 
-    /// Takes note of whether the service has answered a watch.
+    /// Records whether the store answered a watch.
     pub(super) const fn set_watch_answered(&mut self, is_answered: bool) {
         self.is_watch_unanswered = !is_answered;
     }
 
-    /// Passes on what the watch has seen to the members of this data centre.
+    /// Advances the frontier and forwards the changes to the members of this data
+    /// centre.
     pub(super) fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
         let Some(watch) = &mut self.watch else { return };
         let after = watch.upto;
@@ -178,17 +182,18 @@
         }
     }
 
-    /// Takes note that the watch may have missed changes.
+    /// Ends the watch and schedules a read of all shared keys, since changes may be
+    /// missing.
     pub(super) fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
         if self.watch.take().is_none() {
             return;
         }
         self.is_read_pending = true;
         self.read_backoff.record_failure(cx);
-        cx.note("watch_broken", cx.cfg.host.clone(), "reading the shared keys anew");
+        cx.note("watch_broken", cx.cfg.host.clone(), "reading all shared keys again");
     }
 
-    /// Takes note of what a peer's batch covers.
+    /// Records the range that a peer's batch covers.
     pub(super) fn on_records(
         &mut self,
         cx: &mut Cx<'_>,
@@ -207,7 +212,8 @@
         self.request_records(cx, from);
     }
 
-    /// Answers a peer that is behind, and asks one that is ahead.
+    /// Sends records to a peer that lags behind, and requests them from one that is
+    /// ahead.
     pub(super) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
             PeerMessage::Heartbeat { store, .. } if cx.cfg.watchers == Watchers::Relayed => {
@@ -222,7 +228,7 @@
         }
     }
 
-    /// Ends the watch of a process that is about to go.
+    /// Ends the watch.
     pub(super) fn stop(&mut self, cx: &mut Cx<'_>) {
         if self.watch.take().is_some() {
             cx.push(Effect::Unwatch);
@@ -238,7 +244,7 @@
         }
     }
 
-    /// Asks a peer that knows more for everything, where the service doesn't answer.
+    /// Requests the full state from a peer that is ahead, if the store does not answer.
     fn request_state_if_cut_off(&mut self, cx: &mut Cx<'_>, from: &HostId, store: StoreRevision) {
         if store <= self.frontier || !self.is_synced() {
             return;
@@ -257,11 +263,11 @@
         cx.tell(from, PeerMessage::RecordsWanted { after: self.frontier });
     }
 
-    /// Sends what a peer lacks.
+    /// Sends the records that a peer is missing.
     ///
-    /// A process knows nothing of keys that were deleted before its own first
-    /// snapshot. Whoever is behind that gets everything, since a list of changes
-    /// would leave deleted members and owners alive there.
+    /// A process does not know the keys that were deleted before its first snapshot. A
+    /// peer that is behind that revision receives the full state, since a list of
+    /// changes would leave deleted members and owners in its cache.
     fn send_missing_records(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
         let Some(first_snapshot) = self.first_snapshot.filter(|_| after < self.frontier) else { return };
         let is_full = after < first_snapshot;
@@ -286,7 +292,7 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadShared });
     }
 
-    /// Begins or ends the watch.
+    /// Starts or ends the watch.
     pub(super) fn review(&mut self, cx: &mut Cx<'_>, peers: &Peers, eligible: &[HostId]) {
         let should_watch = self.is_watcher(cx, peers, eligible);
         match self.watch {
@@ -302,12 +308,12 @@
         }
     }
 
-    /// Tells whether this process watches the service for its data centre.
+    /// Reports whether this process watches the store for its data centre.
     ///
-    /// That is the first of a ranking that reaches the service. A watcher that
-    /// dies unseen would leave its data centre without news, also of its own
-    /// death; so it sends heartbeats to the whole data centre, and the next of
-    /// the ranking steps in when they cease.
+    /// The watcher is the first process of a ranking that reaches the store. If it died
+    /// unnoticed, its data centre would receive no more changes, including the deletion
+    /// of its member key. It therefore sends heartbeats to the whole data centre, and
+    /// the next process of the ranking takes over when they stop.
     fn is_watcher(&self, cx: &Cx<'_>, peers: &Peers, eligible: &[HostId]) -> bool {
         if cx.cfg.watchers != Watchers::OnePerDataCentre {
             return true;
