--- a/crates/skylarkshore-core/src/control/backoff.rs
+++ b/crates/skylarkshore-core/src/control/backoff.rs
@@ -1,4 +1,4 @@
-//! When to try again after a failure.
+//! Retry delays after failures.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use crate::time::Time;
 
 const INITIAL_DELAY: Duration = Duration::from_millis(200);
-/// The longest rest before jitter.
+/// The longest delay before jitter.
 ///
-/// Upstreams that say that they leave are gone two seconds later. A process that
-/// came back to the service after that would have gone on sending requests to them.
+/// An upstream is gone two seconds after it announces that it leaves. A process that
+/// reconnects to the store later than that would keep sending requests to it.
 const MAX_DELAY: Duration = Duration::from_millis(800);
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Jittered, doubling rests between tries.
+/// Exponential backoff with jitter.
 ///
-/// Without jitter, every process would come back to a key-value service at the
-/// same moment after an outage, and knock it over again.
+/// Without jitter, every process would reconnect to the store at the same moment after
+/// an outage and overload it again.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
@@ -24,24 +24,22 @@
 }
 
 impl Backoff {
-    /// Tells whether the next try may be made.
+    /// Reports whether the next attempt is allowed.
     pub(super) const fn is_ready(&self, now: Time) -> bool {
         self.retry_at.is_due(now)
     }
 
-    /// Takes note of a failure.
     pub(super) fn record_failure(&mut self, cx: &mut Cx<'_>) {
         let delay = INITIAL_DELAY.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS)).min(MAX_DELAY);
         self.failures = self.failures.saturating_add(1);
         self.retry_at = cx.now.after(cx.jitter(delay));
     }
 
-    /// Takes note of a success.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Holds the next try back until `time`, without counting a failure.
+    /// Delays the next attempt until `time` without counting a failure.
     pub(super) fn delay_until(&mut self, time: Time) {
         self.retry_at = time;
     }
--- a/crates/skylarkshore-core/src/control/inventory.rs
+++ b/crates/skylarkshore-core/src/control/inventory.rs
@@ -1,4 +1,7 @@
-//! The engines, as this process has known them from the host list and from its own questions.
+//! The engines known from the host list, from records and from answered report
+//! requests.
+//!
+//! Open [`EngineInventory`] first.
 
 use std::time::Duration;
 
@@ -9,14 +12,14 @@
 use crate::units::{Mebibytes, Watts};
 use crate::upstream::{FenceCheck, Standing, Upstream};
 
-/// For how long no new engine is listed before the first homes are given out.
+/// How long the host list must gain no engine before the first homes are assigned.
 ///
-/// Upstreams register at their first heartbeat, about a second apart.
+/// Upstreams register with their first heartbeat, about a second apart.
 const LISTING_QUIET_PERIOD: Duration = Duration::from_millis(1500);
-/// How long they wait at most for that.
+/// How long the first homes wait for that at most.
 const LISTING_MAX_WAIT: Duration = Duration::from_secs(4);
 
-/// An engine of the host list, present or past.
+/// An engine that is or was on the host list.
 #[derive(Clone, Debug)]
 pub(super) struct KnownEngine {
     pub(super) data_centre: DataCentre,
@@ -27,17 +30,16 @@
     pub(super) fence_check: FenceCheck,
     pub(super) pool: Option<ServiceName>,
     pub(super) standing: Standing,
-    /// Since when the host list hasn't named it any more.
+    /// When the engine disappeared from the host list.
     unlisted_since: Option<Time>,
 }
 
 impl KnownEngine {
-    /// Tells whether the host list names it.
     pub(super) const fn is_listed(&self) -> bool {
         self.unlisted_since.is_none()
     }
 
-    /// Tells whether it may get new work, as far as the host list knows.
+    /// Reports whether it may receive new work according to the host list.
     pub(super) fn is_live(&self) -> bool {
         self.is_listed() && self.standing == Standing::Live
     }
@@ -47,27 +49,27 @@
 #[derive(Debug, Default)]
 pub(super) struct EngineInventory {
     engines: OrderedMap<UpstreamId, KnownEngine>,
-    /// Engines that only records name, with the time since when that is known.
+    /// Engines named only by records, and since when.
     never_listed: OrderedMap<UpstreamId, Time>,
     last_reached: OrderedMap<UpstreamId, Time>,
-    /// Since when the same engines are listed.
+    /// When an engine was last added.
     last_listed_at: Time,
-    /// When the first engine was listed.
+    /// When the first engine was added.
     first_listed_at: Option<Time>,
 }
 
 impl EngineInventory {
-    /// Tells whether all engines that are about to be listed probably are.
+    /// Reports whether the host list probably contains all engines that are starting.
     ///
-    /// Engines register one after the other. If the first homes were given out at
-    /// the first registration, one engine would get them all.
+    /// Engines register one after the other. If the first homes were assigned at the
+    /// first registration, one engine would receive them all.
     pub(super) fn is_stable(&self, now: Time) -> bool {
         let latest = self.first_listed_at.map(|first| first.after(LISTING_MAX_WAIT));
         let quiet_since = self.last_listed_at.after(LISTING_QUIET_PERIOD);
         latest.is_some_and(|latest| quiet_since.min(latest).is_due(now))
     }
 
-    /// Takes over what has changed on the host list.
+    /// Applies changes of the host list.
     pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
         for id in touched {
             match cx.upstreams.get(id) {
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Takes note of engines that records name, and forgets those that nothing names any more.
+    /// Adds engines that only records name, and removes those that neither the list nor
+    /// a record names.
     pub(super) fn review(&mut self, cx: &Cx<'_>, recorded: &OrderedSet<UpstreamId>) {
         for engine in recorded.iter().filter(|engine| !self.engines.contains_key(engine)) {
             self.never_listed.entry(engine.clone()).or_insert(cx.now);
@@ -114,33 +117,33 @@
         self.last_reached.retain(|engine, _| recorded.contains(engine));
     }
 
-    /// Takes note of whether an engine answered this process.
+    /// Records whether an engine answered this process.
     pub(super) fn on_report(&mut self, cx: &Cx<'_>, engine: &UpstreamId, reached: bool) {
         if reached {
             self.last_reached.insert(engine.clone(), cx.now);
         }
     }
 
-    /// Returns what is known of an engine.
     pub(super) fn get(&self, engine: &UpstreamId) -> Option<&KnownEngine> {
         self.engines.get(engine)
     }
 
-    /// Returns every engine that the host list names or has named.
+    /// Returns every engine that is or was on the host list.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &KnownEngine)> {
         self.engines.iter()
     }
 
-    /// Returns what the engine does with old fences; the worse of the two when it isn't known.
+    /// Returns whether the engine refuses outdated fences; an unknown engine counts as
+    /// ignoring them.
     pub(super) fn fence_check(&self, engine: &UpstreamId) -> FenceCheck {
         self.engines.get(engine).map_or(FenceCheck::Ignores, |known| known.fence_check)
     }
 
-    /// Tells whether the engine is gone for good.
+    /// Reports whether the engine is gone.
     ///
-    /// The host list lags and errs, and an engine that one process can't reach
-    /// may serve others. Only when both have been against it for a long time may
-    /// its replicas be counted out; before, a model could be loaded twice.
+    /// The host list may be late or wrong, and an engine that one process cannot reach
+    /// may still serve others. Only an engine that was neither listed nor reached for a
+    /// long time is counted out; its models could otherwise be loaded twice.
     pub(super) fn is_gone(&self, cx: &Cx<'_>, engine: &UpstreamId, owned_since: Option<Time>) -> bool {
         let unlisted_since = match self.engines.get(engine) {
             Some(known) => known.unlisted_since,
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -1,4 +1,6 @@
-//! The lease and the member key by which other processes know that this one lives.
+//! The lease and the member key that announce this process to the others.
+//!
+//! Open [`Membership`] first.
 
 use std::time::Duration;
 
@@ -12,15 +14,16 @@
 };
 use crate::time::Time;
 
-/// How long a write of the member key is tried before it is looked at anew.
+/// Deadline of one write of the member key.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
-/// How many times the time-out of a call its answer is waited for.
+/// Timeout of a lease call, as a multiple of the store timeout.
 const CALL_TIMEOUT_FACTOR: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
-    /// When the last confirmed call was sent; the service can't have counted from earlier.
+    /// When the last confirmed call was sent; the store cannot have counted from an
+    /// earlier time.
     confirmed_at: Time,
     ttl: Duration,
 }
@@ -46,7 +49,7 @@
     Writing {
         lease: LeaseId,
         leaving: bool,
-        /// The first revision under the lease, if the key stands already.
+        /// The first revision under the lease, if the key already exists.
         first: Option<StoreRevision>,
     },
     Registered {
@@ -56,17 +59,17 @@
     },
 }
 
-/// How far this process is known to the others.
+/// Stage of this process's membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Active,
     Leaving,
-    /// The lease is being ended.
+    /// The lease is being revoked.
     Revoking {
         deadline: Time,
     },
     Deregistered,
-    /// A later life of the process runs on this host.
+    /// A later incarnation of the process runs on this host.
     Superseded,
 }
 
@@ -79,14 +82,14 @@
     call_backoff: Backoff,
     registration: Registration,
     write_backoff: Backoff,
-    /// When the key was last written after it had been lost.
+    /// When the key was last written again after the lease was lost.
     re_registered_at: Option<Time>,
     lease_was_lost: bool,
     store_reachable: bool,
 }
 
 impl Membership {
-    /// Makes the state of a process without a lease.
+    /// Creates the state of a process without a lease.
     pub(super) fn new() -> Self {
         Self {
             stage: Stage::Active,
@@ -101,35 +104,35 @@
         }
     }
 
-    /// Tells whether a later life of the process runs on this host.
+    /// Reports whether a later incarnation of the process runs on this host.
     pub(super) fn is_superseded(&self) -> bool {
         self.stage == Stage::Superseded
     }
 
-    /// Tells whether the process is about to go.
     pub(super) fn is_leaving(&self) -> bool {
         self.stage != Stage::Active
     }
 
-    /// Tells whether the member key is gone for good, as far as can be waited for.
+    /// Reports whether the member key is deleted, or the wait for its deletion has
+    /// ended.
     pub(super) fn is_deregistered(&self) -> bool {
         matches!(self.stage, Stage::Deregistered | Stage::Superseded)
     }
 
-    /// Tells whether the last call about the lease succeeded.
+    /// Reports whether the last lease call succeeded.
     pub(super) const fn is_store_reachable(&self) -> bool {
         self.store_reachable
     }
 
-    /// Returns when the member key was last written again after having been lost.
+    /// Returns when the member key was last written again after the lease was lost.
     pub(super) const fn re_registered_at(&self) -> Option<Time> {
         self.re_registered_at
     }
 
-    /// Returns the first revision of the member key under the present lease.
+    /// Returns the first revision of the member key under the current lease.
     ///
-    /// Whoever saw the key vanish at a later revision is right, whoever saw it
-    /// vanish at an earlier one speaks of an earlier lease.
+    /// A deletion seen at a later revision concerns this registration; one seen at an
+    /// earlier revision concerns a previous lease.
     pub(super) fn registration_revision(&self) -> Option<StoreRevision> {
         let lease = self.lease?.id;
         match self.registration {
@@ -144,11 +147,11 @@
         self.lease.map(|lease| lease.confirmed_at)
     }
 
-    /// Returns until when this process may take its member key for standing.
+    /// Returns until when this process may rely on its member key.
     ///
-    /// It counts from before the renewal was sent, on this process's own clock:
-    /// a process that was paused would otherwise count from when it woke, and
-    /// give orders beside its successor.
+    /// The time counts from before the renewal was sent, on the local clock. If it
+    /// counted from the answer, a process that was paused in between could send orders
+    /// at the same time as its successor.
     pub(super) fn lease_valid_until(&self, cfg: &NodeConfig) -> Option<Time> {
         if !matches!(self.stage, Stage::Active | Stage::Leaving) {
             return None;
@@ -158,31 +161,31 @@
         Some(lease.confirmed_at.after(cfg.timings.hold.min(lease.ttl)))
     }
 
-    /// Tells whether the member key stands for certain.
+    /// Reports whether the member key definitely exists.
     pub(super) fn is_lease_valid(&self, cfg: &NodeConfig, now: Time) -> bool {
         self.lease_valid_until(cfg).is_some_and(|until| !until.is_due(now))
     }
 
-    /// Begins to leave.
+    /// Starts to leave.
     pub(super) fn leave(&mut self) {
         if self.stage == Stage::Active {
             self.stage = Stage::Leaving;
         }
     }
 
-    /// Ends the lease, and with it the member key.
+    /// Revokes the lease, which deletes the member key.
     pub(super) fn revoke_lease(&mut self, cx: &Cx<'_>) {
         if self.stage != Stage::Leaving {
             return;
         }
-        // The key vanishes by itself when the lease lapses, so that a process that
-        // is to end doesn't wait for a service that is away.
+        // The key is deleted anyway when the lease expires, so that a process that
+        // shuts down does not wait for an unreachable store.
         self.stage = Stage::Revoking { deadline: cx.now.after(cx.cfg.timings.store_timeout * 2) };
         self.call = None;
         self.call_backoff.reset();
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         if self.is_deregistered() {
             return;
@@ -198,7 +201,7 @@
         self.register_when_due(cx);
     }
 
-    /// Takes the result of a call if it concerns the lease.
+    /// Handles the result of a lease call.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         let Some(sent) = self.call.take_if(|own| own.call == call) else { return };
         match result {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Takes the outcome of a write of the member key.
+    /// Handles the outcome of a write of the member key.
     pub(super) fn on_write(&mut self, cx: &mut Cx<'_>, outcome: &WriteOutcome) {
         let Registration::Writing { lease, leaving, first } = self.registration else { return };
         let WriteOutcome::Done(written) = outcome else {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Takes note of a change of the member key of this host.
+    /// Handles a change of the member key of this host.
     pub(super) fn on_change(&mut self, cx: &mut Cx<'_>) {
         let Some(entry) = cx.cache.get(&own_key(cx)) else { return };
         let revision = entry.revision;
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Stops for good, since a later life of the process has taken its place.
+    /// Stops for good after a later incarnation has registered on this host.
     fn supersede(&mut self, cx: &mut Cx<'_>, why: &str) {
         if self.stage == Stage::Superseded {
             return;
@@ -266,8 +269,9 @@
     fn lose_lease(&mut self, cx: &mut Cx<'_>, why: &str) {
         self.lease = None;
         self.call = None;
-        // A write under the lost lease may still be in progress; its outcome must not
-        // be taken for that of the next write, which would count the old key as new.
+        // A write under the lost lease may still be in progress. Its outcome must not
+        // be taken for that of the next write, since the old key would then count as
+        // the new registration.
         if !matches!(self.registration, Registration::Writing { .. }) {
             self.registration = Registration::Absent;
         }
@@ -314,7 +318,7 @@
                 self.call_backoff.delay_until(next);
                 self.register_when_due(cx);
             }
-            (Purpose::Renew, _) => self.lose_lease(cx, "the lease lapsed"),
+            (Purpose::Renew, _) => self.lose_lease(cx, "the lease expired"),
             (Purpose::Grant, _) => self.call_backoff.record_failure(cx),
         }
     }
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -1,4 +1,6 @@
-//! Which other processes live, as far as they themselves show it.
+//! Failure detector: heartbeats, probes, and what they show about the other processes.
+//!
+//! Open [`Peers`] first.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,15 +19,15 @@
 use crate::store::MemberRecord;
 use crate::time::Time;
 
-/// How many peers hear the same process's heartbeats regularly.
+/// Number of ring successors that receive every heartbeat.
 const RING_SUCCESSORS: usize = 5;
 /// How long a former member is remembered.
 const FORGET_PEER_AFTER: Duration = Duration::from_mins(10);
-/// Over how long members that vanish count as vanished together.
+/// Time window in which deleted member keys count as one mass expiry.
 const MASS_EXPIRY_WINDOW: Duration = Duration::from_secs(15);
-/// How many members vanish together before an outage is suspected.
+/// Minimum number of deleted keys in that window before a store outage is suspected.
 const MASS_EXPIRY_MIN_MEMBERS: usize = 2;
-/// How often a process is probed whose life is in question.
+/// Minimum interval between two probes of the same process.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
@@ -40,20 +42,20 @@
     address: SocketAddr,
 }
 
-/// What is known of one other process.
+/// What is known about another process.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     last_heartbeat: Option<LastHeartbeat>,
     registration: Option<LastRegistration>,
-    /// Every life before this one has ended for certain.
+    /// Every lower incarnation has definitely ended.
     min_incarnation: Incarnation,
     next_probe: Time,
-    /// When it became a member, or last said that it reaches the key-value service.
+    /// When it registered, or last reported that it reaches the store.
     store_reached_at: Time,
     last_seen: Time,
 }
 
-/// What a process tells its peers of itself.
+/// State of this process that its heartbeats carry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalStatus {
     /// The revision up to which it knows the shared keys.
@@ -63,25 +65,25 @@
     pub(super) is_leaving: bool,
 }
 
-/// What is known of the other processes.
+/// What is known about the other processes.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     by_host: OrderedMap<HostId, Peer>,
     recent_expiries: VecDeque<Time>,
     next_heartbeat: Time,
-    /// The other members in the order in which they follow this one on the hash ring.
+    /// The other members in hash ring order, starting after this process.
     ring: Vec<HostId>,
-    /// The members of which the ring was made.
+    /// The version of the members from which the ring was built.
     ring_members_version: Option<u64>,
 }
 
 impl Peers {
-    /// Tells whether this life of a process has ended for certain.
+    /// Reports whether this incarnation of a process has definitely ended.
     pub(super) fn has_ended(&self, host: &HostId, incarnation: Incarnation) -> bool {
         self.by_host.get(host).is_some_and(|peer| incarnation < peer.min_incarnation)
     }
 
-    /// Tells whether this life of a process was heard of lately.
+    /// Reports whether a heartbeat of this incarnation arrived within the peer timeout.
     pub(super) fn has_recent_heartbeat(&self, cx: &Cx<'_>, host: &HostId, incarnation: Incarnation) -> bool {
         let last_heartbeat = self.by_host.get(host).and_then(|peer| peer.last_heartbeat);
         last_heartbeat.is_some_and(|heartbeat| {
@@ -90,28 +92,28 @@
         })
     }
 
-    /// Returns when a process was heard of last.
     pub(super) fn last_heartbeat_at(&self, host: &HostId) -> Option<Time> {
         self.by_host.get(host).and_then(|peer| peer.last_heartbeat).map(|heartbeat| heartbeat.at)
     }
 
-    /// Returns when a process last said that it reaches the key-value service, or became a member.
+    /// Returns when a process last reported that it reaches the store, or registered.
     pub(super) fn store_reached_at(&self, host: &HostId) -> Time {
         self.by_host.get(host).map_or(Time::START, |peer| peer.store_reached_at)
     }
 
-    /// Tells whether so many members vanished together that the key-value service is to blame.
+    /// Reports whether so many members vanished within a short time that a store outage
+    /// is the likely cause.
     ///
-    /// After an outage, every lease may have lapsed though every process lives.
-    /// If each of them took the others' engines over, all engines would change
-    /// hands at once, several times.
+    /// After an outage every lease may have expired although all processes are alive.
+    /// If each of them took over the engines of the others, all engines would change
+    /// owners at once, several times.
     pub(super) fn is_mass_expiry(&self, cx: &Cx<'_>) -> bool {
         let recent =
             self.recent_expiries.iter().filter(|at| !at.after(MASS_EXPIRY_WINDOW).is_due(cx.now)).count();
         recent >= MASS_EXPIRY_MIN_MEMBERS && recent >= cx.cache.members().count()
     }
 
-    /// Returns the live members that may own something and keep it.
+    /// Returns the live members that may become owners.
     pub(super) fn eligible(&self, cx: &Cx<'_>, membership: &Membership) -> Vec<HostId> {
         let leaves = |host: &HostId, member: &MemberRecord| {
             member.leaving || (*host == cx.cfg.host && membership.is_leaving())
@@ -127,7 +129,7 @@
             .collect()
     }
 
-    /// Takes note of a peer's message.
+    /// Handles a peer message.
     pub(super) fn on_peer(&mut self, cx: &Cx<'_>, from: &HostId, message: &PeerMessage) {
         let peer = self.by_host.entry(from.clone()).or_default();
         peer.last_seen = cx.now;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Takes note that a life of a process has ended for certain.
+    /// Records that an incarnation has definitely ended.
     pub(super) fn on_connection_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
         let peer = self.by_host.entry(host.clone()).or_default();
         peer.last_seen = cx.now;
@@ -154,7 +156,7 @@
         cx.note("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
     }
 
-    /// Takes note of a change of a member key.
+    /// Handles a change of a member key.
     pub(super) fn on_member(&mut self, cx: &Cx<'_>, host: &HostId) {
         let peer = self.by_host.entry(host.clone()).or_default();
         peer.last_seen = cx.now;
@@ -170,7 +172,7 @@
             Some(LastRegistration { incarnation: member.incarnation, address: member.caller_address });
     }
 
-    /// Asks whether a life of a process has ended, now and then.
+    /// Probes whether an incarnation has ended, at a limited rate.
     pub(super) fn probe(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
         let Some(peer) = self.by_host.get_mut(host) else { return };
         let Some(last) = peer.registration.filter(|last| last.incarnation == incarnation) else { return };
@@ -181,10 +183,10 @@
         cx.push(Effect::Probe { host: host.clone(), incarnation, address: last.address });
     }
 
-    /// Returns the next few members on the hash ring, and one more at random.
+    /// Returns the next few members on the hash ring and one random other.
     ///
-    /// The number doesn't grow with the deployment; news and signs of life still
-    /// spread within a few rounds, since every member has as many senders.
+    /// The number does not grow with the cluster. Since every member receives
+    /// heartbeats from as many senders, news still spreads within a few rounds.
     fn heartbeat_receivers(&mut self, cx: &mut Cx<'_>) -> OrderedSet<HostId> {
         let version = cx.cache.members_version();
         if self.ring_members_version != Some(version) {
@@ -199,7 +201,8 @@
         receivers
     }
 
-    /// Sends the heartbeats that are due and forgets who went long ago.
+    /// Sends the heartbeats that are due and removes processes that were last seen long
+    /// ago.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, own: LocalStatus) {
         if !self.next_heartbeat.is_due(cx.now) {
             return;
@@ -218,7 +221,8 @@
             leaving: own.is_leaving,
         };
         let mut receivers = self.heartbeat_receivers(cx);
-        // Only where one process watches for its data centre do the others wait for its signs of life.
+        // Other members monitor the watcher's heartbeats only if one process watches
+        // per data centre.
         if cx.cfg.watchers == Watchers::OnePerDataCentre && own.is_watching {
             receivers.extend(data_centre_peers(cx));
         }
@@ -228,7 +232,7 @@
     }
 }
 
-/// Returns the other members in the order in which they follow this one on the hash ring.
+/// Returns the other members in hash ring order, starting after this process.
 fn ring(cx: &Cx<'_>) -> Vec<HostId> {
     let own = &cx.cfg.host;
     let own_position = name_hash(own.as_str());
@@ -238,7 +242,6 @@
     others
 }
 
-/// Returns the other members of this data centre.
 pub(super) fn data_centre_peers(cx: &Cx<'_>) -> impl Iterator<Item = HostId> {
     let own = cx.cfg;
     let in_data_centre = move |host: &HostId, member: &MemberRecord| {
