--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -1,8 +1,8 @@
-//! On which engines each model may be loaded.
+//! Model homes: the engines on which each model may be loaded.
 //!
-//! A replica is only loaded at a home, so that the number of homes bounds the
-//! number of replicas. A home is only given up by the engine's owner, which
-//! knows that the model isn't there.
+//! A replica is loaded only at a home, so the number of homes limits the number of
+//! replicas. Only the engine's owner gives a home up, since it knows that the model is
+//! not loaded there. Open [`Homes`] first.
 
 mod plan;
 
@@ -22,29 +22,31 @@
 use crate::store::{Expect, HomesRecord, Key, Record, WriteOutcome, WriteRequest};
 use crate::time::Time;
 
-/// How long the write of a homes record is tried.
+/// Deadline of one write of a homes record.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
-/// How long a model's homes are left alone after a write that failed.
+/// Delay before a model's homes are changed again after a failed write, before jitter.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How many homes records one process writes at a time.
+/// Maximum number of homes records that one process writes at the same time.
 const MAX_PENDING_WRITES: usize = 16;
-/// How often all models are looked at; what is wished for or has changed is looked at sooner.
+/// Interval between two reviews of all models; requested and changed models are
+/// reviewed sooner.
 const FULL_REVIEW_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the limits of all models are worked out, which change with the time of day.
+/// Interval between two evaluations of the limits of all models, which depend on the
+/// time of day.
 const LIMITS_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the process that should look after a model is given before the next one does.
+/// Delay between two processes of the ranking that try to add a missing home.
 const RANK_DELAY: Duration = Duration::from_secs(10);
 
-/// A model's homes as they stand, and as the rules limit them.
+/// A model's recorded homes and the limits that the rules set.
 #[derive(Clone, Debug)]
 struct ModelHomes {
-    /// Since when this process knows the engines.
+    /// When this process first saw these engines.
     since: Time,
     revision: StoreRevision,
     engines: Vec<UpstreamId>,
-    /// How many of the engines, the first ones first, may have a replica.
+    /// How many of the engines, in order, may have a replica.
     replicas_max: usize,
-    /// How many homes the model should have at least.
+    /// The minimum number of homes.
     min_homes: usize,
 }
 
@@ -54,11 +56,11 @@
     }
 }
 
-/// A write of a model's homes that isn't settled.
+/// A write of a model's homes that is not settled yet.
 #[derive(Clone, Debug)]
 struct Pending {
     based_on: StoreRevision,
-    /// The engines that the write takes the home from.
+    /// The engines that lose the home with this write.
     closing: Vec<UpstreamId>,
     state: PendingState,
 }
@@ -66,41 +68,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PendingState {
     Writing,
-    /// A write of unknown outcome rests; it is settled by writing again.
+    /// The outcome is unknown; the current record is written again to settle it.
     Unconfirmed {
         retry_at: Time,
     },
-    /// The doubt is being settled.
+    /// The current record is being written again.
     Rewriting,
-    /// Nothing has happened; the model is left alone for a while.
+    /// The write had no effect; the next attempt is delayed.
     BackingOff {
         until: Time,
     },
 }
 
-/// The homes of all models, as far as this process decides on them.
+/// The homes of all models.
 #[derive(Debug, Default)]
 pub(super) struct Homes {
     current: OrderedMap<ModelName, ModelHomes>,
     pending: OrderedMap<ModelName, Pending>,
-    /// Since when models are without a home, or lack one.
+    /// Models that have no home or too few, and since when.
     lacking_since: OrderedMap<ModelName, Time>,
-    /// Models that no engine can hold.
+    /// Models that fit no engine.
     unplaceable: OrderedSet<ModelName>,
-    /// Models whose homes have changed since they were last looked at.
+    /// Models whose homes changed since the last review.
     changed_models: OrderedSet<ModelName>,
-    /// When all models are looked at again.
     next_full_review: Time,
-    /// When the limits of all models are worked out again.
     next_limits_update: Time,
 }
 
 impl Homes {
-    /// Tells whether the model may be loaded on an engine that this process owns since `acquired`.
+    /// Reports whether the model may be loaded on an engine that this process has owned
+    /// since `acquired_revision`.
     ///
-    /// A former owner that was paused may have a write under way that gives the
-    /// home up. Once the record was written after the engine changed hands, that
-    /// write fails; before, the model could be loaded here and at its next home.
+    /// A paused former owner may have a write in flight that gives the home up. That
+    /// write fails once the record has been written after the engine changed owners.
+    /// Until then the model could be loaded both here and at its next home.
     pub(super) fn is_home(
         &self,
         engine: &UpstreamId,
@@ -112,12 +113,11 @@
         !closing && current.revision > acquired_revision && current.allows_replica(engine)
     }
 
-    /// Tells whether the rules or the record leave no room for the model on the engine.
+    /// Reports whether the rules or the record exclude the model from the engine.
     pub(super) fn is_excluded(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         self.current.get(model).is_none_or(|current| !current.allows_replica(engine))
     }
 
-    /// Returns how many homes are known, and how many writes aren't settled.
     pub(super) fn counts(&self) -> HomeCounts {
         HomeCounts {
             homes: self.current.values().map(|current| current.engines.len()).sum(),
@@ -126,17 +126,17 @@
         }
     }
 
-    /// Returns since when a model's homes are as they are.
+    /// Returns since when a model's homes have been unchanged.
     pub(super) fn since(&self, model: &ModelName) -> Option<Time> {
         self.current.get(model).map(|current| current.since)
     }
 
-    /// Returns the models whose first or further homes are lacking, and since when.
+    /// Returns the models that have no home or too few, and since when.
     pub(super) const fn lacking_since(&self) -> &OrderedMap<ModelName, Time> {
         &self.lacking_since
     }
 
-    /// Takes note of a change of a model's homes.
+    /// Handles a change of a model's homes record.
     pub(super) fn on_change(&mut self, cx: &Cx<'_>, inventory: &EngineInventory, model: &ModelName) {
         let revision = revision_of(cx, model);
         if self.pending.get(model).is_some_and(|pending| pending.based_on < revision) {
@@ -146,7 +146,7 @@
         self.update_model(cx, inventory, model);
     }
 
-    /// Takes the outcome of a write of a model's homes.
+    /// Handles the outcome of a write of a model's homes record.
     pub(super) fn on_write(
         &mut self,
         cx: &mut Cx<'_>,
@@ -173,7 +173,7 @@
         self.update_model(cx, inventory, model);
     }
 
-    /// Looks at every model again, since the rules or the time of day changed.
+    /// Reapplies the limits of every model, since the rules or the time of day changed.
     pub(super) fn update_all(&mut self, cx: &Cx<'_>, inventory: &EngineInventory) {
         let models: Vec<ModelName> = cx.cache.all_homes().map(|(model, _)| model.clone()).collect();
         for model in models {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Does what is due: first homes, more, fewer, and moves.
+    /// Runs what is due: first homes, further homes, removals and moves.
     pub(super) fn review(
         &mut self,
         cx: &mut Cx<'_>,
@@ -225,10 +225,11 @@
         }
     }
 
-    /// Tells whether it is up to this process to give some model its first homes.
+    /// Reports whether it is this process's turn to assign the first homes of any
+    /// model.
     ///
-    /// Those are worked out for all models together; a process that has none to
-    /// give is spared that.
+    /// First homes are computed for all models together, which is skipped if this
+    /// process writes none of them.
     fn has_first_homes_to_place(
         &mut self,
         cx: &Cx<'_>,
@@ -272,7 +273,7 @@
         homeless.chain(held).chain(affected.map(|(model, _)| model)).cloned().collect()
     }
 
-    /// Returns the models that can't wait until all are looked at.
+    /// Returns the models that are reviewed before the next full review.
     fn urgent_models(&mut self, wishes: &[HomeWish]) -> OrderedSet<ModelName> {
         let mut models = std::mem::take(&mut self.changed_models);
         models.extend(wishes.iter().map(|wish| wish.model.clone()));
@@ -314,11 +315,11 @@
         write_homes(cx, model, expect, record);
     }
 
-    /// Writes a record anew as it stands where an earlier write may still take effect.
+    /// Rewrites the current record if an earlier write may still take effect.
     ///
-    /// Until the doubt is over, the closing engines may not load the model, since
-    /// another engine may have become its home. Whichever of the two writes comes
-    /// first, the other one fails.
+    /// Until that is settled, the engines that would lose the home may not load the
+    /// model, since another engine may have become its home. Whichever of the two
+    /// writes is executed first makes the other fail.
     fn resolve_unconfirmed(&mut self, cx: &mut Cx<'_>) {
         for (model, pending) in &mut self.pending {
             if !matches!(pending.state, PendingState::Unconfirmed { retry_at } if retry_at.is_due(cx.now)) {
@@ -330,7 +331,8 @@
                     let record = Record::Homes(homes.clone());
                     write_homes(cx, model, Expect::At(revision), Some(record));
                 }
-                // The first home of a model closes nothing, so that nothing is in doubt.
+                // The first homes of a model take none away, so nothing has to be
+                // settled.
                 None => pending.state = PendingState::BackingOff { until: cx.now },
             }
         }
@@ -342,7 +344,6 @@
     }
 }
 
-/// How many homes and writes there are.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HomeCounts {
     pub(super) homes: usize,
@@ -350,7 +351,8 @@
     pub(super) unplaceable: usize,
 }
 
-/// Tells whether it is up to this process to look after a model that has needed it `since`.
+/// Reports whether it is this process's turn to add a home that the model has lacked
+/// since `since`.
 fn is_own_turn(cx: &Cx<'_>, hosts: &HashedHosts<'_>, model: &ModelName, since: Time) -> bool {
     let key = format!("homes/{model}");
     if hosts.winner(&key) == Some(&cx.cfg.host) {
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -1,4 +1,6 @@
-//! What should stand in a model's homes record.
+//! Planning of one model's homes record.
+//!
+//! Open [`Plan`] first.
 
 use super::{Homes, is_own_turn};
 use crate::authority::{EngineUse, HomeWish};
@@ -11,40 +13,40 @@
 use crate::id::{ModelName, StoreRevision, UpstreamId};
 use crate::rules::Facts;
 
-/// For how many of a model's adapters one home is enough.
+/// Number of a model's adapters for which one home is sufficient.
 const ADAPTERS_PER_HOME: usize = 4;
-/// How many of the engines that a model left for want of memory are remembered.
+/// How many engines that a model left for lack of memory are remembered.
 const MAX_LEFT_ENGINES: usize = 16;
 
-/// What is to stand in a model's record.
+/// The desired content of a model's record.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     pub(super) engines: Vec<UpstreamId>,
-    /// The engines that the model left for want of memory.
+    /// The engines that the model left for lack of memory.
     pub(super) left: Vec<UpstreamId>,
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
 }
 
-/// What the plan for one model looks at.
+/// Input of the plan for one model.
 #[derive(Clone, Copy)]
 pub(super) struct ModelReview<'a> {
     pub(super) context: &'a ReviewContext<'a>,
     pub(super) ownership: &'a Ownership,
     pub(super) engines: &'a dyn EngineUse,
     pub(super) wishes: &'a [HomeWish],
-    /// The members that share the work out among themselves.
+    /// The members among which the work is distributed.
     pub(super) hosts: &'a HashedHosts<'a>,
     pub(super) model: &'a ModelName,
 }
 
 impl ModelReview<'_> {
-    /// Tells whether this process may take the home from the engine.
+    /// Reports whether this process may remove the home from the engine.
     fn may_close(&self, engine: &UpstreamId) -> bool {
         self.ownership.held(engine).is_some() && self.engines.is_free_of(engine, self.model)
     }
 
-    /// Tells whether the engine is gone for good, and it is up to this process to say so.
+    /// Reports whether the engine is gone and it is this process's turn to remove it.
     fn is_gone(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
         if let Some(owned) = self.ownership.held(engine) {
             return self.context.inventory.is_gone(cx, engine, Some(owned.since));
@@ -55,7 +57,7 @@
             && is_own_turn(cx, self.hosts, self.model, cx.now)
     }
 
-    /// Tells whether the record is older than this process's ownership of the engine.
+    /// Reports whether the record is older than this process's ownership of the engine.
     fn is_unconfirmed(&self, engine: &UpstreamId, record: StoreRevision) -> bool {
         self.ownership.held(engine).is_some_and(|owned| owned.acquired_revision > record)
     }
@@ -76,8 +78,8 @@
             return self.first_homes(cx, review, placement);
         };
         if revision > review.context.store_sync.frontier() {
-            // A process that lost an engine without knowing it yet must not write on
-            // the new owner's record. It knows of every loss up to its frontier.
+            // A process that lost an engine without noticing must not overwrite the new
+            // owner's record. It knows of every loss up to its frontier.
             return Plan::default();
         }
         let mut plan = Plan { engines: homes.engines.clone(), left: homes.left.clone(), ..Plan::default() };
@@ -99,13 +101,13 @@
         review: &ModelReview<'_>,
         placement: &mut Placement<'_>,
     ) -> Plan {
-        // Every process works out every first home in the same order and from the
-        // same knowledge, and writes only its own part. Were each to look at its own
-        // part alone, all would choose the same empty engines.
+        // Every process computes all first homes in the same order and from the same
+        // state, and writes only its own part. If each computed only its own part, all
+        // would choose the same empty engines.
         let limits = limits(cx, review.context.inventory, review.model, &[]);
         let (min_homes, max_homes) = limits.map_or((1, 1), |limits| (limits.min_homes, limits.max_homes));
-        // Replicas that are there already are all kept; were only the least number
-        // of homes written, the others would be unloaded while callers need them.
+        // All existing replicas are kept. If only the minimum number of homes were
+        // written, the others would be unloaded while callers need them.
         let max_homes = max_homes.min(max_first_homes(cx, review)).max(min_homes);
         let target_count = placement.holders(review.model).clamp(min_homes, max_homes);
         let mut homes: Vec<UpstreamId> = Vec::new();
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Tells whether it is up to this process to give the model a home that it lacks.
+    /// Reports whether it is this process's turn to add a home that the model lacks.
     pub(super) fn is_own_turn(&mut self, cx: &Cx<'_>, hosts: &HashedHosts<'_>, model: &ModelName) -> bool {
         let since = *self.lacking_since.entry(model.clone()).or_insert(cx.now);
         is_own_turn(cx, hosts, model, since)
@@ -160,16 +162,16 @@
     fn report_unplaceable(&mut self, cx: &mut Cx<'_>, review: &ModelReview<'_>) {
         let any = review.context.inventory.iter().any(|(_, engine)| engine.is_live());
         if any && self.unplaceable.insert(review.model.clone()) {
-            cx.note("model_fits_nowhere", review.model.clone(), "no live engine has as much memory");
+            cx.note("model_fits_nowhere", review.model.clone(), "no live engine has enough memory");
         }
     }
 }
 
-/// Returns how many homes a model gets at first at most.
+/// Returns the maximum number of first homes of a model.
 ///
-/// A home makes its engine one that somebody looks after. Where there are many
-/// more engines than that is worth for, a model gets its part of those that are
-/// looked after, and room for its adapters; the others that hold it serve as well.
+/// Each home gives its engine an owner. If there are many more engines than the hosts
+/// can own, a model gets its share of the ownership capacity, and enough homes for its
+/// adapters. Other engines that hold the model serve requests as well.
 fn max_first_homes(cx: &Cx<'_>, review: &ModelReview<'_>) -> usize {
     if !review.context.has_spare_engines(cx) {
         return usize::MAX;
@@ -180,22 +182,22 @@
     part.max(adapters.div_ceil(ADAPTERS_PER_HOME))
 }
 
-/// How many homes a model may and should have.
+/// The allowed numbers of homes and replicas of a model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// How many replicas the rules allow.
+    /// Maximum number of replicas.
     pub(super) max_replicas: usize,
-    /// How many homes are kept at least; one stays even where no replica is allowed.
+    /// Minimum number of homes; one remains even if no replica is allowed.
     pub(super) min_homes: usize,
-    /// How many homes are kept at most.
+    /// Maximum number of homes.
     max_homes: usize,
 }
 
-/// Decides by the rules; none where the document doesn't name the model.
+/// Evaluates the rules; returns `None` for a model that the document does not contain.
 ///
-/// Every process has to come to the same result, or one would add the homes that
-/// another takes away. So the data centre is that of the first home, not that of
-/// the process, and what only some processes know counts as unknown.
+/// All processes must reach the same result, or one would add the homes that another
+/// removes. Therefore the data centre is that of the first home and not that of the
+/// process, and conditions on local information are evaluated as unknown.
 pub(super) fn limits(
     cx: &Cx<'_>,
     inventory: &EngineInventory,
@@ -234,11 +236,11 @@
     }
 }
 
-/// Makes engines of this process homes that hold the model already.
+/// Adds engines of this process that already hold the model as homes.
 ///
-/// In a large fleet some engines are listed after the first homes were given
-/// out. Were what they hold taken for surplus, it would be unloaded, and may be
-/// nowhere else.
+/// In a large cluster some engines are listed only after the first homes were assigned.
+/// If their models counted as surplus, they would be unloaded although no other engine
+/// may hold them.
 fn adopt_holders(cx: &Cx<'_>, review: &ModelReview<'_>, plan: &mut Plan, limits: &Limits) {
     if review.context.has_spare_engines(cx) {
         return;
@@ -254,7 +256,7 @@
     }
 }
 
-/// Takes the home from engines that are gone, about to go, or crowded.
+/// Moves homes away from engines that are gone, leaving or short of memory.
 fn replace_departing(
     cx: &Cx<'_>,
     review: &ModelReview<'_>,
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -1,4 +1,6 @@
-//! On which engine a model gets its next home.
+//! Choice of the engine for a model's next home.
+//!
+//! Open [`Placement`] first.
 
 use std::cmp::Reverse;
 
@@ -12,24 +14,24 @@
 use crate::units::Mebibytes;
 use crate::upstream::{Upstream, UpstreamList};
 
-/// From how many engines that the hash prefers the least loaded one is taken.
+/// Number of candidates, by hash weight, from which the least loaded engine is chosen.
 ///
-/// Processes that place different models at the same moment don't see each
-/// other's choices. If all took the least loaded engine, all would take the
-/// same one.
+/// Processes that place different models at the same time do not see each other's
+/// choices. If all took the least loaded engine, all would choose the same one.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Load shares are compared in these parts of an engine's memory.
+/// Resolution of the memory load of an engine; loads that differ by less compare as
+/// equal.
 const LOAD_RESOLUTION: u64 = 1000;
 
-/// How the models' homes lie on the engines' memory.
+/// The memory that homes take on each engine, including those placed in this review.
 #[derive(Debug)]
 pub(super) struct Placement<'a> {
     document: &'a Document,
     cache: &'a StoreCache,
     upstreams: &'a UpstreamList,
     inventory: &'a EngineInventory,
-    /// Made for the first model that needs it; most reviews place none.
+    /// Built for the first model that needs it; most reviews place none.
     table: Option<PlacementTable<'a>>,
 }
 
@@ -38,17 +40,18 @@
         Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, inventory, table: None }
     }
 
-    /// Returns how many live engines hold a model.
+    /// Returns how many live engines hold the model.
     pub(super) fn holders(&mut self, model: &ModelName) -> usize {
         self.table().engines_with(model).iter().filter(|entry| entry.residency == Residency::Held).count()
     }
 
-    /// Chooses an engine that isn't a home of the model yet, and counts the model there.
+    /// Chooses an engine that is not a home of the model yet, and adds the model's
+    /// footprint to it.
     ///
-    /// An owner knows the memory of its own engines alone. Without `left`, two
-    /// owners of full engines would hand a model to and fro while others stand
-    /// empty, and its callers would be refused for as long; so the engines that
-    /// it left for want of memory come last, the one left longest ago first.
+    /// An owner knows only the memory of its own engines. Without `left`, two owners of
+    /// full engines would move a model back and forth while other engines are empty,
+    /// and its callers would be refused all that time. Engines that the model left for
+    /// lack of memory therefore come last, the least recent one first.
     pub(super) fn place(
         &mut self,
         model: &ModelName,
@@ -83,7 +86,7 @@
                 best.offer(found);
             }
         }
-        // Whatever has something of the model is preferred to what has nothing.
+        // Engines that hold the model or a copy are preferred to all others.
         if !best.is_full() {
             let is_with_model =
                 |index: &usize| with_model.binary_search_by_key(index, |entry| entry.index).is_ok();
@@ -107,7 +110,7 @@
     }
 }
 
-/// A live engine, with what all its homes take of it.
+/// A live engine with the footprint of all its homes.
 #[derive(Debug)]
 struct LiveEngine<'a> {
     id: &'a UpstreamId,
@@ -117,25 +120,25 @@
 }
 
 impl LiveEngine<'_> {
-    /// Returns which part of the memory is taken once a footprint is added.
+    /// Returns the fraction of the memory that is taken with `footprint` added.
     fn load_with(&self, footprint: Mebibytes) -> u64 {
         let load = self.load + footprint;
         load.0.saturating_mul(LOAD_RESOLUTION) / self.known.memory.0.max(1)
     }
 }
 
-/// An engine that has something of a model already.
+/// An engine that holds a model or has a copy of its weights.
 #[derive(Clone, Copy, Debug)]
 struct EngineWithModel {
     index: usize,
     residency: Residency,
 }
 
-/// The live engines, and which models they have, looked up by model.
+/// The live engines, indexed by the models that they have.
 #[derive(Debug)]
 struct PlacementTable<'a> {
     engines: Vec<LiveEngine<'a>>,
-    /// By model, the indexes of the engines that have it, in ascending order.
+    /// For each model, the engines that have it, in ascending order of their indexes.
     by_model: HashMap<&'a ModelName, Vec<EngineWithModel>>,
 }
 
@@ -164,7 +167,7 @@
         let copies = upstream.copies.in_memory.iter().chain(&upstream.copies.on_disk);
         for (model, residency) in held.chain(copies.map(|model| (model, Residency::Copied))) {
             let entries = self.by_model.entry(model).or_default();
-            // What it holds comes first, so that a copy beside it tells nothing new.
+            // Loaded models come first, so a copy on the same engine adds no entry.
             if entries.last().is_none_or(|last| last.index != index) {
                 entries.push(EngineWithModel { index, residency });
             }
@@ -176,7 +179,7 @@
     }
 }
 
-/// Adds up the footprints of all homes, by engine.
+/// Returns the total footprint of the homes on each engine.
 fn loads<'a>(document: &Document, cache: &'a StoreCache) -> HashMap<&'a UpstreamId, Mebibytes> {
     let mut loads: HashMap<&UpstreamId, Mebibytes> = HashMap::default();
     for (model, homes) in cache.all_homes() {
@@ -188,36 +191,35 @@
     loads
 }
 
-/// How far an engine has come with a model already; the first is the best.
+/// How much of a model an engine already has, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Residency {
-    /// It holds it.
+    /// The model is loaded.
     Held,
-    /// It keeps a copy of the weights.
+    /// A copy of the weights is in memory or on disk.
     Copied,
-    /// It has nothing of it.
     Absent,
 }
 
-/// An engine that could be chosen; the least is preferred.
+/// A possible choice; the lowest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     residency: Residency,
-    /// Its place among the engines that the model left.
+    /// Its position in `left`.
     left: Option<usize>,
     shares_data_centre: bool,
     weight: Reverse<u64>,
     index: usize,
 }
 
-/// The few candidates that are preferred, the first before the others.
+/// The preferred candidates in ascending order.
 #[derive(Debug, Default)]
 struct BestCandidates {
     candidates: [Option<Candidate>; CANDIDATE_COUNT],
 }
 
 impl BestCandidates {
-    /// Takes a candidate in where it is preferred to one of those so far.
+    /// Inserts a candidate if it is among the preferred ones.
     fn offer(&mut self, candidate: Candidate) {
         let mut offered = candidate;
         for kept in &mut self.candidates {
@@ -232,7 +234,6 @@
         }
     }
 
-    /// Tells whether there are as many as are chosen from.
     fn is_full(&self) -> bool {
         self.candidates.iter().all(Option::is_some)
     }
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -1,9 +1,9 @@
-//! How much power each engine may draw, so that no site ever passes its cap.
+//! Power grants, which keep each site below its power cap.
 //!
-//! A site's grants are one value. Only an engine's owner changes its grant. It
-//! raises its own use after the record shows the higher grant, and lowers its
-//! own use before the record shows the lower one. So the engines never draw more
-//! than the record grants, and the record never grants more than the cap.
+//! All grants of a site are one record. Only an engine's owner changes its grant. It
+//! raises the engine's draw after the record contains the higher grant, and lowers the
+//! draw before the record contains the lower one. The engines therefore never draw more
+//! than recorded, and the recorded sum never exceeds the cap. Open [`Power`] first.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -22,60 +22,61 @@
 use crate::time::Time;
 use crate::units::Watts;
 
-/// How long the write of a power record is tried.
+/// Deadline of one write of a power record.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
-/// How long a site is left alone after a write that failed.
+/// Delay before a site's record is written again after a failed write, before jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often at most other owners are asked for power.
+/// Minimum interval between two requests for power to other owners, before jitter.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
-/// How many other owners are asked at a time.
+/// Maximum number of other owners that receive a request.
 const MAX_REQUEST_RECIPIENTS: usize = 6;
-/// How long a call for power is remembered.
+/// How long a request for power stays valid.
 const REQUEST_TTL: Duration = Duration::from_secs(3);
-/// How long nothing is granted ahead of need after power was short.
+/// How long no power is granted in advance after a shortage.
 const SHORTAGE_PERIOD: Duration = Duration::from_secs(30);
-/// How long a site may be over a lowered cap before engines at work have to stop.
+/// How long a site may exceed a lowered cap before working engines must stop.
 const OVER_CAP_GRACE: Duration = Duration::from_secs(3);
 
-/// Somebody's call for power.
+/// A request for power from any owner at the site.
 #[derive(Clone, Copy, Debug)]
 struct PowerRequest {
     watts: Watts,
     until: Time,
 }
 
-/// One site as this process sees it.
+/// State of one site.
 #[derive(Clone, Debug, Default)]
 struct Site {
-    /// Since when this process knows the record.
+    /// When this process first saw the recorded grants.
     since: Time,
     revision: StoreRevision,
     record: PowerRecord,
     is_capped: bool,
     is_writing: bool,
     retry_at: Time,
-    /// Engines whose grant this process has taken back, whatever the record says.
+    /// Engines whose grant this process has given up, whatever the record contains.
     revoked: OrderedSet<UpstreamId>,
     request: Option<PowerRequest>,
     shortage_until: Time,
     next_request: Time,
     over_since: Option<Time>,
-    /// Engines at work that have to stop, since the cap was lowered.
+    /// Working engines that must stop because the cap was lowered.
     must_stop: OrderedSet<UpstreamId>,
 }
 
-/// The power of the sites at which this process owns engines.
+/// The power grants of the sites at which this process owns engines.
 #[derive(Debug, Default)]
 pub(super) struct Power {
     sites: OrderedMap<SiteName, Site>,
 }
 
 impl Power {
-    /// Returns what an engine that this process owns since `acquired` may draw for certain.
+    /// Returns the power that an engine owned since `acquired_revision` may safely
+    /// draw.
     ///
-    /// A former owner that was paused may have a write under way that lowers the
-    /// grant, and another engine could be granted what this one draws. Once the
-    /// record was written after the engine changed hands, that write fails.
+    /// A paused former owner may have a write in flight that lowers the grant, and
+    /// another engine could be granted the power that this one draws. That write fails
+    /// once the record has been written after the engine changed owners.
     pub(super) fn granted(
         &self,
         id: &UpstreamId,
@@ -92,34 +93,34 @@
         site.record.grants.get(id).copied().unwrap_or_default().max(engine.sleep_watts)
     }
 
-    /// Tells whether the engine has to stop, since the cap was lowered.
+    /// Reports whether the engine must stop because the cap was lowered.
     pub(super) fn has_to_stop(&self, id: &UpstreamId, engine: &KnownEngine) -> bool {
         self.sites.get(&engine.site).is_some_and(|site| site.must_stop.contains(id))
     }
 
-    /// Returns the sites, with the time since when their grants are as they are.
+    /// Returns the sites, and since when their grants have been unchanged.
     pub(super) fn sites(&self) -> impl Iterator<Item = (&SiteName, Time)> {
         self.sites.iter().map(|(name, site)| (name, site.since))
     }
 
-    /// Returns the engines whose grant was taken back before the record shows it.
+    /// Returns the engines whose grant was given up before the record changes.
     pub(super) fn revoked(&self) -> impl Iterator<Item = &UpstreamId> {
         self.sites.values().flat_map(|site| &site.revoked)
     }
 
-    /// Takes note of a change of a site's record.
+    /// Handles a change of a site's record.
     pub(super) fn on_change(&mut self, cx: &Cx<'_>, site: &SiteName) {
         self.update(cx, site);
     }
 
-    /// Takes the outcome of a write of a site's record.
+    /// Handles the outcome of a write of a site's record.
     pub(super) fn on_write(&mut self, cx: &mut Cx<'_>, name: &SiteName, outcome: &WriteOutcome) {
         let retry_at = cx.now.after(cx.jitter(RETRY_DELAY));
         if let Some(site) = self.sites.get_mut(name) {
             site.is_writing = false;
             match outcome {
                 WriteOutcome::Done(_) => {}
-                // Somebody else wrote first; the next try builds on that.
+                // Another process wrote first; the next attempt uses its record.
                 WriteOutcome::Conflict(_) => site.retry_at = cx.now.after(cx.jitter(RETRY_DELAY / 8)),
                 WriteOutcome::NotDone | WriteOutcome::Unknown => site.retry_at = retry_at,
             }
@@ -127,14 +128,14 @@
         self.update(cx, name);
     }
 
-    /// Takes note of a call for power.
+    /// Handles a request for power.
     pub(super) fn on_power_request(&mut self, cx: &Cx<'_>, name: &SiteName, watts: Watts) {
         let Some(site) = self.sites.get_mut(name) else { return };
         site.request = Some(PowerRequest { watts, until: cx.now.after(REQUEST_TTL) });
         site.shortage_until = cx.now.after(SHORTAGE_PERIOD);
     }
 
-    /// Does what is due at every site.
+    /// Runs what is due at every site.
     pub(super) fn review(
         &mut self,
         cx: &mut Cx<'_>,
@@ -174,7 +175,7 @@
     }
 }
 
-/// What the review of one site looks at.
+/// Input of the review of one site.
 #[derive(Clone, Copy)]
 struct SiteReview<'a> {
     context: &'a ReviewContext<'a>,
@@ -186,7 +187,7 @@
     cap: Watts,
 }
 
-/// An engine that could do with more power.
+/// An engine that is granted less than its full power.
 struct Underpowered<'a> {
     id: &'a UpstreamId,
     engine: &'a KnownEngine,
@@ -198,7 +199,7 @@
         self.context.inventory.get(id)
     }
 
-    /// Tells whether the engine draws no more than it does asleep.
+    /// Reports whether the engine draws no more than its sleep power.
     fn is_asleep(&self, id: &UpstreamId) -> bool {
         self.engine(id).is_some_and(|engine| self.engines.drawn(id) <= engine.sleep_watts)
     }
@@ -208,7 +209,7 @@
         since.is_some() && self.context.inventory.is_gone(cx, id, since)
     }
 
-    /// Returns the engines with less than full power, those that need it most first.
+    /// Returns the engines with less than full power, the most urgent first.
     fn underpowered(&self, budget: &PowerBudget) -> Vec<Underpowered<'_>> {
         let mut underpowered: Vec<Underpowered<'_>> = self
             .own_engines
@@ -231,8 +232,8 @@
         self.check_cap(cx, &budget);
         self.request.take_if(|request| request.until.is_due(cx.now) || budget.headroom() >= request.watts);
         self.revoked.retain(|id| review.own_engines.contains(id));
-        // A process that lost an engine without knowing it yet must not write on the
-        // new owner's record. It knows of every loss up to its frontier.
+        // A process that lost an engine without noticing must not overwrite the new
+        // owner's record. It knows of every loss up to its frontier.
         let current = self.revision <= review.context.store_sync.frontier();
         if self.is_writing || !self.retry_at.is_due(cx.now) || !current || !review.context.may_decide(cx) {
             return;
@@ -257,14 +258,15 @@
         }
     }
 
-    /// Tells whether the grant was recorded before the engine changed hands.
+    /// Reports whether the grant was recorded before this process acquired the engine.
     fn is_unconfirmed(&self, review: &SiteReview<'_>, id: &UpstreamId) -> bool {
         let acquired_revision = review.ownership.held(id).map(|owned| owned.acquired_revision);
         self.record.grants.contains_key(id)
             && acquired_revision.is_some_and(|acquired_revision| acquired_revision > self.revision)
     }
 
-    /// Takes grants back that others need or that the cap doesn't allow any more.
+    /// Gives up grants that other engines need, that exceed the cap or that belong to
+    /// gone engines.
     fn revoke_grants(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, budget: &mut PowerBudget) -> bool {
         let mut changed = false;
         for id in review.own_engines {
@@ -283,7 +285,7 @@
             if !is_already_revoked {
                 cx.note("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
             }
-            // The own use is lowered first; the record may show it at any later moment.
+            // The draw is lowered first; the record may change at any later time.
             self.revoked.insert(id.clone());
             budget.revoke(id);
             changed = true;
@@ -295,7 +297,7 @@
         self.request.is_some_and(|request| budget.headroom() < request.watts)
     }
 
-    /// Raises the grants of own engines, as far as the cap allows.
+    /// Raises the grants of owned engines as far as the cap allows.
     fn raise_grants(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, budget: &mut PowerBudget) -> bool {
         let mut changed = false;
         let is_surplus_available = self.shortage_until.is_due(cx.now);
@@ -316,7 +318,7 @@
         changed
     }
 
-    /// Asks owners of other engines of the site to give power up, at a bounded rate.
+    /// Asks owners of other engines at the site to give up power, at a limited rate.
     fn request_power(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, watts: Watts, order: ServiceOrder) {
         if !self.next_request.is_due(cx.now) {
             return;
@@ -329,7 +331,7 @@
         }
     }
 
-    /// Returns some owners of engines with grants, this process included.
+    /// Returns a random selection of owners with granted power, and this process.
     fn request_recipients(&self, cx: &mut Cx<'_>, review: &SiteReview<'_>) -> Vec<HostId> {
         use rand::seq::IndexedRandom;
 
--- a/crates/skylarkshore-core/src/control/power_budget.rs
+++ b/crates/skylarkshore-core/src/control/power_budget.rs
@@ -1,4 +1,4 @@
-//! The sums of a site's power.
+//! Sums of a site's power grants.
 
 use super::inventory::EngineInventory;
 use crate::collections::OrderedMap;
@@ -6,7 +6,7 @@
 use crate::store::PowerRecord;
 use crate::units::Watts;
 
-/// What the engines of a site may draw together.
+/// The cap, grants and sleep power of a site.
 #[derive(Clone, Debug)]
 pub(super) struct PowerBudget {
     cap: Watts,
@@ -15,7 +15,8 @@
 }
 
 impl PowerBudget {
-    /// Takes a site's record and the sleep watts of its engines, recorded or not.
+    /// Creates the budget from a site's record and the sleep power of its engines,
+    /// whether recorded or not.
     pub(super) fn new(
         cap: Watts,
         site: &SiteName,
@@ -29,7 +30,8 @@
         Self { cap, sleep, grants: record.grants.clone() }
     }
 
-    /// Returns what the engines may draw together, each at least what it draws asleep.
+    /// Returns the maximum total draw, in which each engine counts with at least its
+    /// sleep power.
     pub(super) fn total_draw(&self) -> Watts {
         let granted: Watts = self.grants.iter().map(|(id, watts)| (*watts).max(self.sleep_of(id))).sum();
         let asleep: Watts =
@@ -37,22 +39,21 @@
         granted + asleep
     }
 
-    /// Returns what is left under the cap.
     pub(super) fn headroom(&self) -> Watts {
         self.cap.saturating_sub(self.total_draw())
     }
 
-    /// Tells whether the cap is passed.
     pub(super) fn exceeds_cap(&self) -> bool {
         self.total_draw() > self.cap
     }
 
-    /// Returns what an engine may draw.
+    /// Returns the power that an engine may draw.
     pub(super) fn grant(&self, engine: &UpstreamId) -> Watts {
         self.grants.get(engine).copied().unwrap_or_default().max(self.sleep_of(engine))
     }
 
-    /// Raises an engine's grant if the sum stays under the cap; tells whether it did.
+    /// Raises an engine's grant if the total stays within the cap, and reports whether
+    /// it did.
     pub(super) fn raise(&mut self, engine: &UpstreamId, to: Watts) -> bool {
         if to.saturating_sub(self.grant(engine)) > self.headroom() {
             return false;
@@ -61,14 +62,14 @@
         true
     }
 
-    /// Takes an engine's grant back, down to what it draws asleep.
+    /// Reduces an engine's grant to its sleep power.
     pub(super) fn revoke(&mut self, engine: &UpstreamId) {
         self.grants.remove(engine);
     }
 
-    /// Returns the engines that have to stop for the sum to come under the cap.
+    /// Returns the engines that must stop to bring the total below the cap.
     ///
-    /// Every process comes to the same result from the same record.
+    /// All processes reach the same result from the same record.
     pub(super) fn engines_over_cap(&self) -> Vec<UpstreamId> {
         let mut remaining = self.clone();
         let mut engines_over_cap = Vec::new();
@@ -84,7 +85,6 @@
         engines_over_cap
     }
 
-    /// Returns the grants as they are to be recorded.
     pub(super) fn into_record(self) -> PowerRecord {
         PowerRecord { grants: self.grants }
     }
