--- a/crates/skylarkshore-core/tests/control.rs
+++ b/crates/skylarkshore-core/tests/control.rs
@@ -1,4 +1,4 @@
-//! Membership, ownership, homes and power of several processes, with faults.
+//! Tests of the control plane of several processes with injected faults.
 
 #[path = "support/cluster.rs"]
 mod cluster;
--- a/crates/skylarkshore-core/tests/control/leases.rs
+++ b/crates/skylarkshore-core/tests/control/leases.rs
@@ -7,7 +7,10 @@
 use skylarkshore_core::store::{Key, MemberRecord, Record};
 use skylarkshore_core::upstream::FenceCheck;
 
-use crate::cluster::{Cluster, PLENTY, all_owned, config, document, name, one_holder_each, secs, settled};
+use crate::cluster::{
+    Cluster, UNLIMITED_POWER, assert_one_owner_each, cluster_with_owners, config, document,
+    is_every_engine_owned, name, secs,
+};
 use crate::process::Inbound;
 
 fn member(cluster: &Cluster, host: &str) -> Option<MemberRecord> {
@@ -17,33 +20,40 @@
     }
 }
 
-/// Every second answer of the key-value service is lost after its write took
-/// effect. A process that took its own record for another's would never become a
-/// member, and the operators would see it start over and over.
+/// Guards against a process that takes its own record for that of another and restarts
+/// over and over.
+///
+/// Every second answer of the store is lost after its write took effect.
 #[test]
-fn lost_answers_do_not_keep_a_process_from_registering_and_owning() {
+fn a_process_registers_and_acquires_engines_despite_lost_answers() {
     for seed in 0..20 {
-        let mut cluster = Cluster::with(seed, &["a", "b"], 6, FenceCheck::Ignores, document(1, 2, 1, PLENTY));
+        let mut cluster = Cluster::with_engines(
+            seed,
+            &["a", "b"],
+            6,
+            FenceCheck::Ignores,
+            document(1, 2, 1, UNLIMITED_POWER),
+        );
         cluster.faults.lost_answers = 50;
-        cluster.until("owners for all", secs(90), |cluster| {
-            one_holder_each(cluster);
-            all_owned(cluster)
+        cluster.run_until("every engine has an owner", secs(90), |cluster| {
+            assert_one_owner_each(cluster);
+            is_every_engine_owned(cluster)
         });
         let superseded: usize = cluster.processes.values().map(|process| process.noted("superseded")).sum();
         assert_eq!(superseded, 0, "seed {seed}");
     }
 }
 
-/// A process was paused so long that its host was given to another process. When
-/// it wakes, it must neither act nor write over the record of its successor.
+/// Guards against a process that acts or overwrites its successor's record after a long
+/// pause.
 #[test]
-fn a_superseded_process_stops_for_good() {
-    let mut cluster = settled(11, &["a", "b"], 6, FenceCheck::Refuses);
+fn a_superseded_process_neither_acts_nor_writes() {
+    let mut cluster = cluster_with_owners(11, &["a", "b"], 6, FenceCheck::Refuses);
     let engines: Vec<UpstreamId> = cluster.engines.keys().cloned().collect();
     let mut later = member(&cluster, "a").expect("a is a member");
     later.incarnation = Incarnation(2);
     cluster.store.put(Key::Member(name("a")), Record::Member(later.clone()));
-    cluster.until("b owns all", secs(15), |cluster| {
+    cluster.run_until("b owns every engine", secs(15), |cluster| {
         engines.iter().all(|engine| cluster.holders(engine).iter().any(|host| host.as_str() == "b"))
     });
     let now = cluster.now;
@@ -54,19 +64,19 @@
     assert_eq!(member(&cluster, "a"), Some(later));
 }
 
-/// The only process that watches the key-value service is killed. Nobody else
-/// would hear of its end, nor of new rules.
+/// Guards against missed changes after the only process that watches the store is
+/// killed.
 #[test]
-fn another_process_watches_when_the_watcher_dies() {
-    let mut cluster = settled(12, &["a", "b", "c"], 3, FenceCheck::Refuses);
+fn another_process_takes_over_the_watch_when_the_watcher_dies() {
+    let mut cluster = cluster_with_owners(12, &["a", "b", "c"], 3, FenceCheck::Refuses);
     cluster.run(secs(10), |_| {});
     let watcher = watchers(&mut cluster);
     assert_eq!(watcher.len(), 1, "{watcher:?} watch for one data centre");
     cluster.kill(&watcher[0]);
-    cluster.until("another one watches", secs(9), |cluster| !watchers(cluster).is_empty());
-    cluster.run(secs(20), one_holder_each);
+    cluster.run_until("another one watches", secs(9), |cluster| !watchers(cluster).is_empty());
+    cluster.run(secs(20), assert_one_owner_each);
     assert_eq!(watchers(&mut cluster).len(), 1);
-    assert!(all_owned(&mut cluster));
+    assert!(is_every_engine_owned(&mut cluster));
 }
 
 fn watchers(cluster: &mut Cluster) -> Vec<String> {
@@ -74,17 +84,16 @@
     processes.filter(|(_, process)| process.is_watching()).map(|(host, _)| host.to_string()).collect()
 }
 
-/// A process can't reach the key-value service, but its peers can. New rules must
-/// be in force there within seconds all the same.
+/// Guards against outdated rules on a process that reaches its peers but not the store.
 #[test]
-fn a_process_cut_off_from_the_service_gets_new_rules_from_its_peers() {
-    let mut cluster = settled(13, &["a", "b", "c"], 3, FenceCheck::Refuses);
+fn a_process_cut_off_from_the_store_receives_new_rules_from_peers() {
+    let mut cluster = cluster_with_owners(13, &["a", "b", "c"], 3, FenceCheck::Refuses);
     for host in ["a", "b", "c"] {
         cluster.process(host).cut = true;
         cluster.run(secs(3), |_| {});
         let revision = cluster.process(host).document.revision.0 + 1;
-        cluster.store.put(Key::Document, Record::Document(document(revision, 4, 2, PLENTY).into()));
-        cluster.until("new rules everywhere", secs(7), |cluster| {
+        cluster.store.put(Key::Document, Record::Document(document(revision, 4, 2, UNLIMITED_POWER).into()));
+        cluster.run_until("new rules everywhere", secs(7), |cluster| {
             cluster.processes.values().all(|process| process.document.revision.0 == revision)
         });
         cluster.process(host).cut = false;
@@ -92,14 +101,15 @@
     }
 }
 
-/// Ten more processes join. The calls at the key-value service must grow with the
-/// leases alone, since every process that read what one has written would make
-/// the load grow with the square of the hosts.
+/// Guards against store load that grows with the square of the hosts.
+///
+/// It would if every process read what another has written; only lease renewals may
+/// remain.
 #[test]
-fn calls_at_the_service_in_quiet_times_are_the_lease_renewals() {
+fn an_idle_cluster_only_sends_lease_renewals_to_the_store() {
     let hosts: Vec<String> = (0..12).map(|i| format!("h{i}")).collect();
     let hosts: Vec<&str> = hosts.iter().map(String::as_str).collect();
-    let mut cluster = settled(14, &hosts, 12, FenceCheck::Ignores);
+    let mut cluster = cluster_with_owners(14, &hosts, 12, FenceCheck::Ignores);
     cluster.run(secs(60), |_| {});
     let before = cluster.store.calls;
     cluster.run(Duration::from_mins(1), |_| {});
@@ -108,16 +118,16 @@
     assert!((renewals / 2..renewals * 3 / 2).contains(&calls), "{calls} calls in a minute");
 }
 
-/// Signs of life between all hosts of a data centre take up its machines.
+/// Guards against heartbeats from every host to every other host of a data centre.
 #[test]
-fn where_every_process_watches_signs_of_life_go_to_few() {
+fn heartbeats_have_few_receivers_if_every_process_watches() {
     const HOSTS: usize = 60;
     const SECS: usize = 10;
-    /// Six receivers, each half of the regular interval at the shortest.
-    const MOST_A_SECOND: usize = 6 * 2;
+    /// Six receivers, each at half the heartbeat interval at the shortest.
+    const MAX_HEARTBEATS_PER_SECOND: usize = 6 * 2;
 
     let mut cluster = Cluster::new(17);
-    cluster.store.put(Key::Document, Record::Document(document(1, 1, 1, PLENTY).into()));
+    cluster.store.put(Key::Document, Record::Document(document(1, 1, 1, UNLIMITED_POWER).into()));
     for number in 0..HOSTS {
         let cfg = config(&format!("h{number}"), 1, 17);
         cluster.start(NodeConfig { watchers: Watchers::All, ..cfg });
@@ -129,7 +139,7 @@
         sent += inboxes.flatten().filter(|inbound| is_heartbeat(inbound)).count();
     });
     assert!(sent > 0);
-    assert!(sent <= HOSTS * SECS * MOST_A_SECOND, "{sent} signs of life in {SECS} s");
+    assert!(sent <= HOSTS * SECS * MAX_HEARTBEATS_PER_SECOND, "{sent} heartbeats in {SECS} s");
 }
 
 const fn is_heartbeat(inbound: &Inbound) -> bool {
@@ -137,8 +147,9 @@
 }
 
 #[test]
-fn a_state_dump_tells_what_a_process_believes() {
-    let mut cluster = Cluster::with(15, &["a", "b"], 2, FenceCheck::Ignores, document(1, 2, 1, PLENTY));
+fn a_state_dump_lists_lease_members_owners_homes_and_power() {
+    let mut cluster =
+        Cluster::with_engines(15, &["a", "b"], 2, FenceCheck::Ignores, document(1, 2, 1, UNLIMITED_POWER));
     cluster.run(secs(20), |_| {});
     let now = cluster.now;
     insta::assert_snapshot!(cluster.process("a").beliefs(now), @r"
@@ -154,13 +165,14 @@
     ");
 }
 
-/// The key-value service is away for eight seconds. Each process that comes back
-/// to it late goes on sending requests to upstreams that said meanwhile that
-/// they leave; they are there for two seconds more, and then the requests break.
+/// Guards against requests to upstreams that have left during a store outage.
+///
+/// The store is away for eight seconds. Upstreams stop two seconds after they announce
+/// that they leave, so each process must watch again within that time.
 #[test]
-fn a_process_watches_again_soon_after_the_service_is_back() {
+fn a_process_resumes_watching_soon_after_a_store_outage() {
     for seed in 0..10 {
-        let mut cluster = settled(seed, &["a"], 3, FenceCheck::Refuses);
+        let mut cluster = cluster_with_owners(seed, &["a"], 3, FenceCheck::Refuses);
         cluster.run(secs(5), |_| {});
         cluster.faults.outage = true;
         cluster.break_watch("a");
@@ -168,7 +180,7 @@
         assert!(!cluster.process("a").is_watching());
         cluster.faults.outage = false;
         let back = cluster.now;
-        cluster.until("it watches again", secs(20), |cluster| cluster.process("a").is_watching());
+        cluster.run_until("it watches again", secs(20), |cluster| cluster.process("a").is_watching());
         let took = cluster.now.since(back);
         assert!(took <= Duration::from_millis(1600), "seed {seed}: {took:?}");
     }
--- a/crates/skylarkshore-core/tests/control/ownership.rs
+++ b/crates/skylarkshore-core/tests/control/ownership.rs
@@ -5,16 +5,19 @@
 use skylarkshore_core::id::UpstreamId;
 use skylarkshore_core::upstream::FenceCheck;
 
-use crate::cluster::{Cluster, PLENTY, all_owned, config, document, name, one_holder_each, secs, settled};
+use crate::cluster::{
+    Cluster, UNLIMITED_POWER, assert_one_owner_each, cluster_with_owners, config, document,
+    is_every_engine_owned, name, secs,
+};
 
-fn shares(cluster: &Cluster) -> BTreeMap<String, usize> {
-    let mut shares = BTreeMap::new();
+fn owned_counts(cluster: &Cluster) -> BTreeMap<String, usize> {
+    let mut owned_counts = BTreeMap::new();
     for engine in cluster.engines.keys() {
         for holder in cluster.holders(engine) {
-            *shares.entry(holder.to_string()).or_default() += 1;
+            *owned_counts.entry(holder.to_string()).or_default() += 1;
         }
     }
-    shares
+    owned_counts
 }
 
 fn engines_of(cluster: &Cluster, host: &str) -> Vec<UpstreamId> {
@@ -26,7 +29,7 @@
     cluster.processes.values().map(|process| process.noted("engine_handed_over")).sum()
 }
 
-/// Returns until when the new owner of an engine expects orders of the former one.
+/// Returns until when the new owner of an engine expects orders of the former owner.
 fn late_orders_until(cluster: &Cluster, engine: &UpstreamId) -> Option<Time> {
     let holder = cluster.holders(engine).first().map(|host| (*host).clone())?;
     cluster.processes[&holder].changes.iter().rev().find_map(|change| match change {
@@ -38,169 +41,178 @@
 }
 
 #[test]
-fn engines_are_shared_out_evenly_and_a_newcomer_gets_its_part() {
-    let mut cluster = settled(1, &["a", "b"], 9, FenceCheck::Ignores);
-    cluster.run(secs(30), one_holder_each);
-    let two = shares(&cluster);
-    assert!(two.values().all(|owned| *owned <= 6), "{two:?}");
+fn engines_are_balanced_and_a_new_member_receives_its_share() {
+    let mut cluster = cluster_with_owners(1, &["a", "b"], 9, FenceCheck::Ignores);
+    cluster.run(secs(30), assert_one_owner_each);
+    let two_hosts = owned_counts(&cluster);
+    assert!(two_hosts.values().all(|owned| *owned <= 6), "{two_hosts:?}");
     cluster.start(config("c", 1, 1));
-    cluster.run(secs(60), one_holder_each);
-    let three = shares(&cluster);
-    assert_eq!(three.values().sum::<usize>(), 9, "{three:?}");
-    assert!(three.len() == 3 && three.values().all(|owned| (2..=4).contains(owned)), "{three:?}");
+    cluster.run(secs(60), assert_one_owner_each);
+    let three_hosts = owned_counts(&cluster);
+    assert_eq!(three_hosts.values().sum::<usize>(), 9, "{three_hosts:?}");
+    assert!(
+        three_hosts.len() == 3 && three_hosts.values().all(|owned| (2..=4).contains(owned)),
+        "{three_hosts:?}"
+    );
     let before = handed_over(&cluster);
-    cluster.run(secs(60), one_holder_each);
+    cluster.run(secs(60), assert_one_owner_each);
     assert_eq!(before, handed_over(&cluster), "engines keep changing hands");
 }
 
-/// A process is killed. Its lease lapses after ten seconds, and its engines refuse
-/// its fence from the moment at which another process owns them. Callers wait for
-/// cold models on these engines until then.
+/// Guards against a long wait of callers for cold models after their owner was killed.
+///
+/// The lease expires after ten seconds. The engines refuse the old fence as soon as
+/// another process owns them, so no further delay is needed.
 #[test]
-fn a_killed_owners_engines_that_check_fences_are_taken_over_once_its_key_is_gone() {
-    let mut cluster = settled(2, &["a", "b", "c"], 9, FenceCheck::Refuses);
-    let orphans = engines_of(&cluster, "a");
+fn engines_that_check_fences_are_taken_over_when_the_owners_key_expires() {
+    let mut cluster = cluster_with_owners(2, &["a", "b", "c"], 9, FenceCheck::Refuses);
+    let engines_of_a = engines_of(&cluster, "a");
     cluster.kill("a");
-    let took = cluster.until("a takes over", secs(14), all_owned);
+    let took = cluster.run_until("others take over", secs(14), is_every_engine_owned);
     assert!(took >= secs(5), "taken over after {took:?}, while the key stood");
-    assert!(orphans.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::START)));
+    assert!(engines_of_a.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::START)));
 }
 
-/// A process is killed whose engines carry out whatever they are told. Its port
-/// refuses connections on a host that lives, so that nobody has to wait until its
-/// hold has passed.
+/// Guards against waiting for the hold of a process that has definitely ended.
+///
+/// Its engines ignore fences, but its port refuses connections on a live host, which
+/// proves its end.
 #[test]
-fn a_process_proved_dead_is_succeeded_without_waiting_for_its_hold() {
-    let mut cluster = settled(3, &["a", "b", "c"], 9, FenceCheck::Ignores);
-    let orphans = engines_of(&cluster, "a");
+fn a_probed_dead_owner_is_replaced_without_waiting_for_its_hold() {
+    let mut cluster = cluster_with_owners(3, &["a", "b", "c"], 9, FenceCheck::Ignores);
+    let engines_of_a = engines_of(&cluster, "a");
     cluster.kill("a");
-    cluster.until("a takes over", secs(14), all_owned);
+    cluster.run_until("others take over", secs(14), is_every_engine_owned);
     let now = cluster.now;
-    for engine in orphans {
+    for engine in engines_of_a {
         let late_orders = late_orders_until(&cluster, &engine);
         assert!(late_orders.is_some_and(|until| until <= now.after(secs(2))), "{engine}: {late_orders:?}");
     }
 }
 
-/// A process freezes for longer than its lease, while its engines carry out
-/// whatever they are told. When it wakes, it believes for a moment that it still
-/// owns them. Two owners at once would overcommit the memory.
+/// Guards against two owners that overcommit an engine's memory.
+///
+/// A process freezes for longer than its lease while its engines ignore fences. When it
+/// resumes, it still considers itself their owner for a moment.
 #[test]
-fn a_frozen_owner_may_not_act_beside_its_successor() {
-    let mut cluster = settled(4, &["a", "b", "c"], 9, FenceCheck::Ignores);
-    let orphans = engines_of(&cluster, "a");
+fn a_frozen_owner_never_acts_at_the_same_time_as_its_successor() {
+    let mut cluster = cluster_with_owners(4, &["a", "b", "c"], 9, FenceCheck::Ignores);
+    let engines_of_a = engines_of(&cluster, "a");
     cluster.process("a").frozen = true;
-    cluster.run(secs(17), one_holder_each);
-    assert!(orphans.iter().all(|engine| cluster.holders(engine).is_empty()), "taken over too early");
-    cluster.until("a successor", secs(15), |cluster| {
-        one_holder_each(cluster);
-        all_owned(cluster)
+    cluster.run(secs(17), assert_one_owner_each);
+    assert!(engines_of_a.iter().all(|engine| cluster.holders(engine).is_empty()), "taken over too early");
+    cluster.run_until("a successor", secs(15), |cluster| {
+        assert_one_owner_each(cluster);
+        is_every_engine_owned(cluster)
     });
-    assert!(orphans.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::NEVER)));
+    assert!(engines_of_a.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::NEVER)));
     cluster.process("a").frozen = false;
-    cluster.run(secs(30), one_holder_each);
+    cluster.run(secs(30), assert_one_owner_each);
     let lost = cluster.process("a").noted("engine_lost");
-    assert_eq!(lost, orphans.len());
-    assert!(all_owned(&mut cluster));
+    assert_eq!(lost, engines_of_a.len());
+    assert!(is_every_engine_owned(&mut cluster));
 }
 
-/// The key-value service is away for a minute, and every lease has lapsed when it
-/// comes back. If each process took the others' engines over, all would change
-/// hands at once. Orders go on where engines check fences, and only there.
+/// Guards against take-overs of all engines after a store outage.
+///
+/// The store is away for a minute, so every lease has expired when it returns. During
+/// the outage only engines that check fences receive orders.
 #[test]
-fn an_outage_in_which_all_leases_lapse_moves_no_engine() {
+fn a_store_outage_that_expires_all_leases_moves_no_engine() {
     for fence_check in [FenceCheck::Refuses, FenceCheck::Ignores] {
-        let mut cluster = settled(5, &["a", "b", "c"], 9, fence_check);
-        cluster.run(secs(40), one_holder_each);
-        let before = shares(&cluster);
+        let mut cluster = cluster_with_owners(5, &["a", "b", "c"], 9, fence_check);
+        cluster.run(secs(40), assert_one_owner_each);
+        let before = owned_counts(&cluster);
         cluster.faults.outage = true;
-        cluster.run(secs(60), one_holder_each);
-        let during = shares(&cluster).values().sum::<usize>();
+        cluster.run(secs(60), assert_one_owner_each);
+        let during = owned_counts(&cluster).values().sum::<usize>();
         assert_eq!(during, if fence_check == FenceCheck::Refuses { 9 } else { 0 });
         cluster.faults.outage = false;
-        cluster.until("leave to act again", secs(20), all_owned);
-        cluster.run(secs(60), one_holder_each);
-        assert_eq!(before, shares(&cluster), "{fence_check:?}");
+        cluster.run_until("every engine has a permit again", secs(20), is_every_engine_owned);
+        cluster.run(secs(60), assert_one_owner_each);
+        assert_eq!(before, owned_counts(&cluster), "{fence_check:?}");
         let lost: usize = cluster.processes.values().map(|process| process.noted("engine_lost")).sum();
         assert_eq!(lost, 0, "{fence_check:?}");
     }
 }
 
-/// A process is replaced on its host within a second, long before its lease lapses.
-/// Its engines must not stay without an owner for that long.
+/// Guards against engines that stay without an owner until the old lease expires.
+///
+/// A process is replaced on its host within a second.
 #[test]
-fn a_newer_incarnation_on_the_old_address_frees_the_engines_at_once() {
-    let mut cluster = settled(6, &["a", "b", "c"], 9, FenceCheck::Ignores);
+fn a_restart_makes_the_engines_of_the_old_incarnation_available_at_once() {
+    let mut cluster = cluster_with_owners(6, &["a", "b", "c"], 9, FenceCheck::Ignores);
     cluster.kill("a");
     cluster.start(config("a", 2, 6));
-    cluster.until("owners for all", secs(4), |cluster| {
-        one_holder_each(cluster);
-        all_owned(cluster)
+    cluster.run_until("every engine has an owner", secs(4), |cluster| {
+        assert_one_owner_each(cluster);
+        is_every_engine_owned(cluster)
     });
 }
 
-/// A process is asked to end. Its engines must go to others before it goes, without
-/// the time that a take-over costs, and its member key must not linger.
+/// Guards against take-over delays and a leftover member key when a process leaves in
+/// order.
 #[test]
-fn a_leaving_process_hands_its_engines_over_before_it_goes() {
-    let mut cluster = settled(7, &["a", "b", "c"], 9, FenceCheck::Ignores);
+fn a_leaving_process_hands_over_its_engines_before_it_deregisters() {
+    let mut cluster = cluster_with_owners(7, &["a", "b", "c"], 9, FenceCheck::Ignores);
     cluster.shut_down("a");
-    cluster.until("others own all", secs(10), |cluster| {
-        one_holder_each(cluster);
-        all_owned(cluster) && engines_of(cluster, "a").is_empty()
+    cluster.run_until("the others own every engine", secs(10), |cluster| {
+        assert_one_owner_each(cluster);
+        is_every_engine_owned(cluster) && engines_of(cluster, "a").is_empty()
     });
-    cluster.until("the process has left", secs(5), |cluster| {
-        cluster.drained("a");
+    cluster.run_until("the process is deregistered", secs(5), |cluster| {
+        cluster.finish_draining("a");
         cluster.process("a").control.has_left()
     });
     let key = skylarkshore_core::store::Key::Member(name("a"));
     assert!(cluster.store.record(&key).is_none());
 }
 
-/// A process is asked to end while the key-value service is away. It can neither
-/// hand its engines over nor end its lease, and must not wait for that for ever.
+/// Guards against a shutdown that blocks because neither a hand-over nor the end of the
+/// lease can be written.
 #[test]
-fn a_leaving_process_does_not_wait_for_a_service_that_is_away() {
-    let mut cluster = settled(8, &["a", "b"], 4, FenceCheck::Ignores);
+fn a_leaving_process_exits_although_the_store_is_unreachable() {
+    let mut cluster = cluster_with_owners(8, &["a", "b"], 4, FenceCheck::Ignores);
     cluster.faults.outage = true;
     cluster.shut_down("a");
-    cluster.until("the process has left", secs(25), |cluster| {
-        cluster.drained("a");
+    cluster.run_until("the process is deregistered", secs(25), |cluster| {
+        cluster.finish_draining("a");
         cluster.process("a").control.has_left()
     });
 }
 
-/// An order is in progress when an engine is to be handed over. If the record
-/// changed hands before its end, the next owner wouldn't know of it.
+/// Guards against a next owner that does not know of an order in progress.
 #[test]
-fn an_engine_with_an_order_in_progress_is_not_handed_over_yet() {
-    let mut cluster = settled(9, &["a", "b"], 4, FenceCheck::Ignores);
+fn an_engine_is_not_handed_over_while_an_order_is_in_progress() {
+    let mut cluster = cluster_with_owners(9, &["a", "b"], 4, FenceCheck::Ignores);
     let engines = engines_of(&cluster, "a");
     cluster.process("a").engines.unsettled = engines.iter().cloned().collect();
     cluster.shut_down("a");
-    cluster.run(secs(8), one_holder_each);
+    cluster.run(secs(8), assert_one_owner_each);
     for engine in &engines {
         assert!(cluster.holders(engine).is_empty(), "{engine} has an owner that may act");
         assert!(cluster.process("a").control.granted(engine).0 > 0, "{engine} isn't owned any more");
     }
     cluster.process("a").engines.unsettled.clear();
-    cluster.until("the other one owns all", secs(10), all_owned);
+    cluster.run_until("the other process owns every engine", secs(10), is_every_engine_owned);
 }
 
-/// Guards against hosts that look after every engine of a fleet that has many
-/// more than its models need, each of which costs a record that all hosts read.
+/// Guards against owner records for engines that nobody needs.
+///
+/// The cluster has many more engines than its models need homes, and every process
+/// reads each record.
 #[test]
-fn engines_on_which_nothing_is_to_be_loaded_have_no_owner_where_there_are_plenty() {
+fn surplus_engines_without_homes_have_no_owner() {
     let models = 4;
-    let document = document(1, models, 24, PLENTY);
-    let mut cluster = Cluster::with(7, &["a", "b", "c"], 600, FenceCheck::Ignores, document);
+    let document = document(1, models, 24, UNLIMITED_POWER);
+    let mut cluster = Cluster::with_engines(7, &["a", "b", "c"], 600, FenceCheck::Ignores, document);
     for engine in cluster.engines.values_mut() {
         engine.holds = vec![name("model-0"), name("model-1")];
     }
     for host in ["a", "b", "c"] {
-        cluster.set_host_list(&name(host));
+        cluster.publish_host_list(&name(host));
     }
-    cluster.run(secs(30), one_holder_each);
+    cluster.run(secs(30), assert_one_owner_each);
     let homes: Vec<UpstreamId> = cluster.homes();
     let owned = cluster.engines.keys().filter(|engine| !cluster.holders(engine).is_empty()).count();
     assert!(homes.iter().all(|home| !cluster.holders(home).is_empty()), "a home has no owner");
--- a/crates/skylarkshore-core/tests/control/power.rs
+++ b/crates/skylarkshore-core/tests/control/power.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{Cluster, SITE, document, name, secs};
 use crate::process::{ACTIVE_WATTS, SLEEP_WATTS};
 
-/// Room for two engines at work among four.
+/// Power for two of four engines.
 const TIGHT: Watts = Watts(2 * ACTIVE_WATTS.0 + 2 * SLEEP_WATTS.0);
 
 fn granted(cluster: &Cluster) -> Watts {
@@ -25,7 +25,7 @@
     cluster.engines.keys().map(grant).sum()
 }
 
-fn within(cluster: &mut Cluster, cap: Watts) {
+fn assert_within_cap(cluster: &mut Cluster, cap: Watts) {
     assert!(granted(cluster) <= cap, "{} believed at {}", granted(cluster), cluster.now);
     assert!(recorded(cluster) <= cap, "{} recorded at {}", recorded(cluster), cluster.now);
 }
@@ -38,26 +38,28 @@
     cluster.processes.values().any(|process| process.control.granted(engine) == ACTIVE_WATTS)
 }
 
-/// Power moves from an idle engine to one for which requests wait, while answers of
-/// the key-value service get lost, calls don't reach it, or writes arrive late. At
-/// no step may what the owners believe to be theirs pass the cap, since the site's
-/// breaker would trip.
+/// Guards against owners that together assume more power than the cap, which would trip
+/// the site's breaker.
+///
+/// Power moves from idle engines to one with waiting requests, while calls and answers
+/// are lost or writes arrive late.
 #[test]
-fn power_moves_to_where_it_lacks_without_ever_passing_the_cap() {
+fn power_moves_to_underpowered_engines_and_never_exceeds_the_cap() {
     for seed in 0..24 {
         let hosts = ["a", "b", "c", "d"];
-        let mut cluster = Cluster::with(seed, &hosts, 4, FenceCheck::Refuses, document(1, 2, 1, TIGHT));
-        cluster.run(secs(20), |cluster| within(cluster, TIGHT));
+        let mut cluster =
+            Cluster::with_engines(seed, &hosts, 4, FenceCheck::Refuses, document(1, 2, 1, TIGHT));
+        cluster.run(secs(20), |cluster| assert_within_cap(cluster, TIGHT));
         assert_eq!(recorded(&cluster), TIGHT, "power is granted ahead of need");
         cluster.faults.lost_answers = if seed % 3 == 0 { 40 } else { 0 };
         cluster.faults.lost_calls = if seed % 3 == 1 { 40 } else { 0 };
-        cluster.faults.late_writes = if seed % 3 == 2 { 30 } else { 0 };
+        cluster.faults.delayed_writes = if seed % 3 == 2 { 30 } else { 0 };
         let engines: Vec<UpstreamId> = cluster.engines.keys().cloned().collect();
         for engine in engines {
             let host = holder(&cluster, &engine);
             cluster.process(&host).engines.lacking.insert(engine.clone());
-            cluster.until("power for the engine", secs(60), |cluster| {
-                within(cluster, TIGHT);
+            cluster.run_until("power for the engine", secs(60), |cluster| {
+                assert_within_cap(cluster, TIGHT);
                 has_full_power(cluster, &engine)
             });
             cluster.process(&host).engines.lacking.clear();
@@ -65,29 +67,32 @@
     }
 }
 
-/// The owner of a working engine is killed. Its successor finds the engine at work
-/// and must neither count its power as free nor use more than is recorded.
+/// Guards against a successor that counts the power of a working engine as free or
+/// exceeds its recorded grant.
 #[test]
-fn an_engine_taken_over_keeps_its_grant() {
-    let mut cluster = Cluster::with(31, &["a", "b", "c"], 4, FenceCheck::Refuses, document(1, 2, 1, TIGHT));
-    cluster.run(secs(20), |cluster| within(cluster, TIGHT));
+fn an_engine_keeps_its_grant_after_a_take_over() {
+    let mut cluster =
+        Cluster::with_engines(31, &["a", "b", "c"], 4, FenceCheck::Refuses, document(1, 2, 1, TIGHT));
+    cluster.run(secs(20), |cluster| assert_within_cap(cluster, TIGHT));
     let engine =
         cluster.engines.keys().find(|e| has_full_power(&cluster, e)).cloned().expect("power is granted");
     let host = holder(&cluster, &engine);
     cluster.kill(&host);
-    cluster.until("a successor with power", secs(20), |cluster| {
-        within(cluster, TIGHT);
+    cluster.run_until("a successor with power", secs(20), |cluster| {
+        assert_within_cap(cluster, TIGHT);
         has_full_power(cluster, &engine)
     });
 }
 
-/// Operators lower the cap. Idle engines give their grants back at once; if that
-/// isn't enough, engines at work have to stop, and every process has to name the
-/// same ones.
+/// Guards against processes that stop different engines after the cap was lowered.
+///
+/// Idle engines give up their grants at once. If that is not enough, every process must
+/// choose the same working engines to stop.
 #[test]
-fn a_lowered_cap_is_reached_by_idle_engines_first() {
-    let mut cluster = Cluster::with(32, &["a", "b", "c"], 4, FenceCheck::Refuses, document(1, 24, 1, TIGHT));
-    cluster.run(secs(20), |cluster| within(cluster, TIGHT));
+fn a_lowered_cap_revokes_grants_of_idle_engines_first() {
+    let mut cluster =
+        Cluster::with_engines(32, &["a", "b", "c"], 4, FenceCheck::Refuses, document(1, 24, 1, TIGHT));
+    cluster.run(secs(20), |cluster| assert_within_cap(cluster, TIGHT));
     let working: Vec<(UpstreamId, ModelName)> = cluster
         .engines
         .keys()
@@ -98,8 +103,8 @@
         let host = holder(&cluster, engine);
         cluster.process(&host).engines.loaded.insert((engine.clone(), model.clone()));
     }
-    let lower = Watts(ACTIVE_WATTS.0 + 3 * SLEEP_WATTS.0);
-    cluster.store.put(Key::Document, Record::Document(document(2, 24, 1, lower).into()));
+    let lower_cap = Watts(ACTIVE_WATTS.0 + 3 * SLEEP_WATTS.0);
+    cluster.store.put(Key::Document, Record::Document(document(2, 24, 1, lower_cap).into()));
     cluster.run(secs(10), |_| {});
     let mut stopping = working.clone();
     stopping.retain(|(engine, model)| {
@@ -109,12 +114,13 @@
     assert_eq!(stopping.len(), 1, "{stopping:?} of {working:?} have to stop");
     let host = holder(&cluster, &stopping[0].0);
     cluster.process(&host).engines.loaded.clear();
-    cluster
-        .until("the lower cap", secs(10), |cluster| granted(cluster) <= lower && recorded(cluster) <= lower);
-    cluster.run(secs(40), |cluster| within(cluster, lower));
+    cluster.run_until("the lower cap", secs(10), |cluster| {
+        granted(cluster) <= lower_cap && recorded(cluster) <= lower_cap
+    });
+    cluster.run(secs(40), |cluster| assert_within_cap(cluster, lower_cap));
 }
 
-/// Returns a model that is at home on the engine.
+/// Returns a model that has its home on the engine.
 fn model_at(cluster: &Cluster, engine: &UpstreamId) -> ModelName {
     let models = (0..24).map(|i| name::<ModelName>(&format!("model-{i}")));
     let mut at_home = models
--- a/crates/skylarkshore-core/tests/control/storm.rs
+++ b/crates/skylarkshore-core/tests/control/storm.rs
@@ -9,30 +9,30 @@
 use skylarkshore_core::units::Watts;
 use skylarkshore_core::upstream::FenceCheck;
 
-use crate::cluster::{Cluster, all_owned, config, document, name, one_holder_each, secs};
+use crate::cluster::{Cluster, assert_one_owner_each, config, document, is_every_engine_owned, name, secs};
 use crate::process::{ACTIVE_WATTS, SLEEP_WATTS};
 
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 const ENGINES: usize = 6;
 const MODELS: u32 = 5;
 const REPLICAS_MAX: u32 = 2;
-/// Room for three engines at work.
+/// Power for three engines.
 const CAP: Watts = Watts(3 * ACTIVE_WATTS.0 + 3 * SLEEP_WATTS.0);
-const SEEDS: u64 = 240;
-const MINUTES: u64 = 3;
+const SEED_COUNT: u64 = 240;
+const MINUTES_PER_SEED: u64 = 3;
 const WORKERS: u64 = 4;
-const WORKERS_STEP: usize = 4;
+const SEED_STEP: usize = 4;
 
-/// A random course of faults, with owners that load and unload as they may.
+/// A cluster under random faults, whose owners load and unload as they are allowed.
 struct Storm {
     cluster: Cluster,
     rng: SmallRng,
     seed: u64,
-    /// What is loaded in truth.
+    /// What is actually loaded.
     loaded: BTreeSet<(UpstreamId, ModelName)>,
     incarnations: BTreeMap<HostId, u64>,
-    /// The changes of the key-value service that were looked at.
-    seen: usize,
+    /// The number of store changes that were checked.
+    checked_changes: usize,
     owners: BTreeMap<UpstreamId, OwnerRecord>,
     loads: usize,
 }
@@ -40,28 +40,28 @@
 impl Storm {
     fn new(seed: u64) -> Self {
         let document = document(1, MODELS, REPLICAS_MAX, CAP);
-        let mut cluster = Cluster::with(seed, &HOSTS, ENGINES, FenceCheck::Ignores, document);
-        cluster.until("owners at first", secs(30), all_owned);
+        let mut cluster = Cluster::with_engines(seed, &HOSTS, ENGINES, FenceCheck::Ignores, document);
+        cluster.run_until("every engine has an owner", secs(30), is_every_engine_owned);
         Self {
             cluster,
             rng: SmallRng::seed_from_u64(seed),
             seed,
             loaded: BTreeSet::new(),
             incarnations: HOSTS.iter().map(|host| (name(host), 1)).collect(),
-            seen: 0,
+            checked_changes: 0,
             owners: BTreeMap::new(),
             loads: 0,
         }
     }
 
     fn step(&mut self) {
-        self.strike();
+        self.inject_fault();
         self.cluster.step();
         self.load_and_unload();
         self.check();
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let host = HOSTS.choose(&mut self.rng).copied().unwrap_or("a");
         let alive = self.cluster.processes.contains_key(&name::<HostId>(host));
         match self.rng.random_range(0..2000) {
@@ -76,12 +76,12 @@
             92..96 => self.cluster.faults.lost_answers = self.rng.random_range(0..40),
             96..100 => self.cluster.faults.lost_calls = self.rng.random_range(0..40),
             100..104 => self.cluster.faults.lost_messages = self.rng.random_range(0..60),
-            104..108 => self.cluster.faults.late_writes = self.rng.random_range(0..40),
+            104..108 => self.cluster.faults.delayed_writes = self.rng.random_range(0..40),
             108..112 => {
                 self.cluster.faults.lost_answers = 0;
                 self.cluster.faults.lost_calls = 0;
                 self.cluster.faults.lost_messages = 0;
-                self.cluster.faults.late_writes = 0;
+                self.cluster.faults.delayed_writes = 0;
             }
             _ => {}
         }
@@ -94,7 +94,8 @@
         self.cluster.start(config(host.as_str(), *incarnation, self.seed));
     }
 
-    /// Lets every owner load, unload and wish at random, as far as it has leave.
+    /// Lets every owner load, unload and request homes at random, as far as it is
+    /// allowed.
     fn load_and_unload(&mut self) {
         let now = self.cluster.now;
         let engines: Vec<UpstreamId> = self.cluster.engines.keys().cloned().collect();
@@ -123,7 +124,7 @@
     }
 
     fn check(&mut self) {
-        one_holder_each(&mut self.cluster);
+        assert_one_owner_each(&mut self.cluster);
         for i in 0..MODELS {
             let model: ModelName = name(&format!("model-{i}"));
             let replicas = self.loaded.iter().filter(|(_, loaded)| *loaded == model).count();
@@ -141,7 +142,7 @@
     }
 
     fn check_records(&mut self) {
-        for change in &self.cluster.store.log[self.seen..] {
+        for change in &self.cluster.store.log[self.checked_changes..] {
             match (&change.key, &change.record) {
                 (Key::Homes(model), Some(Record::Homes(homes))) => {
                     assert!(homes.engines.len() <= 2, "homes of {model}, seed {}", self.seed);
@@ -158,11 +159,11 @@
                 _ => {}
             }
         }
-        self.seen = self.cluster.store.log.len();
+        self.checked_changes = self.cluster.store.log.len();
     }
 
-    /// Ends every fault and checks that the cluster comes back to order.
-    fn calm(&mut self) {
+    /// Ends every fault and checks that the cluster recovers.
+    fn recover(&mut self) {
         self.cluster.faults = crate::cluster::Faults::default();
         for host in HOSTS {
             match self.cluster.processes.get_mut(&name::<HostId>(host)) {
@@ -178,7 +179,7 @@
             self.load_and_unload();
             self.check();
         }
-        assert!(all_owned(&mut self.cluster), "engines without an owner, seed {}", self.seed);
+        assert!(is_every_engine_owned(&mut self.cluster), "engines without an owner, seed {}", self.seed);
         for i in 0..MODELS {
             let model: ModelName = name(&format!("model-{i}"));
             let at_home = |engine: &UpstreamId| {
@@ -189,17 +190,18 @@
     }
 }
 
-/// Processes are killed, replaced, frozen and cut off, the key-value service goes
-/// away, loses calls and answers, and carries writes out long after they were
-/// given up, all at once and at random. Whatever happens, no engine may have two
-/// owners that act, no model more replicas than the rules allow, and no site may
-/// draw more than its cap; and when it is over, everything works again.
+/// Guards the invariants of the control plane against any combination of faults.
+///
+/// Processes are killed, replaced, frozen and cut off. The store goes away, loses calls
+/// and answers, and executes writes long after they were given up. No engine may have
+/// two acting owners, no model more replicas than allowed, and no site may draw more
+/// than its cap. After the faults end, everything must work again.
 #[test]
-fn no_course_of_faults_breaks_what_must_always_hold() {
+fn random_faults_never_violate_ownership_replica_or_power_limits() {
     let loads: usize = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..WORKERS)
             .map(|worker| {
-                scope.spawn(move || (worker..SEEDS).step_by(WORKERS_STEP).map(course).sum::<usize>())
+                scope.spawn(move || (worker..SEED_COUNT).step_by(SEED_STEP).map(run_schedule).sum::<usize>())
             })
             .collect();
         workers
@@ -207,15 +209,15 @@
             .map(|worker| worker.join().expect("no course of faults breaks an invariant"))
             .sum()
     });
-    assert!(loads > 1000, "only {loads} loads, so that little was tried");
+    assert!(loads > 1000, "only {loads} loads, so little was tested");
 }
 
-/// Runs one course of faults and returns how many loads were made in it.
-fn course(seed: u64) -> usize {
+/// Runs one random schedule of faults and returns the number of loads.
+fn run_schedule(seed: u64) -> usize {
     let mut storm = Storm::new(seed);
-    for _ in 0..MINUTES * 60 * 20 {
+    for _ in 0..MINUTES_PER_SEED * 60 * 20 {
         storm.step();
     }
-    storm.calm();
+    storm.recover();
     storm.loads
 }
--- a/crates/skylarkshore-core/tests/support/cluster.rs
+++ b/crates/skylarkshore-core/tests/support/cluster.rs
@@ -1,4 +1,5 @@
-//! Several processes' control parts with a key-value service, engines and faults.
+//! A cluster of control planes with a simulated key-value store, engines and injected
+//! faults.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -34,21 +35,21 @@
     text.parse().unwrap_or_else(|_| panic!("'{text}' is a name"))
 }
 
-/// How often answers of the key-value service are lost, in percent.
+/// Injected faults; the numbers are probabilities in percent.
 #[derive(Default)]
 pub struct Faults {
     pub lost_calls: u32,
     pub lost_answers: u32,
     pub lost_messages: u32,
-    /// Writes that are given up and reach the service long after, in percent.
-    pub late_writes: u32,
-    /// How late they are, if not at random.
-    pub late_by: Option<Duration>,
-    /// The service is away.
+    /// Writes whose call fails although they reach the store much later.
+    pub delayed_writes: u32,
+    /// How late they reach it; random if not set.
+    pub write_delay: Option<Duration>,
+    /// Whether the store is unreachable for all processes.
     pub outage: bool,
 }
 
-/// Several processes and what surrounds them.
+/// Several processes with their store, engines and faults.
 pub struct Cluster {
     pub now: Time,
     pub store: Store,
@@ -56,8 +57,8 @@
     pub engines: BTreeMap<UpstreamId, Upstream>,
     pub faults: Faults,
     rng: SmallRng,
-    killed: BTreeMap<HostId, Incarnation>,
-    late: Vec<(Time, StoreCall)>,
+    killed_incarnations: BTreeMap<HostId, Incarnation>,
+    delayed_calls: Vec<(Time, StoreCall)>,
 }
 
 pub fn config(host: &str, incarnation: u64, seed: u64) -> NodeConfig {
@@ -130,13 +131,13 @@
             engines: BTreeMap::new(),
             faults: Faults::default(),
             rng: SmallRng::seed_from_u64(seed),
-            killed: BTreeMap::new(),
-            late: Vec::new(),
+            killed_incarnations: BTreeMap::new(),
+            delayed_calls: Vec::new(),
         }
     }
 
-    /// Makes a cluster of hosts `a`, `b`, … and engines `e0`, `e1`, ….
-    pub fn with(
+    /// Creates a cluster of `hosts` and of engines named `e0`, `e1`, ….
+    pub fn with_engines(
         seed: u64,
         hosts: &[&str],
         engines: usize,
@@ -176,15 +177,15 @@
         let mut effects = Vec::new();
         process.with(self.now, &mut effects, |cx, parts| parts.control.start(cx));
         self.processes.insert(host.clone(), process);
-        self.set_host_list(&host);
-        self.carry_out(&host, effects);
+        self.publish_host_list(&host);
+        self.execute_effects(&host, effects);
     }
 
-    /// Ends a process without a word.
+    /// Ends a process without a shutdown.
     pub fn kill(&mut self, host: &str) {
         let host: HostId = name(host);
         if let Some(process) = self.processes.remove(&host) {
-            self.killed.insert(host, process.cfg.incarnation);
+            self.killed_incarnations.insert(host, process.cfg.incarnation);
         }
     }
 
@@ -192,7 +193,7 @@
         self.processes.get_mut(&name::<HostId>(host)).unwrap_or_else(|| panic!("'{host}' runs"))
     }
 
-    pub fn set_host_list(&mut self, host: &HostId) {
+    pub fn publish_host_list(&mut self, host: &HostId) {
         let now = self.now;
         let list = self.engines.clone();
         let Some(process) = self.processes.get_mut(host) else { return };
@@ -204,14 +205,14 @@
         process.with(now, &mut effects, |cx, parts| parts.control.on_host_list(cx, &touched));
     }
 
-    /// Ends a process's watch, as a service that goes away does.
+    /// Breaks a process's watch as a store outage would.
     pub fn break_watch(&mut self, host: &str) {
         let now = self.now;
         let mut effects = Vec::new();
         let process = self.process(host);
         process.watched = None;
         process.with(now, &mut effects, |cx, parts| parts.control.on_watch_broken(cx));
-        self.carry_out(&name(host), effects);
+        self.execute_effects(&name(host), effects);
     }
 
     pub fn shut_down(&mut self, host: &str) {
@@ -220,14 +221,14 @@
         self.process(host).with(now, &mut effects, |cx, parts| parts.control.on_shutdown(cx));
     }
 
-    pub fn drained(&mut self, host: &str) {
+    pub fn finish_draining(&mut self, host: &str) {
         let now = self.now;
         let mut effects = Vec::new();
         self.process(host).with(now, &mut effects, |cx, parts| parts.control.on_drained(cx));
-        self.carry_out(&name(host), effects);
+        self.execute_effects(&name(host), effects);
     }
 
-    pub fn tell_power_wanted(&mut self, to: &str, watts: Watts) {
+    pub fn send_power_request(&mut self, to: &str, watts: Watts) {
         let order = ServiceOrder::default();
         let message = PeerMessage::PowerWanted { site: name(SITE), watts, order };
         self.deliver(&name(to), Inbound::Peer(name("z"), message));
@@ -239,12 +240,12 @@
         process.with(now, &mut Vec::new(), |cx, parts| parts.control.on_report(cx, engine, reached));
     }
 
-    /// Returns the hosts that may give orders to an engine now.
+    /// Returns the hosts that may send orders to an engine now.
     pub fn holders(&self, engine: &UpstreamId) -> Vec<&HostId> {
         self.processes.iter().filter(|(_, p)| p.holds(self.now, engine)).map(|(host, _)| host).collect()
     }
 
-    /// Returns the engines that are homes of any model.
+    /// Returns the engines that are the home of any model.
     pub fn homes(&self) -> Vec<UpstreamId> {
         let homes = self.store.records().filter_map(|record| match record {
             Record::Homes(homes) => Some(&homes.engines),
@@ -262,8 +263,9 @@
         }
     }
 
-    /// Runs until the condition holds.
-    pub fn until(
+    /// Runs until `holds` returns true and returns the elapsed time; fails after
+    /// `limit`.
+    pub fn run_until(
         &mut self,
         what: &str,
         limit: Duration,
@@ -280,8 +282,9 @@
     pub fn step(&mut self) {
         self.now = self.now.after(STEP);
         self.store.expire(self.now);
-        let (due, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| at.is_due(self.now));
-        self.late = late;
+        let (due, delayed_calls) =
+            std::mem::take(&mut self.delayed_calls).into_iter().partition(|(at, _)| at.is_due(self.now));
+        self.delayed_calls = delayed_calls;
         let due: Vec<(Time, StoreCall)> = due;
         for (_, call) in due {
             self.store.call(self.now, call);
@@ -294,7 +297,7 @@
 
     fn step_process(&mut self, host: &HostId) {
         let now = self.now;
-        self.feed_watch(host);
+        self.deliver_watch(host);
         let Some(process) = self.processes.get_mut(host).filter(|process| !process.frozen) else { return };
         let mut effects = Vec::new();
         let inbox = std::mem::take(&mut process.inbox);
@@ -306,10 +309,10 @@
             process.take_written(now, Some(ended), &mut effects);
         }
         process.with(now, &mut effects, |cx, parts| parts.control.on_tick(cx, parts.engines));
-        self.carry_out(host, effects);
+        self.execute_effects(host, effects);
     }
 
-    fn feed_watch(&mut self, host: &HostId) {
+    fn deliver_watch(&mut self, host: &HostId) {
         let Some(process) = self.processes.get_mut(host) else { return };
         let Some(after) = process.watched.filter(|_| !process.cut && !process.deaf && !self.faults.outage)
         else {
@@ -322,7 +325,7 @@
         }
     }
 
-    fn carry_out(&mut self, host: &HostId, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, host: &HostId, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Store { call, request } => {
@@ -331,13 +334,13 @@
                 }
                 Effect::Watch { from } => self.set_watched(host, Some(StoreRevision(from.0 - 1))),
                 Effect::Unwatch => self.set_watched(host, None),
-                Effect::Peer(envelope) if envelope.to != *host && self.strikes(self.faults.lost_messages) => {
-                }
+                Effect::Peer(envelope)
+                    if envelope.to != *host && self.is_injected(self.faults.lost_messages) => {}
                 Effect::Peer(envelope) => {
                     self.deliver(&envelope.to, Inbound::Peer(host.clone(), envelope.message));
                 }
                 Effect::Probe { host: asked, incarnation, .. }
-                    if self.killed.get(&asked).is_some_and(|killed| *killed >= incarnation) =>
+                    if self.killed_incarnations.get(&asked).is_some_and(|killed| *killed >= incarnation) =>
                 {
                     self.deliver(host, Inbound::Refused(asked, incarnation));
                 }
@@ -359,16 +362,16 @@
 
     fn call_store(&mut self, host: &HostId, call: StoreCall) -> StoreResult {
         let cut = self.faults.outage || self.processes.get(host).is_some_and(|process| process.cut);
-        if cut || self.strikes(self.faults.lost_calls) {
+        if cut || self.is_injected(self.faults.lost_calls) {
             return Err(StoreFailure::NotDone);
         }
-        if matches!(call, StoreCall::Write { .. }) && self.strikes(self.faults.late_writes) {
+        if matches!(call, StoreCall::Write { .. }) && self.is_injected(self.faults.delayed_writes) {
             let random = Duration::from_millis(self.rng.random_range(100..20_000));
-            self.late.push((self.now.after(self.faults.late_by.unwrap_or(random)), call));
+            self.delayed_calls.push((self.now.after(self.faults.write_delay.unwrap_or(random)), call));
             return Err(StoreFailure::Unknown);
         }
         let answer = self.store.call(self.now, call);
-        if self.strikes(self.faults.lost_answers) { Err(StoreFailure::Unknown) } else { Ok(answer) }
+        if self.is_injected(self.faults.lost_answers) { Err(StoreFailure::Unknown) } else { Ok(answer) }
     }
 
     fn deliver(&mut self, host: &HostId, inbound: Inbound) {
@@ -378,31 +381,31 @@
         }
     }
 
-    fn strikes(&mut self, percent: u32) -> bool {
+    fn is_injected(&mut self, percent: u32) -> bool {
         percent > 0 && self.rng.random_range(0..100) < percent
     }
 }
 
-/// Enough power for every engine.
-pub const PLENTY: Watts = Watts(1_000_000);
+pub const UNLIMITED_POWER: Watts = Watts(1_000_000);
 
 pub const fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
 
-/// Makes a cluster and waits until every engine has an owner.
-pub fn settled(seed: u64, hosts: &[&str], engines: usize, fence_check: FenceCheck) -> Cluster {
-    let mut cluster = Cluster::with(seed, hosts, engines, fence_check, document(1, 4, 2, PLENTY));
-    cluster.until("every engine gets an owner", secs(30), all_owned);
+/// Creates a cluster and waits until every engine has an owner.
+pub fn cluster_with_owners(seed: u64, hosts: &[&str], engines: usize, fence_check: FenceCheck) -> Cluster {
+    let mut cluster =
+        Cluster::with_engines(seed, hosts, engines, fence_check, document(1, 4, 2, UNLIMITED_POWER));
+    cluster.run_until("every engine gets an owner", secs(30), is_every_engine_owned);
     cluster
 }
 
-pub fn all_owned(cluster: &mut Cluster) -> bool {
+pub fn is_every_engine_owned(cluster: &mut Cluster) -> bool {
     cluster.engines.keys().all(|engine| cluster.holders(engine).len() == 1)
 }
 
-/// Checks that no two processes may give orders to the same engine.
-pub fn one_holder_each(cluster: &mut Cluster) {
+/// Checks that at most one process may send orders to each engine.
+pub fn assert_one_owner_each(cluster: &mut Cluster) {
     for engine in cluster.engines.keys() {
         let holders = cluster.holders(engine);
         assert!(holders.len() < 2, "{holders:?} may all give orders to {engine} at {}", cluster.now);
