--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -1,5 +1,4 @@
-//! Control plane of one process: membership, engine ownership, model homes and power
-//! grants.
+//! Control plane of one process: membership, engine ownership, model homes and power grants.
 //!
 //! Open [`Control`] first. It receives events from the node and runs a periodic review
 //! that lets each part decide on the same snapshot of state.
@@ -53,8 +52,7 @@
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay of the next review after a change.
 const REVIEW_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(100);
-/// Interval between two reviews while an engine lacks power or a model needs another
-/// home.
+/// Interval between two reviews while an engine lacks power or a model needs another home.
 const REVIEW_INTERVAL_URGENT: Duration = Duration::from_millis(250);
 
 /// Membership, ownership, homes and power of one process.
@@ -158,8 +156,7 @@
         self.on_members_changed();
     }
 
-    /// Revokes the lease, if every engine is handed over or the lease is no longer
-    /// valid.
+    /// Revokes the lease, if every engine is handed over or the lease is no longer valid.
     pub fn on_drained(&mut self, cx: &mut Cx<'_>) {
         if self.ownership.has_released_all(&self.eligible) || !self.membership.is_lease_valid(cx.cfg, cx.now)
         {
@@ -174,8 +171,8 @@
     }
 
     /// Handles upstreams that were added to, changed on or removed from the host list.
-    pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
-        self.inventory.on_host_list(cx, touched);
+    pub fn on_host_list(&mut self, cx: &mut Cx<'_>, changed_upstreams: &[UpstreamId]) {
+        self.inventory.on_host_list(cx, changed_upstreams);
         self.changed = true;
     }
 
@@ -247,8 +244,7 @@
         self.store_sync.on_watched(cx, changes, upto);
     }
 
-    /// Records the range that a peer's batch covers, after its records were applied to
-    /// the cache.
+    /// Records the range that a peer's batch covers, after its records were applied to the cache.
     pub fn on_records(
         &mut self,
         cx: &mut Cx<'_>,
@@ -281,8 +277,7 @@
         }
     }
 
-    /// Handles a connection from a process whose certificate no known member has
-    /// published.
+    /// Handles a connection from a process whose certificate no known member has published.
     pub fn on_unknown_peer(&mut self, cx: &mut Cx<'_>) {
         self.bootstrap.on_unknown_peer(cx);
     }
@@ -364,8 +359,7 @@
         }
     }
 
-    /// Reports whether the shared keys are known up to the revision at which the engine
-    /// was acquired.
+    /// Reports whether the shared keys are known up to the revision at which the engine was acquired.
     fn is_synced_past(&self, acquired_revision: StoreRevision) -> bool {
         self.store_sync.is_synced() && self.store_sync.frontier() >= acquired_revision
     }
--- a/crates/skylarkshore-core/src/control/assignment.rs
+++ b/crates/skylarkshore-core/src/control/assignment.rs
@@ -1,5 +1,4 @@
-//! Assignment of engines to members by rendezvous hashing, and the balance of owned
-//! engines.
+//! Assignment of engines to members by rendezvous hashing, and the balance of owned engines.
 //!
 //! Open [`Assignment`] first.
 
@@ -8,15 +7,12 @@
 use crate::id::{HostId, UpstreamId};
 use crate::store::StoreCache;
 
-/// Minimum difference in owned engines for a move; with less, the engine could move
-/// straight back.
+/// Minimum difference in owned engines for a move; with less, the engine could move straight back.
 const MIN_DIFFERENCE_TO_MOVE: usize = 2;
 
-/// Maximum number of engine-host pairs for which all engines are assigned together,
-/// with a bound per host.
+/// Maximum number of engine-host pairs for which all engines are assigned together, with a bound per host.
 ///
-/// Above it each engine is assigned by itself without a bound, and hand-overs balance
-/// the numbers.
+/// Above it each engine is assigned by itself without a bound, and hand-overs balance the numbers.
 const MAX_BOUNDED_PAIRS: usize = 100_000;
 
 /// Returns the maximum number of engines that one of `hosts` processes should own.
@@ -121,12 +117,10 @@
         Self { owned_by_host, total }
     }
 
-    /// Returns the member that should receive one of the engines of `own`, if one
-    /// should move.
+    /// Returns the member that should receive one of the engines of `own`, if one should move.
     ///
     /// An engine moves only to a member that owns at least [`MIN_DIFFERENCE_TO_MOVE`]
-    /// fewer, so that every move reduces the imbalance and the next one does not undo
-    /// it.
+    /// fewer, so that every move reduces the imbalance and the next one does not undo it.
     pub(super) fn receiver<'a>(
         &'a self,
         own: &HostId,
--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -22,13 +22,11 @@
 use crate::store::{StoreAnswer, StoreCall, StoreResult};
 use crate::time::Time;
 
-/// Delay before the members are read again, so that processes that start at the same
-/// time are registered.
+/// Delay before the members are read again, so that processes that start at the same time are registered.
 const REGISTRATION_WAIT: Duration = Duration::from_millis(700);
 /// Minimum interval between two reads of the members caused by unknown peers.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Timeout of the read of the members, which takes several calls, as a multiple of the
-/// store timeout.
+/// Timeout of the read of the members, which takes several calls, as a multiple of the store timeout.
 const MEMBERS_READ_TIMEOUT_FACTOR: u32 = 8;
 /// Number of requests to the parent before another member is asked.
 const MAX_PARENT_REQUESTS: u32 = 3;
@@ -36,8 +34,7 @@
 const STATE_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// How soon the full state is sent again to a member that repeats its request.
 const STATE_RESEND_INTERVAL: Duration = Duration::from_secs(4);
-/// Maximum number of requests, including repeats to a member that is not in sync
-/// itself.
+/// Maximum number of requests, including repeats to a member that is not in sync itself.
 const MAX_STATE_REQUESTS: u32 = 6;
 
 #[derive(Clone, Debug)]
@@ -98,8 +95,7 @@
         }
     }
 
-    /// Requests the state from a member, or reads it if this process is the root of the
-    /// relay tree.
+    /// Requests the state from a member, or reads it if this process is the root of the relay tree.
     fn on_members(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         if RelayTree::of(cx).is_root {
             self.stage = None;
@@ -143,8 +139,7 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
-    /// Requests the state from a member, or reads it from the store after enough
-    /// requests.
+    /// Requests the state from a member, or reads it from the store after enough requests.
     fn request_state(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
         let host = self.next_provider(cx).filter(|_| self.state_requests < MAX_STATE_REQUESTS);
         let Some(host) = host else {
@@ -215,8 +210,7 @@
         send_state(cx, store_sync, pending_requesters);
     }
 
-    /// Reports whether the state was sent so recently that it is probably still in
-    /// transit.
+    /// Reports whether the state was sent so recently that it is probably still in transit.
     fn was_sent_recently(&self, now: Time, host: &HostId) -> bool {
         self.state_sent_at.get(host).is_some_and(|at| !at.after(STATE_RESEND_INTERVAL).is_due(now))
     }
--- a/crates/skylarkshore-core/src/control/hashing.rs
+++ b/crates/skylarkshore-core/src/control/hashing.rs
@@ -1,8 +1,6 @@
-//! Rendezvous hashing, with which all processes pick the same host for a key without
-//! coordination.
+//! Rendezvous hashing, with which all processes pick the same host for a key without coordination.
 //!
-//! The hash is implemented here because processes of different builds must agree on it
-//! during an upgrade.
+//! The hash is implemented here because processes of different builds must agree on it during an upgrade.
 
 use crate::collections::OrderedMap;
 use crate::id::HostId;
@@ -37,8 +35,7 @@
     ranked
 }
 
-/// Returns the members in the order in which they should serve the key, larger hosts
-/// first.
+/// Returns the members in the order in which they should serve the key, larger hosts first.
 ///
 /// Among equal capacities the rendezvous weight decides.
 pub(crate) fn ranking_by_capacity<'a>(
--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -28,11 +28,9 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of homes records that one process writes at the same time.
 const MAX_PENDING_WRITES: usize = 16;
-/// Interval between two reviews of all models; requested and changed models are
-/// reviewed sooner.
+/// Interval between two reviews of all models; requested and changed models are reviewed sooner.
 const FULL_REVIEW_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between two evaluations of the limits of all models, which depend on the
-/// time of day.
+/// Interval between two evaluations of the limits of all models, which depend on the time of day.
 const LIMITS_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay between two processes of the ranking that try to add a missing home.
 const RANK_DELAY: Duration = Duration::from_secs(10);
@@ -225,8 +223,7 @@
         }
     }
 
-    /// Reports whether it is this process's turn to assign the first homes of any
-    /// model.
+    /// Reports whether it is this process's turn to assign the first homes of any model.
     ///
     /// First homes are computed for all models together, which is skipped if this
     /// process writes none of them.
@@ -331,8 +328,7 @@
                     let record = Record::Homes(homes.clone());
                     write_homes(cx, model, Expect::At(revision), Some(record));
                 }
-                // The first homes of a model take none away, so nothing has to be
-                // settled.
+                // The first homes of a model take none away, so nothing has to be settled.
                 None => pending.state = PendingState::BackingOff { until: cx.now },
             }
         }
@@ -351,8 +347,7 @@
     pub(super) unplaceable: usize,
 }
 
-/// Reports whether it is this process's turn to add a home that the model has lacked
-/// since `since`.
+/// Reports whether it is this process's turn to add a home that the model has lacked since `since`.
 fn is_own_turn(cx: &Cx<'_>, hosts: &HashedHosts<'_>, model: &ModelName, since: Time) -> bool {
     let key = format!("homes/{model}");
     if hosts.winner(&key) == Some(&cx.cfg.host) {
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -238,9 +238,9 @@
 
 /// Adds engines of this process that already hold the model as homes.
 ///
-/// In a large cluster some engines are listed only after the first homes were assigned.
-/// If their models counted as surplus, they would be unloaded although no other engine
-/// may hold them.
+/// In a large cluster some engines are listed only after the first homes were
+/// assigned. If their models counted as surplus, they would be unloaded although no
+/// other engine may hold them.
 fn adopt_holders(cx: &Cx<'_>, review: &ModelReview<'_>, plan: &mut Plan, limits: &Limits) {
     if review.context.has_spare_engines(cx) {
         return;
--- a/crates/skylarkshore-core/src/control/inventory.rs
+++ b/crates/skylarkshore-core/src/control/inventory.rs
@@ -1,5 +1,4 @@
-//! The engines known from the host list, from records and from answered report
-//! requests.
+//! The engines known from the host list, from records and from answered report requests.
 //!
 //! Open [`EngineInventory`] first.
 
@@ -70,8 +69,8 @@
     }
 
     /// Applies changes of the host list.
-    pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, touched: &[UpstreamId]) {
-        for id in touched {
+    pub(super) fn on_host_list(&mut self, cx: &Cx<'_>, changed_upstreams: &[UpstreamId]) {
+        for id in changed_upstreams {
             match cx.upstreams.get(id) {
                 Some(upstream) => self.list(cx.now, upstream),
                 None => self.unlist(cx.now, id),
@@ -106,8 +105,7 @@
         }
     }
 
-    /// Adds engines that only records name, and removes those that neither the list nor
-    /// a record names.
+    /// Adds engines that only records name, and removes those that neither the list nor a record names.
     pub(super) fn review(&mut self, cx: &Cx<'_>, recorded: &OrderedSet<UpstreamId>) {
         for engine in recorded.iter().filter(|engine| !self.engines.contains_key(engine)) {
             self.never_listed.entry(engine.clone()).or_insert(cx.now);
@@ -133,8 +131,7 @@
         self.engines.iter()
     }
 
-    /// Returns whether the engine refuses outdated fences; an unknown engine counts as
-    /// ignoring them.
+    /// Returns whether the engine refuses outdated fences; an unknown engine counts as ignoring them.
     pub(super) fn fence_check(&self, engine: &UpstreamId) -> FenceCheck {
         self.engines.get(engine).map_or(FenceCheck::Ignores, |known| known.fence_check)
     }
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -22,8 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
-    /// When the last confirmed call was sent; the store cannot have counted from an
-    /// earlier time.
+    /// When the last confirmed call was sent; the store cannot have counted from an earlier time.
     confirmed_at: Time,
     ttl: Duration,
 }
@@ -113,8 +112,7 @@
         self.stage != Stage::Active
     }
 
-    /// Reports whether the member key is deleted, or the wait for its deletion has
-    /// ended.
+    /// Reports whether the member key is deleted, or the wait for its deletion has ended.
     pub(super) fn is_deregistered(&self) -> bool {
         matches!(self.stage, Stage::Deregistered | Stage::Superseded)
     }
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -29,8 +29,7 @@
 
 /// Minimum interval between two scans of all engines.
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Minimum interval between two scans in a cluster with more engines than its hosts can
-/// own.
+/// Minimum interval between two scans in a cluster with more engines than its hosts can own.
 const SCAN_INTERVAL_LARGE: Duration = Duration::from_secs(1);
 /// Interval between two checks of vacant engines that are assigned to other processes.
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -112,8 +111,7 @@
         self.vacancies.clear();
     }
 
-    /// Returns a permit to send orders to the engine, if this process may act on it
-    /// now.
+    /// Returns a permit to send orders to the engine, if this process may act on it now.
     pub(super) fn permit(
         &self,
         cfg: &NodeConfig,
@@ -139,8 +137,7 @@
         safe.then_some(Permit { fence: owned.fence, not_after })
     }
 
-    /// Compares an engine's owner record with the local state, and acquires or drops
-    /// the engine.
+    /// Compares an engine's owner record with the local state, and acquires or drops the engine.
     pub(super) fn reconcile(&mut self, cx: &mut Cx<'_>, inventory: &EngineInventory, engine: &UpstreamId) {
         let record = cx.cache.owner(engine);
         let own = record
@@ -320,8 +317,7 @@
         }
     }
 
-    /// Deletes the owner records of engines that are gone and not referenced by any
-    /// other record.
+    /// Deletes the owner records of engines that are gone and not referenced by any other record.
     ///
     /// Engines come and go under new names every day. Every process would read and keep
     /// one stale record for each of them.
@@ -395,10 +391,9 @@
 
 /// Returns the engines that need an owner.
 ///
-/// Each owned engine costs periodic report requests and a record that every process
-/// reads. If there are many more engines than the hosts can own, only homes and engines
-/// with an owner record count; requests still use the models that the other engines
-/// hold.
+/// Each owned engine costs periodic report requests and a record that every process reads.
+/// If there are many more engines than the hosts can own, only homes and engines with an
+/// owner record count; requests still use the models that the other engines hold.
 fn ownable_engines(cx: &Cx<'_>, context: &ReviewContext<'_>) -> OrderedSet<UpstreamId> {
     let mut engines: OrderedSet<UpstreamId> = cx.cache.owners().map(|(engine, _)| engine.clone()).collect();
     if context.has_spare_engines(cx) {
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -1,5 +1,4 @@
-//! Hand-over of engines to other members, to balance their numbers or because this
-//! process is leaving.
+//! Hand-over of engines to other members, to balance their numbers or because this process is leaving.
 
 use std::time::Duration;
 
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -201,8 +201,7 @@
         receivers
     }
 
-    /// Sends the heartbeats that are due and removes processes that were last seen long
-    /// ago.
+    /// Sends the heartbeats that are due and removes processes that were last seen long ago.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, own: LocalStatus) {
         if !self.next_heartbeat.is_due(cx.now) {
             return;
@@ -221,8 +220,7 @@
             leaving: own.is_leaving,
         };
         let mut receivers = self.heartbeat_receivers(cx);
-        // Other members monitor the watcher's heartbeats only if one process watches
-        // per data centre.
+        // Other members monitor the watcher's heartbeats only if one process watches per data centre.
         if cx.cfg.watchers == Watchers::OnePerDataCentre && own.is_watching {
             receivers.extend(data_centre_peers(cx));
         }
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -20,8 +20,7 @@
 /// choices. If all took the least loaded engine, all would choose the same one.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Resolution of the memory load of an engine; loads that differ by less compare as
-/// equal.
+/// Resolution of the memory load of an engine; loads that differ by less compare as equal.
 const LOAD_RESOLUTION: u64 = 1000;
 
 /// The memory that homes take on each engine, including those placed in this review.
@@ -45,8 +44,7 @@
         self.table().engines_with(model).iter().filter(|entry| entry.residency == Residency::Held).count()
     }
 
-    /// Chooses an engine that is not a home of the model yet, and adds the model's
-    /// footprint to it.
+    /// Chooses an engine that is not a home of the model yet, and adds the model's footprint to it.
     ///
     /// An owner knows only the memory of its own engines. Without `left`, two owners of
     /// full engines would move a model back and forth while other engines are empty,
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -71,8 +71,7 @@
 }
 
 impl Power {
-    /// Returns the power that an engine owned since `acquired_revision` may safely
-    /// draw.
+    /// Returns the power that an engine owned since `acquired_revision` may safely draw.
     ///
     /// A paused former owner may have a write in flight that lowers the grant, and
     /// another engine could be granted the power that this one draws. That write fails
@@ -265,8 +264,7 @@
             && acquired_revision.is_some_and(|acquired_revision| acquired_revision > self.revision)
     }
 
-    /// Gives up grants that other engines need, that exceed the cap or that belong to
-    /// gone engines.
+    /// Gives up grants that other engines need, that exceed the cap or that belong to gone engines.
     fn revoke_grants(&mut self, cx: &mut Cx<'_>, review: &SiteReview<'_>, budget: &mut PowerBudget) -> bool {
         let mut changed = false;
         for id in review.own_engines {
--- a/crates/skylarkshore-core/src/control/power_budget.rs
+++ b/crates/skylarkshore-core/src/control/power_budget.rs
@@ -15,8 +15,7 @@
 }
 
 impl PowerBudget {
-    /// Creates the budget from a site's record and the sleep power of its engines,
-    /// whether recorded or not.
+    /// Creates the budget from a site's record and the sleep power of its engines, whether recorded or not.
     pub(super) fn new(
         cap: Watts,
         site: &SiteName,
@@ -30,8 +29,7 @@
         Self { cap, sleep, grants: record.grants.clone() }
     }
 
-    /// Returns the maximum total draw, in which each engine counts with at least its
-    /// sleep power.
+    /// Returns the maximum total draw, in which each engine counts with at least its sleep power.
     pub(super) fn total_draw(&self) -> Watts {
         let granted: Watts = self.grants.iter().map(|(id, watts)| (*watts).max(self.sleep_of(id))).sum();
         let asleep: Watts =
@@ -52,8 +50,7 @@
         self.grants.get(engine).copied().unwrap_or_default().max(self.sleep_of(engine))
     }
 
-    /// Raises an engine's grant if the total stays within the cap, and reports whether
-    /// it did.
+    /// Raises an engine's grant if the total stays within the cap, and reports whether it did.
     pub(super) fn raise(&mut self, engine: &UpstreamId, to: Watts) -> bool {
         if to.saturating_sub(self.grant(engine)) > self.headroom() {
             return false;
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -19,16 +19,14 @@
 
 /// Interval between two computations of the tree.
 const TREE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval for a process that has just started, which learns of most members in that
-/// time.
+/// Interval for a process that has just started, which learns of most members in that time.
 const TREE_UPDATE_INTERVAL_AT_START: Duration = Duration::from_millis(200);
 /// How long a process counts as just started.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 /// Maximum number of members that contact each other and the store directly.
 const MAX_DIRECT_MEMBERS: usize = 64;
 
-/// How long a process that requested the state receives news in addition to the
-/// children.
+/// How long a process that requested the state receives news in addition to the children.
 ///
 /// It regards this process as its parent, although other members may not know it yet.
 const TEMPORARY_CHILD_TTL: Duration = Duration::from_secs(5);
@@ -112,14 +110,12 @@
     }
 }
 
-/// Reports whether there are too many members for all of them to act on a peer or the
-/// store at once.
+/// Reports whether there are too many members for all of them to act on a peer or the store at once.
 pub(super) fn has_many_members(cx: &Cx<'_>) -> bool {
     cx.cache.members().nth(MAX_DIRECT_MEMBERS).is_some()
 }
 
-/// Sends a message to every other live member, through the relay trees in a large
-/// cluster.
+/// Sends a message to every other live member, through the relay trees in a large cluster.
 pub(crate) fn tell_everyone(cx: &mut Cx<'_>, message: &PeerMessage) {
     if cx.cfg.watchers != Watchers::Relayed || !has_many_members(cx) {
         return cx.tell_all(message);
--- a/crates/skylarkshore-core/src/control/relay_tree.rs
+++ b/crates/skylarkshore-core/src/control/relay_tree.rs
@@ -63,8 +63,7 @@
         .collect()
 }
 
-/// Returns the members of a data centre in breadth-first order of the tree, leaving
-/// members last.
+/// Returns the members of a data centre in breadth-first order of the tree, leaving members last.
 fn tree_order<'a>(cx: &Cx<'a>, data_centre: &DataCentre) -> Vec<(&'a HostId, &'a MemberRecord)> {
     let in_data_centre = || cx.cache.members().filter(|(_, member)| member.data_centre == *data_centre);
     let staying = in_data_centre().filter(|(_, member)| !member.leaving);
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -2,9 +2,8 @@
 //! anti-entropy between peers.
 //!
 //! By default one process per data centre watches the store and forwards changes.
-//! Heartbeats carry each process's frontier, so that a process that lags behind or
-//! cannot reach the store asks a peer for the missing records. Open [`StoreSync`]
-//! first.
+//! Heartbeats carry each process's frontier, so that a process that lags behind or cannot
+//! reach the store asks a peer for the missing records. Open [`StoreSync`] first.
 
 use std::time::Duration;
 
@@ -32,8 +31,7 @@
 const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a peer may lag behind before it is sent the missing records unasked.
 const TOLERATED_LAG: Duration = Duration::from_millis(1500);
-/// Minimum interval between two requests for the full state by a process that the store
-/// does not answer.
+/// Minimum interval between two requests for the full state by a process that the store does not answer.
 const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of the read of all shared keys, as a multiple of the store timeout.
 const READ_TIMEOUT_FACTOR: u32 = 3;
@@ -56,8 +54,7 @@
 pub(super) struct StoreSync {
     /// The revision up to which no change is missing.
     frontier: StoreRevision,
-    /// The revision of the first complete snapshot; deletions before it are unknown
-    /// here.
+    /// The revision of the first complete snapshot; deletions before it are unknown here.
     first_snapshot: Option<StoreRevision>,
     /// An earlier value of `frontier` that peers should have reached by now.
     expected_frontier: StoreRevision,
@@ -80,8 +77,7 @@
         self.frontier
     }
 
-    /// Reports whether this process has received a complete snapshot of the shared
-    /// keys.
+    /// Reports whether this process has received a complete snapshot of the shared keys.
     pub(super) const fn is_synced(&self) -> bool {
         self.first_snapshot.is_some()
     }
@@ -161,8 +157,7 @@
         self.is_watch_unanswered = !is_answered;
     }
 
-    /// Advances the frontier and forwards the changes to the members of this data
-    /// centre.
+    /// Advances the frontier and forwards the changes to the members of this data centre.
     pub(super) fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
         let Some(watch) = &mut self.watch else { return };
         let after = watch.upto;
@@ -182,8 +177,7 @@
         }
     }
 
-    /// Ends the watch and schedules a read of all shared keys, since changes may be
-    /// missing.
+    /// Ends the watch and schedules a read of all shared keys, since changes may be missing.
     pub(super) fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
         if self.watch.take().is_none() {
             return;
@@ -212,8 +206,7 @@
         self.request_records(cx, from);
     }
 
-    /// Sends records to a peer that lags behind, and requests them from one that is
-    /// ahead.
+    /// Sends records to a peer that lags behind, and requests them from one that is ahead.
     pub(super) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
             PeerMessage::Heartbeat { store, .. } if cx.cfg.watchers == Watchers::Relayed => {
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -18,8 +18,7 @@
 const RETURN_GRACE: Duration = Duration::from_secs(15);
 /// Delay between two processes of the ranking that try to take an engine over.
 const RANK_DELAY: Duration = Duration::from_secs(5);
-/// How long the members must stay the same before engines that were never owned are
-/// assigned.
+/// How long the members must stay the same before engines that were never owned are assigned.
 ///
 /// When all hosts start together, the first one sees no others. If it took every engine
 /// at once, they would have to be handed over one by one.
@@ -150,8 +149,7 @@
         is_own_turn(cx, hosts, engine, assignee, since).then_some(vacant)
     }
 
-    /// Records the vacancy, and returns since when the engine may be taken over, if
-    /// that time has come.
+    /// Records the vacancy, and returns since when the engine may be taken over, if that time has come.
     fn record_vacancy(
         &mut self,
         cx: &Cx<'_>,
@@ -255,8 +253,7 @@
     cx.now.after(hold.max(grace))
 }
 
-/// Reports whether it is this process's turn to take over an engine that has been
-/// available since `since`.
+/// Reports whether it is this process's turn to take over an engine that has been available since `since`.
 fn is_own_turn(
     cx: &Cx<'_>,
     hosts: &HashedHosts<'_>,
@@ -269,8 +266,7 @@
         return true;
     }
     // The process whose turn it is may be cut off or superseded. The next one in the
-    // ranking takes over after a delay, so that the engine does not stay without an
-    // owner.
+    // ranking takes over after a delay, so that the engine does not stay without an owner.
     if !since.after(RANK_DELAY).is_due(cx.now) {
         return false;
     }
--- a/crates/skylarkshore-core/tests/control/homes.rs
+++ b/crates/skylarkshore-core/tests/control/homes.rs
@@ -46,8 +46,7 @@
     assert!(counts[0] >= 2 && counts[8] <= 10, "{counts:?}");
 }
 
-/// Guards against more homes than the rules allow, although requests keep asking for
-/// another one.
+/// Guards against more homes than the rules allow, although requests keep asking for another one.
 #[test]
 fn home_requests_never_exceed_the_allowed_number_of_homes() {
     let mut cluster = cluster_with_owners(22, &["a", "b", "c"], 6, FenceCheck::Refuses);
@@ -62,9 +61,8 @@
 
 /// Guards against two replicas where the rules allow one.
 ///
-/// The answer to a write that moves a home is lost, and the store becomes unreachable.
-/// The old engine cannot know whether the model has moved, so it must not load the
-/// model.
+/// The answer to a write that moves a home is lost, and the store becomes unreachable. The
+/// old engine cannot know whether the model has moved, so it must not load the model.
 #[test]
 fn a_home_with_an_unconfirmed_move_may_not_load_the_model() {
     for is_executed in [true, false] {
@@ -123,8 +121,7 @@
     cluster.run_until("one home", secs(5), |cluster| homes(cluster, "model-1").len() == 1);
 }
 
-/// Guards against a second load of a model whose engine is missing from the host list
-/// but still serves.
+/// Guards against a second load of a model whose engine is missing from the host list but still serves.
 ///
 /// Its replicas count until no process has reached the engine for a long time.
 #[test]
@@ -184,8 +181,7 @@
     assert_eq!(found, holders);
 }
 
-/// Guards against unloading the models of an engine that is listed after the first
-/// homes were assigned.
+/// Guards against unloading the models of an engine that is listed after the first homes were assigned.
 #[test]
 fn an_engine_listed_late_becomes_a_home_of_the_model_it_holds() {
     let document = document(1, 1, 6, UNLIMITED_POWER);
--- a/crates/skylarkshore-core/tests/control/leases.rs
+++ b/crates/skylarkshore-core/tests/control/leases.rs
@@ -20,8 +20,7 @@
     }
 }
 
-/// Guards against a process that takes its own record for that of another and restarts
-/// over and over.
+/// Guards against a process that takes its own record for that of another and restarts over and over.
 ///
 /// Every second answer of the store is lost after its write took effect.
 #[test]
@@ -44,8 +43,7 @@
     }
 }
 
-/// Guards against a process that acts or overwrites its successor's record after a long
-/// pause.
+/// Guards against a process that acts or overwrites its successor's record after a long pause.
 #[test]
 fn a_superseded_process_neither_acts_nor_writes() {
     let mut cluster = cluster_with_owners(11, &["a", "b"], 6, FenceCheck::Refuses);
@@ -64,8 +62,7 @@
     assert_eq!(member(&cluster, "a"), Some(later));
 }
 
-/// Guards against missed changes after the only process that watches the store is
-/// killed.
+/// Guards against missed changes after the only process that watches the store is killed.
 #[test]
 fn another_process_takes_over_the_watch_when_the_watcher_dies() {
     let mut cluster = cluster_with_owners(12, &["a", "b", "c"], 3, FenceCheck::Refuses);
@@ -103,8 +100,7 @@
 
 /// Guards against store load that grows with the square of the hosts.
 ///
-/// It would if every process read what another has written; only lease renewals may
-/// remain.
+/// It would if every process read what another has written; only lease renewals may remain.
 #[test]
 fn an_idle_cluster_only_sends_lease_renewals_to_the_store() {
     let hosts: Vec<String> = (0..12).map(|i| format!("h{i}")).collect();
--- a/crates/skylarkshore-core/tests/control/ownership.rs
+++ b/crates/skylarkshore-core/tests/control/ownership.rs
@@ -75,8 +75,7 @@
 
 /// Guards against waiting for the hold of a process that has definitely ended.
 ///
-/// Its engines ignore fences, but its port refuses connections on a live host, which
-/// proves its end.
+/// Its engines ignore fences, but its port refuses connections on a live host, which proves its end.
 #[test]
 fn a_probed_dead_owner_is_replaced_without_waiting_for_its_hold() {
     let mut cluster = cluster_with_owners(3, &["a", "b", "c"], 9, FenceCheck::Ignores);
@@ -150,8 +149,7 @@
     });
 }
 
-/// Guards against take-over delays and a leftover member key when a process leaves in
-/// order.
+/// Guards against take-over delays and a leftover member key when a process leaves in order.
 #[test]
 fn a_leaving_process_hands_over_its_engines_before_it_deregisters() {
     let mut cluster = cluster_with_owners(7, &["a", "b", "c"], 9, FenceCheck::Ignores);
@@ -199,8 +197,7 @@
 
 /// Guards against owner records for engines that nobody needs.
 ///
-/// The cluster has many more engines than its models need homes, and every process
-/// reads each record.
+/// The cluster has many more engines than its models need homes, and every process reads each record.
 #[test]
 fn surplus_engines_without_homes_have_no_owner() {
     let models = 4;
--- a/crates/skylarkshore-core/tests/control/power.rs
+++ b/crates/skylarkshore-core/tests/control/power.rs
@@ -38,8 +38,7 @@
     cluster.processes.values().any(|process| process.control.granted(engine) == ACTIVE_WATTS)
 }
 
-/// Guards against owners that together assume more power than the cap, which would trip
-/// the site's breaker.
+/// Guards against owners that together assume more power than the cap, which would trip the site's breaker.
 ///
 /// Power moves from idle engines to one with waiting requests, while calls and answers
 /// are lost or writes arrive late.
--- a/crates/skylarkshore-core/tests/control/stale.rs
+++ b/crates/skylarkshore-core/tests/control/stale.rs
@@ -176,8 +176,7 @@
 
 /// Guards against a former owner that gives up the power that its successor draws.
 ///
-/// A process loses its lease and its engine without being notified, and receives a
-/// request for power.
+/// A process loses its lease and its engine without being notified, and receives a request for power.
 #[test]
 fn a_former_owner_without_updates_does_not_revoke_its_successors_power() {
     let mut cluster = cluster(44, FenceCheck::Refuses, TIGHT);
--- a/crates/skylarkshore-core/tests/control/storm.rs
+++ b/crates/skylarkshore-core/tests/control/storm.rs
@@ -94,8 +94,7 @@
         self.cluster.start(config(host.as_str(), *incarnation, self.seed));
     }
 
-    /// Lets every owner load, unload and request homes at random, as far as it is
-    /// allowed.
+    /// Lets every owner load, unload and request homes at random, as far as it is allowed.
     fn load_and_unload(&mut self) {
         let now = self.cluster.now;
         let engines: Vec<UpstreamId> = self.cluster.engines.keys().cloned().collect();
--- a/crates/skylarkshore-core/tests/support/cluster.rs
+++ b/crates/skylarkshore-core/tests/support/cluster.rs
@@ -1,5 +1,4 @@
-//! A cluster of control planes with a simulated key-value store, engines and injected
-//! faults.
+//! A cluster of control planes with a simulated key-value store, engines and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -263,8 +262,7 @@
         }
     }
 
-    /// Runs until `holds` returns true and returns the elapsed time; fails after
-    /// `limit`.
+    /// Runs until `holds` returns true and returns the elapsed time; fails after `limit`.
     pub fn run_until(
         &mut self,
         what: &str,
