--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -44,7 +44,7 @@
     /// Waiting until other starting processes are registered.
     AwaitingRegistrations { until: Time },
     /// Reading the members again.
-    RereadingMembers { call: CallId, timeout_at: Time },
+    Rereading { call: CallId, deadline: Time },
     /// Waiting for the state from a member.
     AwaitingState { until: Time },
 }
@@ -63,9 +63,9 @@
 
 impl Bootstrap {
     /// Starts the initial synchronisation.
-    pub(super) fn start(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
+    pub(super) fn start(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
         if cx.cfg.watchers != Watchers::Relayed {
-            return store_sync.read(cx);
+            return sync.read(cx);
         }
         let call = cx.next_call();
         self.stage = Some(Stage::ReadingMembers { call });
@@ -76,7 +76,7 @@
     pub(super) fn on_store(
         &mut self,
         cx: &mut Cx<'_>,
-        store_sync: &mut StoreSync,
+        sync: &mut StoreSync,
         call: CallId,
         result: &StoreResult,
     ) {
@@ -85,24 +85,24 @@
                 let is_known = matches!(result, Ok(StoreAnswer::Members(_)));
                 if !is_known || !has_many_members(cx) {
                     self.stage = None;
-                    return store_sync.read(cx);
+                    return sync.read(cx);
                 }
                 self.stage =
                     Some(Stage::AwaitingRegistrations { until: cx.now.after(cx.jitter(REGISTRATION_WAIT)) });
             }
-            Some(Stage::RereadingMembers { call: own, .. }) if own == call => self.on_members(cx, store_sync),
+            Some(Stage::Rereading { call: own, .. }) if own == call => self.on_members(cx, sync),
             _ => {}
         }
     }
 
     /// Requests the state from a member, or reads it if this process is the root of the relay tree.
-    fn on_members(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
+    fn on_members(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
         if RelayTree::of(cx).is_root {
             self.stage = None;
-            return store_sync.read(cx);
+            return sync.read(cx);
         }
-        store_sync.await_peer_state(cx);
-        self.request_state(cx, store_sync);
+        sync.await_peer_state(cx);
+        self.request_state(cx, sync);
     }
 
     /// Reads the members after a connection from a process that is not a known member.
@@ -115,36 +115,32 @@
     }
 
     /// Requests the state from the next member when that is due.
-    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
-        if store_sync.is_synced() || !store_sync.is_store_reachable() {
+    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
+        if sync.is_synced() || !sync.is_store_reachable() {
             self.stage = None;
             return;
         }
         match &self.stage {
             Some(Stage::AwaitingRegistrations { until }) if until.is_due(cx.now) => self.reread_members(cx),
-            Some(Stage::RereadingMembers { timeout_at, .. }) if timeout_at.is_due(cx.now) => {
-                self.on_members(cx, store_sync)
-            }
-            Some(Stage::AwaitingState { until }) if until.is_due(cx.now) => {
-                self.request_state(cx, store_sync)
-            }
+            Some(Stage::Rereading { deadline, .. }) if deadline.is_due(cx.now) => self.on_members(cx, sync),
+            Some(Stage::AwaitingState { until }) if until.is_due(cx.now) => self.request_state(cx, sync),
             _ => {}
         }
     }
 
     fn reread_members(&mut self, cx: &mut Cx<'_>) {
         let call = cx.next_call();
-        let timeout_at = cx.now.after(cx.cfg.timings.store_timeout * MEMBERS_READ_TIMEOUT_FACTOR);
-        self.stage = Some(Stage::RereadingMembers { call, timeout_at });
+        let deadline = cx.now.after(cx.cfg.timings.store_timeout * MEMBERS_READ_TIMEOUT_FACTOR);
+        self.stage = Some(Stage::Rereading { call, deadline });
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
     /// Requests the state from a member, or reads it from the store after enough requests.
-    fn request_state(&mut self, cx: &mut Cx<'_>, store_sync: &mut StoreSync) {
+    fn request_state(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
         let host = self.next_provider(cx).filter(|_| self.state_requests < MAX_STATE_REQUESTS);
         let Some(host) = host else {
             self.stage = None;
-            return store_sync.read(cx);
+            return sync.read(cx);
         };
         self.state_requests += 1;
         cx.push(Effect::AwaitState);
@@ -168,7 +164,7 @@
     pub(super) fn on_peer(
         &mut self,
         cx: &mut Cx<'_>,
-        store_sync: &StoreSync,
+        sync: &StoreSync,
         from: &HostId,
         message: &PeerMessage,
     ) {
@@ -178,7 +174,7 @@
                     self.pending_requesters.push(from.clone());
                 }
                 cx.tell(from, PeerMessage::StateComing);
-                self.send_pending_state(cx, store_sync);
+                self.send_pending_state(cx, sync);
             }
             PeerMessage::StateComing => {
                 if let Some(Stage::AwaitingState { until }) = &mut self.stage {
@@ -200,14 +196,14 @@
     }
 
     /// Sends the state to all members that wait for it, once this process is in sync.
-    pub(super) fn send_pending_state(&mut self, cx: &mut Cx<'_>, store_sync: &StoreSync) {
-        if !store_sync.is_synced() || self.pending_requesters.is_empty() {
+    pub(super) fn send_pending_state(&mut self, cx: &mut Cx<'_>, sync: &StoreSync) {
+        if !sync.is_synced() || self.pending_requesters.is_empty() {
             return;
         }
         let pending_requesters = std::mem::take(&mut self.pending_requesters);
         self.state_sent_at.retain(|_, at| !at.after(STATE_RESEND_INTERVAL).is_due(cx.now));
         self.state_sent_at.extend(pending_requesters.iter().map(|host| (host.clone(), cx.now)));
-        send_state(cx, store_sync, pending_requesters);
+        send_state(cx, sync, pending_requesters);
     }
 
     /// Reports whether the state was sent so recently that it is probably still in transit.
@@ -216,9 +212,9 @@
     }
 }
 
-fn send_state(cx: &mut Cx<'_>, store_sync: &StoreSync, to: Vec<HostId>) {
+fn send_state(cx: &mut Cx<'_>, sync: &StoreSync, to: Vec<HostId>) {
     let all_entries = cx.cache.changes_after(StoreRevision(0));
     let records = all_entries.filter(|entry| entry.record.is_some()).cloned().collect();
     let series = cx.rng.random();
-    cx.push(Effect::TellState { to, series, upto: store_sync.frontier(), records });
+    cx.push(Effect::TellState { to, series, upto: sync.frontier(), records });
 }
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -117,8 +117,8 @@
             self.cancel_transfer(cx, engine);
             return;
         };
-        let owner = OwnerRecord { host: to, incarnation: member.incarnation, fence };
-        self.write(cx, engine, Expect::At(based_on), Some(owner));
+        let next_owner = OwnerRecord { host: to, incarnation: member.incarnation, fence };
+        self.write(cx, engine, Expect::At(based_on), Some(next_owner));
     }
 
     /// Rewrites the own record after the receiver of an unconfirmed transfer is gone,
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -57,7 +57,7 @@
     /// The revision of the first complete snapshot; deletions before it are unknown here.
     first_snapshot: Option<StoreRevision>,
     /// An earlier value of `frontier` that peers should have reached by now.
-    expected_frontier: StoreRevision,
+    expected: StoreRevision,
     next_expected_update: Time,
     watch: Option<Watch>,
     read: Option<Read>,
@@ -124,7 +124,7 @@
     /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         if self.next_expected_update.is_due(cx.now) {
-            self.expected_frontier = self.frontier;
+            self.expected = self.frontier;
             self.next_expected_update = cx.now.after(TOLERATED_LAG);
         }
         if self.read.take_if(|read| read.timeout_at.is_due(cx.now)).is_some() {
@@ -213,10 +213,8 @@
                 self.request_state_if_cut_off(cx, from, *store);
             }
             PeerMessage::Heartbeat { store, .. } if *store > self.frontier => self.request_records(cx, from),
-            PeerMessage::Heartbeat { store, .. } if *store < self.expected_frontier => {
-                self.send_missing_records(cx, from, *store)
-            }
-            PeerMessage::RecordsWanted { after } => self.send_missing_records(cx, from, *after),
+            PeerMessage::Heartbeat { store, .. } if *store < self.expected => self.reply(cx, from, *store),
+            PeerMessage::RecordsWanted { after } => self.reply(cx, from, *after),
             _ => {}
         }
     }
@@ -261,7 +259,7 @@
     /// A process does not know the keys that were deleted before its first snapshot. A
     /// peer that is behind that revision receives the full state, since a list of
     /// changes would leave deleted members and owners in its cache.
-    fn send_missing_records(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
+    fn reply(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
         let Some(first_snapshot) = self.first_snapshot.filter(|_| after < self.frontier) else { return };
         let is_full = after < first_snapshot;
         let from = if is_full { StoreRevision(0) } else { after };
