--- a/crates/skylarkshore-core/examples/routing.rs
+++ b/crates/skylarkshore-core/examples/routing.rs
@@ -18,7 +18,7 @@
 use rand::{Rng, SeedableRng};
 
 use skylarkshore_core::effect::Effect;
-use skylarkshore_core::event::AttemptEnd;
+use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::id::{AttemptId, Digest, UpstreamId};
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::time::Time;
@@ -270,7 +270,7 @@
         self.engines[engine].running -= 1;
         let Job { router, attempt, .. } = self.jobs[job];
         if let Some(attempt) = attempt {
-            self.routers[router].end(attempt, AttemptEnd::Whole { held: None });
+            self.routers[router].end(attempt, AttemptOutcome::Completed { held: None });
         }
         self.start_next(engine);
     }
--- a/crates/skylarkshore-core/src/accounts.rs
+++ b/crates/skylarkshore-core/src/accounts.rs
@@ -21,23 +21,23 @@
 
 /// What a client account's limit counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Measure {
+pub enum LimitUnit {
     /// Each request as one.
     #[default]
     Requests,
     /// The tokens of each request.
     Tokens {
         /// What a request counts that doesn't tell its tokens.
-        plain: Credits,
+        default_cost: Credits,
     },
 }
 
-impl Measure {
+impl LimitUnit {
     /// Returns what a request counts that tells so many tokens, or none.
     pub fn cost(self, tokens: Option<u64>) -> Credits {
         match self {
             Self::Requests => Credits(1),
-            Self::Tokens { plain } => tokens.map_or(plain, Credits),
+            Self::Tokens { default_cost } => tokens.map_or(default_cost, Credits),
         }
     }
 }
@@ -59,7 +59,7 @@
     /// How urgent its requests are, before their routes' priorities; 0 is the most urgent.
     pub priority: Option<u8>,
     /// What its limit counts.
-    pub measure: Measure,
+    pub unit: LimitUnit,
     /// How much it may use; none where that is not limited.
     pub limit: Option<AccountLimit>,
 }
@@ -126,7 +126,7 @@
     }
 
     /// Finds the account that holds a key.
-    pub fn holder(&self, key: &KeyDigest) -> Option<(&AccountName, &Account)> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<(&AccountName, &Account)> {
         self.by_name.get_key_value(self.by_key.get(key)?)
     }
 
--- a/crates/skylarkshore-core/src/authority.rs
+++ b/crates/skylarkshore-core/src/authority.rs
@@ -51,40 +51,40 @@
     /// True where the rules allow fewer replicas than there are, where the engine
     /// isn't a home of the model, is about to go, or has to draw less. No new
     /// requests may be sent to such a replica.
-    fn must_close(&self, _engine: &UpstreamId, _model: &ModelName) -> bool {
+    fn must_unload(&self, _engine: &UpstreamId, _model: &ModelName) -> bool {
         false
     }
 
     /// Returns the power that the engine may draw for certain.
-    fn granted(&self, engine: &UpstreamId) -> Watts;
+    fn granted_power(&self, engine: &UpstreamId) -> Watts;
 }
 
 /// A model that needs another home.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HomeWish {
+pub struct HomeRequest {
     /// The model.
     pub model: ModelName,
     /// The crowded home that it should leave, if it is to move rather than to spread.
-    pub leave: Option<UpstreamId>,
+    pub move_from: Option<UpstreamId>,
 }
 
 /// What is done with the engines that this process owns, as those who decide on ownership see it.
 pub trait EngineUse {
     /// Tells whether the model is neither loaded nor loading nor possibly so on the engine.
-    fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool;
+    fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool;
 
     /// Tells whether no order to the engine is in progress or of unknown outcome.
-    fn is_settled(&self, engine: &UpstreamId) -> bool;
+    fn has_no_open_orders(&self, engine: &UpstreamId) -> bool;
 
     /// Returns the power that the engine may be drawing now.
-    fn drawn(&self, engine: &UpstreamId) -> Watts;
+    fn power_draw(&self, engine: &UpstreamId) -> Watts;
 
     /// Returns the power that the engine lacks for a load, with the order of those who wait for it.
-    fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)>;
+    fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)>;
 
     /// Returns the memory that isn't spoken for on the engine.
     fn free_memory(&self, engine: &UpstreamId) -> Mebibytes;
 
     /// Returns the models on this process's engines that need another home.
-    fn home_wishes(&self) -> Vec<HomeWish>;
+    fn home_requests(&self) -> Vec<HomeRequest>;
 }
--- a/crates/skylarkshore-core/src/catalogue.rs
+++ b/crates/skylarkshore-core/src/catalogue.rs
@@ -56,7 +56,7 @@
 
 impl Service {
     /// Tells whether a call of this path may not be repeated.
-    pub fn is_once(&self, path: &str) -> bool {
+    pub fn is_at_most_once(&self, path: &str) -> bool {
         self.once_paths.iter().any(|prefix| path.starts_with(prefix.as_str()))
     }
 }
@@ -199,7 +199,7 @@
 
 impl Document {
     /// Tells whether anything has been configured yet.
-    pub const fn is_known(&self) -> bool {
+    pub const fn is_configured(&self) -> bool {
         self.revision.0 > 0 || self.catalogue_revision.0 > 0
     }
 
--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -40,7 +40,7 @@
 use crate::collections::OrderedSet;
 use crate::config::NodeConfig;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::effect::Effect;
 use crate::id::{CallId, HostId, Incarnation, ModelName, StoreRevision, UpstreamId};
 use crate::peer::{News, PeerMessage};
@@ -139,8 +139,8 @@
             return REVIEW_INTERVAL_AFTER_CHANGE;
         }
         let is_underpowered =
-            self.ownership.owned_engines().keys().any(|engine| engines.lacks(engine).is_some());
-        let urgent = is_underpowered || !engines.home_wishes().is_empty();
+            self.ownership.owned_engines().keys().any(|engine| engines.power_shortfall(engine).is_some());
+        let urgent = is_underpowered || !engines.home_requests().is_empty();
         if urgent { REVIEW_INTERVAL_URGENT } else { REVIEW_INTERVAL }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Reports whether this process is deregistered and may exit.
-    pub fn has_left(&self) -> bool {
+    pub fn has_deregistered(&self) -> bool {
         self.membership.is_deregistered()
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Handles the result of a store call other than a write.
-    pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
+    pub fn on_store_result(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         self.membership.on_store(cx, call, result);
         self.store_sync.on_store(cx, call, result);
         self.bootstrap.on_store(cx, &mut self.store_sync, call, result);
@@ -185,7 +185,7 @@
     }
 
     /// Handles the outcome of a write of a member, owner, homes or power key.
-    pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
+    pub fn on_write_outcome(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         self.changed = true;
         match key {
             Key::Member(_) => self.membership.on_write(cx, outcome),
@@ -197,7 +197,7 @@
     }
 
     /// Handles a change of a shared key in the cache.
-    pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
+    pub fn on_key_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         self.changed = true;
         match key {
             Key::Member(host) => self.on_member(cx, host),
@@ -210,7 +210,7 @@
     }
 
     /// Records that a peer has sent all shared keys up to `upto`.
-    pub fn on_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
+    pub fn on_snapshot(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         self.store_sync.on_peer_state(cx, upto);
         self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
@@ -220,16 +220,16 @@
     /// In a small cluster the process reads the store. In a large one it asks its
     /// parent in the relay tree, since reads by every process at once would keep the
     /// store's link busy for longer than a parent takes to answer.
-    pub fn on_news_missed(&self, cx: &mut Cx<'_>, persists: bool) {
+    pub fn on_news_gap(&self, cx: &mut Cx<'_>, persists: bool) {
         if !relay::has_many_members(cx) {
-            cx.push(Effect::ReadOn);
+            cx.push(Effect::ReadMissedNews);
         } else if persists && self.store_sync.is_synced() {
             self.relay.request_state_from_parent(cx);
         }
     }
 
     /// Records that the store did not answer a watch.
-    pub fn on_watch_unanswered(&mut self) {
+    pub fn on_watch_timed_out(&mut self) {
         self.store_sync.set_watch_answered(false);
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// Records that this incarnation of a process has definitely ended.
-    pub fn on_peer_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
+    pub fn on_peer_connection_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
         self.peers.on_connection_refused(cx, host, incarnation);
         self.on_members_changed();
     }
@@ -294,8 +294,8 @@
     }
 
     /// Returns the entries for a state dump.
-    pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        introspection::beliefs(self, cx)
+    pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
+        introspection::dump_entries(self, cx)
     }
 
     /// Returns the gauges for the metrics.
@@ -377,7 +377,7 @@
         !is_departing && self.homes.is_home(engine, model, owned.acquired_revision)
     }
 
-    fn must_close(&self, engine: &UpstreamId, model: &ModelName) -> bool {
+    fn must_unload(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         let Some(owned) = self.ownership.held(engine) else { return false };
         let Some(known) = self.inventory.get(engine) else { return false };
         let is_departing = known.is_listed() && !known.is_live();
@@ -385,7 +385,7 @@
         is_departing || excluded || self.power.has_to_stop(engine, known)
     }
 
-    fn granted(&self, engine: &UpstreamId) -> Watts {
+    fn granted_power(&self, engine: &UpstreamId) -> Watts {
         let owned = self.ownership.owned_engines().get(engine);
         let known = self.inventory.get(engine);
         let Some((owned, known)) = owned.zip(known) else { return Watts(0) };
--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -143,8 +143,8 @@
             return sync.read(cx);
         };
         self.state_requests += 1;
-        cx.push(Effect::AwaitState);
-        cx.tell(&host, PeerMessage::StateWanted);
+        cx.push(Effect::ExtendStateWait);
+        cx.send(&host, PeerMessage::StateWanted);
         self.stage = Some(Stage::AwaitingState { until: cx.now.after(STATE_REQUEST_TIMEOUT) });
     }
 
@@ -173,13 +173,13 @@
                 if !self.pending_requesters.contains(from) && !self.was_sent_recently(cx.now, from) {
                     self.pending_requesters.push(from.clone());
                 }
-                cx.tell(from, PeerMessage::StateComing);
+                cx.send(from, PeerMessage::StateComing);
                 self.send_pending_state(cx, sync);
             }
             PeerMessage::StateComing => {
                 if let Some(Stage::AwaitingState { until }) = &mut self.stage {
                     *until = cx.now.after(STATE_REQUEST_TIMEOUT * 2);
-                    cx.push(Effect::AwaitState);
+                    cx.push(Effect::ExtendStateWait);
                 }
             }
             PeerMessage::State(part) => self.on_state_part(cx, part),
@@ -192,7 +192,7 @@
         if let Some(Stage::AwaitingState { until }) = &mut self.stage {
             *until = cx.now.after(STATE_REQUEST_TIMEOUT);
         }
-        cx.push(Effect::TakeState(part.clone()));
+        cx.push(Effect::ApplyStatePart(part.clone()));
     }
 
     /// Sends the state to all members that wait for it, once this process is in sync.
@@ -216,5 +216,5 @@
     let all_entries = cx.cache.changes_after(StoreRevision(0));
     let records = all_entries.filter(|entry| entry.record.is_some()).cloned().collect();
     let series = cx.rng.random();
-    cx.push(Effect::TellState { to, series, upto: sync.frontier(), records });
+    cx.push(Effect::SendState { to, series, upto: sync.frontier(), records });
 }
--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -15,7 +15,7 @@
 use super::inventory::{EngineInventory, KnownEngine};
 use super::ownership::Ownership;
 use super::placement::Placement;
-use crate::authority::{EngineUse, HomeWish};
+use crate::authority::{EngineUse, HomeRequest};
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
 use crate::id::{ModelName, StoreRevision, UpstreamId};
@@ -195,12 +195,12 @@
             self.next_limits_update = cx.now.after(LIMITS_UPDATE_INTERVAL);
             self.update_all(cx, context.inventory);
         }
-        if !context.may_decide(cx) || !cx.document.is_known() {
+        if !context.may_decide(cx) || !cx.document.is_configured() {
             return;
         }
         self.resolve_unconfirmed(cx);
         self.expire_backoffs(cx.now);
-        let wishes = engines.home_wishes();
+        let wishes = engines.home_requests();
         let mut models = self.urgent_models(&wishes);
         if is_full {
             models.extend(self.affected_models(cx, context, ownership));
@@ -271,7 +271,7 @@
     }
 
     /// Returns the models that are reviewed before the next full review.
-    fn urgent_models(&mut self, wishes: &[HomeWish]) -> OrderedSet<ModelName> {
+    fn urgent_models(&mut self, wishes: &[HomeRequest]) -> OrderedSet<ModelName> {
         let mut models = std::mem::take(&mut self.changed_models);
         models.extend(wishes.iter().map(|wish| wish.model.clone()));
         models
@@ -302,13 +302,13 @@
         let expect = known.map_or(Expect::Absent, |(revision, _)| Expect::At(revision));
         if known.is_none_or(|(_, homes)| homes.engines != plan.engines) {
             let names: Vec<&str> = plan.engines.iter().map(UpstreamId::as_str).collect();
-            cx.note("homes_changing", model.clone(), format!("to [{}]", names.join(" ")));
+            cx.log_event("homes_changing", model.clone(), format!("to [{}]", names.join(" ")));
         }
         self.lacking_since.remove(model);
         self.pending
             .insert(model.clone(), Pending { based_on, closing: plan.closing, state: PendingState::Writing });
         let record = (!plan.engines.is_empty())
-            .then_some(Record::Homes(HomesRecord { engines: plan.engines, left: plan.left }));
+            .then_some(Record::Homes(HomesRecord { engines: plan.engines, evicted_from: plan.evicted_from }));
         write_homes(cx, model, expect, record);
     }
 
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -3,7 +3,7 @@
 //! Open [`Plan`] first.
 
 use super::{Homes, is_own_turn};
-use crate::authority::{EngineUse, HomeWish};
+use crate::authority::{EngineUse, HomeRequest};
 use crate::control::context::ReviewContext;
 use crate::control::hashing::HashedHosts;
 use crate::control::inventory::EngineInventory;
@@ -11,7 +11,7 @@
 use crate::control::placement::Placement;
 use crate::cx::Cx;
 use crate::id::{ModelName, StoreRevision, UpstreamId};
-use crate::rules::Facts;
+use crate::rules::RuleInput;
 
 /// Number of a model's adapters for which one home is sufficient.
 const ADAPTERS_PER_HOME: usize = 4;
@@ -23,7 +23,7 @@
 pub(super) struct Plan {
     pub(super) engines: Vec<UpstreamId>,
     /// The engines that the model left for lack of memory.
-    pub(super) left: Vec<UpstreamId>,
+    pub(super) evicted_from: Vec<UpstreamId>,
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
 }
@@ -34,7 +34,7 @@
     pub(super) context: &'a ReviewContext<'a>,
     pub(super) ownership: &'a Ownership,
     pub(super) engines: &'a dyn EngineUse,
-    pub(super) wishes: &'a [HomeWish],
+    pub(super) wishes: &'a [HomeRequest],
     /// The members among which the work is distributed.
     pub(super) hosts: &'a HashedHosts<'a>,
     pub(super) model: &'a ModelName,
@@ -43,7 +43,7 @@
 impl ModelReview<'_> {
     /// Reports whether this process may remove the home from the engine.
     fn may_close(&self, engine: &UpstreamId) -> bool {
-        self.ownership.held(engine).is_some() && self.engines.is_free_of(engine, self.model)
+        self.ownership.held(engine).is_some() && self.engines.is_unused_by(engine, self.model)
     }
 
     /// Reports whether the engine is gone and it is this process's turn to remove it.
@@ -63,7 +63,7 @@
     }
 
     fn has_move_request(&self, engine: &UpstreamId) -> bool {
-        self.wishes.iter().any(|wish| wish.model == *self.model && wish.leave.as_ref() == Some(engine))
+        self.wishes.iter().any(|wish| wish.model == *self.model && wish.move_from.as_ref() == Some(engine))
     }
 }
 
@@ -82,7 +82,11 @@
             // owner's record. It knows of every loss up to its frontier.
             return Plan::default();
         }
-        let mut plan = Plan { engines: homes.engines.clone(), left: homes.left.clone(), ..Plan::default() };
+        let mut plan = Plan {
+            engines: homes.engines.clone(),
+            evicted_from: homes.evicted_from.clone(),
+            ..Plan::default()
+        };
         let Some(limits) = limits(cx, review.context.inventory, review.model, &plan.engines) else {
             drop_removed_model(cx, review, &mut plan);
             return plan;
@@ -136,7 +140,7 @@
         limits: &Limits,
     ) {
         let is_requested =
-            review.wishes.iter().any(|wish| wish.model == *review.model && wish.leave.is_none());
+            review.wishes.iter().any(|wish| wish.model == *review.model && wish.move_from.is_none());
         let owns_home = plan.engines.iter().any(|home| review.ownership.held(home).is_some());
         let too_few = plan.engines.len() < limits.min_homes;
         let needs_home =
@@ -147,7 +151,7 @@
         if !needs_home || plan.engines.len() >= limits.max_homes {
             return;
         }
-        if let Some(home) = placement.place(review.model, &plan.engines, &plan.left) {
+        if let Some(home) = placement.place(review.model, &plan.engines, &plan.evicted_from) {
             plan.engines.push(home);
             plan.changed = true;
         }
@@ -162,7 +166,7 @@
     fn report_unplaceable(&mut self, cx: &mut Cx<'_>, review: &ModelReview<'_>) {
         let any = review.context.inventory.iter().any(|(_, engine)| engine.is_live());
         if any && self.unplaceable.insert(review.model.clone()) {
-            cx.note("model_fits_nowhere", review.model.clone(), "no live engine has enough memory");
+            cx.log_event("model_fits_nowhere", review.model.clone(), "no live engine has enough memory");
         }
     }
 }
@@ -207,7 +211,7 @@
     cx.document.catalogue.models.get(model)?;
     let first = homes.first().and_then(|home| inventory.get(home));
     let data_centre = first.map(|engine| &engine.data_centre);
-    let facts = Facts { model: Some(model), data_centre, at: Some(cx.at), ..Facts::default() };
+    let facts = RuleInput { model: Some(model), data_centre, at: Some(cx.at), ..RuleInput::default() };
     let outcome = cx.document.rules.decide(&facts).outcome;
     let max_replicas = usize::try_from(outcome.replicas_max).unwrap_or(usize::MAX);
     let min_replicas = usize::try_from(outcome.replicas_min).unwrap_or(usize::MAX);
@@ -246,8 +250,8 @@
         return;
     }
     for engine in review.ownership.owned_engines().keys() {
-        let holds = cx.upstreams.get(engine).is_some_and(|listed| listed.holds_live(review.model));
-        let is_new = !plan.engines.contains(engine) && !plan.left.contains(engine);
+        let holds = cx.upstreams.get(engine).is_some_and(|listed| listed.is_live_holder(review.model));
+        let is_new = !plan.engines.contains(engine) && !plan.evicted_from.contains(engine);
         let is_held = review.ownership.held(engine).is_some();
         if holds && is_new && is_held && plan.engines.len() < limits.max_replicas {
             plan.engines.push(engine.clone());
@@ -274,11 +278,11 @@
             continue;
         }
         if is_move_requested {
-            plan.left.push(home.clone());
-            let surplus = plan.left.len().saturating_sub(MAX_LEFT_ENGINES);
-            plan.left.drain(..surplus);
+            plan.evicted_from.push(home.clone());
+            let surplus = plan.evicted_from.len().saturating_sub(MAX_LEFT_ENGINES);
+            plan.evicted_from.drain(..surplus);
         }
-        let next = placement.place(review.model, &plan.engines, &plan.left);
+        let next = placement.place(review.model, &plan.engines, &plan.evicted_from);
         match next {
             Some(next) if plan.engines.len() <= max_homes => plan.engines[rank] = next,
             None if plan.engines.len() == 1 => continue,
--- a/crates/skylarkshore-core/src/control/introspection.rs
+++ b/crates/skylarkshore-core/src/control/introspection.rs
@@ -2,12 +2,12 @@
 
 use super::Control;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::id::{StoreRevision, UpstreamId};
 use crate::store::Key;
 
 /// Returns the entries on members, ownership, homes and power.
-pub(super) fn beliefs(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
+pub(super) fn dump_entries(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let mut beliefs = vec![own_membership(control, cx), store_sync(control, cx)];
     beliefs.extend(members(control, cx));
     beliefs.extend(owners(control, cx));
@@ -40,24 +40,24 @@
     Gauge { name, value: u32::try_from(value).map_or(f64::MAX, f64::from) }
 }
 
-fn own_membership(control: &Control, cx: &Cx<'_>) -> Belief {
+fn own_membership(control: &Control, cx: &Cx<'_>) -> DumpEntry {
     let membership = &control.membership;
     let state = match (membership.is_superseded(), membership.registration_revision()) {
         (true, _) => "superseded by a later life".to_owned(),
         (false, Some(revision)) => format!("registered at revision {revision}"),
         (false, None) => "not registered".to_owned(),
     };
-    Belief { kind: "lease", subject: cx.cfg.host.to_string(), state, since: membership.confirmed_at() }
+    DumpEntry { kind: "lease", subject: cx.cfg.host.to_string(), state, since: membership.confirmed_at() }
 }
 
-fn store_sync(control: &Control, cx: &Cx<'_>) -> Belief {
+fn store_sync(control: &Control, cx: &Cx<'_>) -> DumpEntry {
     let since = control.store_sync.watching_since();
     let how = if since.is_some() { "watches" } else { "hears from peers" };
     let state = format!("{how}, complete up to revision {}", control.store_sync.frontier());
-    Belief { kind: "feed", subject: cx.cfg.host.to_string(), state, since }
+    DumpEntry { kind: "feed", subject: cx.cfg.host.to_string(), state, since }
 }
 
-fn members(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
+fn members(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let members = cx.cache.members();
     members
         .map(|(host, member)| {
@@ -67,12 +67,12 @@
                 member.incarnation, member.data_centre, member.caller_address
             );
             let since = control.peers.last_heartbeat_at(host);
-            Belief { kind: "member", subject: host.to_string(), state, since }
+            DumpEntry { kind: "member", subject: host.to_string(), state, since }
         })
         .collect()
 }
 
-fn owners(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
+fn owners(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let owners = cx.cache.owners();
     owners
         .map(|(engine, owner)| {
@@ -87,22 +87,22 @@
             let state =
                 format!("{role}, by {} incarnation {}, fence {}", owner.host, owner.incarnation, owner.fence);
             let since = owned.map(|owned| owned.since).or(vacant);
-            Belief { kind: "ownership", subject: engine.to_string(), state, since }
+            DumpEntry { kind: "ownership", subject: engine.to_string(), state, since }
         })
         .collect()
 }
 
-fn homes(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
+fn homes(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let known = cx.cache.all_homes().map(|(model, homes)| {
         let names: Vec<&str> = homes.engines.iter().map(UpstreamId::as_str).collect();
-        Belief {
+        DumpEntry {
             kind: "homes",
             subject: model.to_string(),
             state: names.join(" "),
             since: control.homes.since(model),
         }
     });
-    let lacking_since = control.homes.lacking_since().iter().map(|(model, since)| Belief {
+    let lacking_since = control.homes.lacking_since().iter().map(|(model, since)| DumpEntry {
         kind: "homes",
         subject: model.to_string(),
         state: "lacks a home".to_owned(),
@@ -111,7 +111,7 @@
     known.chain(lacking_since).collect()
 }
 
-fn power(control: &Control, cx: &Cx<'_>) -> Vec<Belief> {
+fn power(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let mut beliefs = Vec::new();
     for (site, since) in control.power.sites() {
         let entry = cx.cache.get(&Key::Power(site.clone()));
@@ -119,10 +119,10 @@
         let granted: crate::units::Watts =
             cx.cache.power(site).map(|(_, record)| record.grants.values().copied().sum()).unwrap_or_default();
         let state = format!("{granted} granted at revision {revision}");
-        beliefs.push(Belief { kind: "power", subject: site.to_string(), state, since: Some(since) });
+        beliefs.push(DumpEntry { kind: "power", subject: site.to_string(), state, since: Some(since) });
     }
     let revoked = control.power.revoked();
-    beliefs.extend(revoked.map(|engine| Belief {
+    beliefs.extend(revoked.map(|engine| DumpEntry {
         kind: "power",
         subject: engine.to_string(),
         state: "grant taken back, record not yet changed".to_owned(),
--- a/crates/skylarkshore-core/src/control/inventory.rs
+++ b/crates/skylarkshore-core/src/control/inventory.rs
@@ -9,7 +9,7 @@
 use crate::id::{DataCentre, ServiceName, SiteName, UpstreamId};
 use crate::time::Time;
 use crate::units::{Mebibytes, Watts};
-use crate::upstream::{FenceCheck, Standing, Upstream};
+use crate::upstream::{FenceCheck, Upstream, UpstreamStatus};
 
 /// How long the host list must gain no engine before the first homes are assigned.
 ///
@@ -28,7 +28,7 @@
     pub(super) active_watts: Watts,
     pub(super) fence_check: FenceCheck,
     pub(super) pool: Option<ServiceName>,
-    pub(super) standing: Standing,
+    pub(super) status: UpstreamStatus,
     /// When the engine disappeared from the host list.
     unlisted_since: Option<Time>,
 }
@@ -40,7 +40,7 @@
 
     /// Reports whether it may receive new work according to the host list.
     pub(super) fn is_live(&self) -> bool {
-        self.is_listed() && self.standing == Standing::Live
+        self.is_listed() && self.status == UpstreamStatus::Live
     }
 }
 
@@ -93,7 +93,7 @@
             active_watts: spec.active_watts,
             fence_check: spec.fence_check,
             pool: spec.pool.clone(),
-            standing: upstream.standing,
+            status: upstream.status,
             unlisted_since: None,
         };
         self.engines.insert(upstream.id.clone(), known);
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -232,7 +232,7 @@
         self.registration = Registration::Registered { lease, leaving, first };
         if self.registration_revision().is_some() && std::mem::take(&mut self.lease_was_lost) {
             self.re_registered_at = Some(cx.now);
-            cx.note("member_returned", cx.cfg.host.clone(), "registered again after its lease was lost");
+            cx.log_event("member_returned", cx.cfg.host.clone(), "registered again after its lease was lost");
         }
     }
 
@@ -261,7 +261,7 @@
         self.lease = None;
         self.call = None;
         self.registration = Registration::Absent;
-        cx.note("superseded", cx.cfg.host.clone(), why);
+        cx.log_event("superseded", cx.cfg.host.clone(), why);
     }
 
     fn lose_lease(&mut self, cx: &mut Cx<'_>, why: &str) {
@@ -276,7 +276,7 @@
         self.lease_was_lost = true;
         self.call_backoff.reset();
         if !matches!(self.stage, Stage::Revoking { .. }) {
-            cx.note("lease_lost", cx.cfg.host.clone(), why);
+            cx.log_event("lease_lost", cx.cfg.host.clone(), why);
         }
     }
 
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -229,7 +229,7 @@
         };
         self.owned_engines.insert(engine.clone(), owned);
         self.vacancies.forget(engine);
-        cx.note("engine_acquired", engine.clone(), format!("fence {}", own.fence));
+        cx.log_event("engine_acquired", engine.clone(), format!("fence {}", own.fence));
         let fence = own.fence;
         self.changes.push(OwnershipChange::Acquired { engine: engine.clone(), fence, late_orders_until });
     }
@@ -272,7 +272,7 @@
         let next = cx.cache.owner(engine).map(|(_, owner)| owner.host.to_string());
         let next = next.unwrap_or_else(|| "nobody".to_owned());
         let event = if owned.is_held() { "engine_lost" } else { "engine_handed_over" };
-        cx.note(event, engine.clone(), format!("now owned by {next}"));
+        cx.log_event(event, engine.clone(), format!("now owned by {next}"));
         self.changes.push(OwnershipChange::Lost { engine: engine.clone() });
     }
 
@@ -336,7 +336,11 @@
         for engine in gone {
             let Some(owned) = self.owned_engines.get(&engine) else { continue };
             let expect = Expect::At(owned.revision);
-            cx.note("engine_gone", engine.clone(), "not listed, not reached, and without homes or power");
+            cx.log_event(
+                "engine_gone",
+                engine.clone(),
+                "not listed, not reached, and without homes or power",
+            );
             self.write(cx, &engine, expect, None);
         }
     }
@@ -371,7 +375,7 @@
         if let Some(former) = &former {
             let why = if former.ended { "its process has ended" } else { "its member key was deleted" };
             let detail = format!("from {}, because {why}; fence {fence}", former.owner.host);
-            cx.note("engine_taking_over", engine.clone(), detail);
+            cx.log_event("engine_taking_over", engine.clone(), detail);
         }
         let expect = former.map_or(Expect::Absent, |former| Expect::At(former.revision));
         self.write(cx, &engine, expect, Some(own_record(cx, fence)));
@@ -435,7 +439,7 @@
 /// enforce its last fence. No fence exceeds the revision of its own record, so a later
 /// store revision is above all of them.
 fn next_fence(cx: &Cx<'_>, former: Option<&FormerOwner>) -> Fence {
-    former.map_or(Fence(cx.cache.newest().0.max(1)), |former| former.owner.fence.next())
+    former.map_or(Fence(cx.cache.latest_revision().0.max(1)), |former| former.owner.fence.next())
 }
 
 fn late_order_deadline(cx: &Cx<'_>, former: &FormerOwner) -> Time {
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -102,7 +102,7 @@
                     owned.phase = Phase::Held;
                     return;
                 }
-                if !engines.is_settled(engine) {
+                if !engines.has_no_open_orders(engine) {
                     return;
                 }
                 let based_on = owned.revision;
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -153,7 +153,7 @@
             return;
         }
         peer.min_incarnation = incarnation.next();
-        cx.note("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
+        cx.log_event("process_ended", host.clone(), format!("incarnation {incarnation} refuses connections"));
     }
 
     /// Handles a change of a member key.
@@ -225,7 +225,7 @@
             receivers.extend(data_centre_peers(cx));
         }
         for host in receivers {
-            cx.tell(&host, message.clone());
+            cx.send(&host, message.clone());
         }
     }
 }
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -161,7 +161,7 @@
 
     fn update(&mut self, cx: &Cx<'_>, name: &SiteName) {
         let site = self.sites.entry(name.clone()).or_default();
-        site.is_capped = !cx.document.is_known() || cx.document.power_caps.contains_key(name);
+        site.is_capped = !cx.document.is_configured() || cx.document.power_caps.contains_key(name);
         if let Some((revision, record)) = cx.cache.power(name) {
             if site.record != *record {
                 site.since = cx.now;
@@ -200,7 +200,7 @@
 
     /// Reports whether the engine draws no more than its sleep power.
     fn is_asleep(&self, id: &UpstreamId) -> bool {
-        self.engine(id).is_some_and(|engine| self.engines.drawn(id) <= engine.sleep_watts)
+        self.engine(id).is_some_and(|engine| self.engines.power_draw(id) <= engine.sleep_watts)
     }
 
     fn is_gone(&self, cx: &Cx<'_>, id: &UpstreamId) -> bool {
@@ -216,7 +216,7 @@
             .filter(|id| self.ownership.held(id).is_some())
             .filter_map(|id| self.engine(id).map(|engine| (id, engine)))
             .filter(|(id, engine)| engine.is_live() && budget.grant(id) < engine.active_watts)
-            .map(|(id, engine)| Underpowered { id, engine, lacks: self.engines.lacks(id) })
+            .map(|(id, engine)| Underpowered { id, engine, lacks: self.engines.power_shortfall(id) })
             .collect();
         underpowered.sort_by_key(|underpowered| {
             (Reverse(underpowered.lacks.is_some()), underpowered.lacks.map(|(_, order)| order))
@@ -276,12 +276,13 @@
             let is_already_revoked = self.revoked.contains(id);
             let is_engine_gone = review.is_gone(cx, id);
             let is_power_needed = budget.exceeds_cap() || self.is_requested(budget);
-            let is_idle = is_power_needed && review.is_asleep(id) && review.engines.lacks(id).is_none();
+            let is_idle =
+                is_power_needed && review.is_asleep(id) && review.engines.power_shortfall(id).is_none();
             if !(is_already_revoked || is_engine_gone || is_idle) {
                 continue;
             }
             if !is_already_revoked {
-                cx.note("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
+                cx.log_event("power_given_up", id.clone(), format!("{recorded} at {}", review.name));
             }
             // The draw is lowered first; the record may change at any later time.
             self.revoked.insert(id.clone());
@@ -325,7 +326,7 @@
         self.shortage_until = cx.now.after(SHORTAGE_PERIOD);
         self.request = Some(PowerRequest { watts, until: cx.now.after(REQUEST_TTL) });
         for host in self.request_recipients(cx, review) {
-            cx.tell(&host, PeerMessage::PowerWanted { site: review.name.clone(), watts, order });
+            cx.send(&host, PeerMessage::PowerWanted { site: review.name.clone(), watts, order });
         }
     }
 
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -84,14 +84,14 @@
     pub(super) fn relay_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         if self.tree.is_root || self.is_parent(from) {
             for child in &self.tree.children {
-                cx.tell(child, message.clone());
+                cx.send(child, message.clone());
             }
         }
     }
 
     pub(super) fn request_state_from_parent(&self, cx: &mut Cx<'_>) {
         if let Some(parent) = &self.tree.parent {
-            cx.tell(parent, PeerMessage::StateWanted);
+            cx.send(parent, PeerMessage::StateWanted);
         }
     }
 
@@ -105,7 +105,7 @@
         let temporary_children =
             self.temporary_children.keys().filter(|child| !self.tree.children.contains(child));
         for host in self.tree.children.iter().chain(temporary_children) {
-            cx.tell(host, PeerMessage::News(news.clone()));
+            cx.send(host, PeerMessage::News(news.clone()));
         }
     }
 }
@@ -116,12 +116,12 @@
 }
 
 /// Sends a message to every other live member, through the relay trees in a large cluster.
-pub(crate) fn tell_everyone(cx: &mut Cx<'_>, message: &PeerMessage) {
+pub(crate) fn broadcast_via_relay(cx: &mut Cx<'_>, message: &PeerMessage) {
     if cx.cfg.watchers != Watchers::Relayed || !has_many_members(cx) {
-        return cx.tell_all(message);
+        return cx.broadcast(message);
     }
     let spread = PeerMessage::Spread { origin: cx.cfg.host.clone(), message: Box::new(message.clone()) };
     for root in roots(cx) {
-        cx.tell(&root, spread.clone());
+        cx.send(&root, spread.clone());
     }
 }
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -108,7 +108,7 @@
     /// Waits for a peer to send all shared keys, and for news after that.
     pub(super) fn await_peer_state(&mut self, cx: &mut Cx<'_>) {
         self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
-        cx.push(Effect::AwaitState);
+        cx.push(Effect::ExtendStateWait);
         cx.push(Effect::Watch { from: StoreRevision(0) });
     }
 
@@ -173,7 +173,7 @@
         let message = PeerMessage::Records(RecordBatch { after: Some(after), upto, records: changes });
         let receivers: Vec<HostId> = data_centre_peers(cx).collect();
         for host in receivers {
-            cx.tell(&host, message.clone());
+            cx.send(&host, message.clone());
         }
     }
 
@@ -184,7 +184,7 @@
         }
         self.is_read_pending = true;
         self.read_backoff.record_failure(cx);
-        cx.note("watch_broken", cx.cfg.host.clone(), "reading all shared keys again");
+        cx.log_event("watch_broken", cx.cfg.host.clone(), "reading all shared keys again");
     }
 
     /// Records the range that a peer's batch covers.
@@ -242,7 +242,7 @@
         }
         if self.is_watch_unanswered && self.next_state_request.is_due(cx.now) {
             self.next_state_request = cx.now.after(STATE_REQUEST_INTERVAL);
-            cx.tell(from, PeerMessage::StateWanted);
+            cx.send(from, PeerMessage::StateWanted);
         }
     }
 
@@ -251,7 +251,7 @@
             return;
         }
         self.next_records_request = cx.now.after(RECORDS_REQUEST_INTERVAL);
-        cx.tell(from, PeerMessage::RecordsWanted { after: self.frontier });
+        cx.send(from, PeerMessage::RecordsWanted { after: self.frontier });
     }
 
     /// Sends the records that a peer is missing.
@@ -270,7 +270,7 @@
             .cloned()
             .collect();
         let after = (!is_full).then_some(after);
-        cx.tell(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
+        cx.send(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
     }
 
     fn read_when_due(&mut self, cx: &mut Cx<'_>) {
@@ -291,7 +291,7 @@
             None if should_watch && self.is_synced() && !self.is_read_pending => {
                 self.watch = Some(Watch { upto: self.frontier, since: cx.now });
                 if cx.cfg.watchers == Watchers::Relayed && RelayTree::of(cx).parent.is_some() {
-                    cx.push(Effect::AwaitState);
+                    cx.push(Effect::ExtendStateWait);
                 }
                 cx.push(Effect::Watch { from: self.frontier.next() });
             }
--- a/crates/skylarkshore-core/src/cx.rs
+++ b/crates/skylarkshore-core/src/cx.rs
@@ -5,7 +5,7 @@
 
 use crate::catalogue::Document;
 use crate::config::NodeConfig;
-use crate::effect::{Decision, Effect, Note};
+use crate::effect::{Decision, Effect, LogEvent};
 use crate::id::{AttemptId, CallId, HostId, OrderId, RequestId};
 use crate::peer::{Envelope, PeerMessage};
 use crate::rules::MinuteOfDay;
@@ -53,7 +53,7 @@
     }
 
     /// Sends a message to a process; one to this process itself is taken at once.
-    pub fn tell(&mut self, to: &HostId, message: PeerMessage) {
+    pub fn send(&mut self, to: &HostId, message: PeerMessage) {
         self.push(Effect::Peer(Envelope { to: to.clone(), message }));
     }
 
@@ -65,23 +65,27 @@
     }
 
     /// Sends a message to every other live member.
-    pub fn tell_all(&mut self, message: &PeerMessage) {
+    pub fn broadcast(&mut self, message: &PeerMessage) {
         let own = &self.cfg.host;
         let peers: Vec<HostId> =
             self.cache.members().filter(|(host, _)| *host != own).map(|(host, _)| host.clone()).collect();
         for peer in peers {
-            self.tell(&peer, message.clone());
+            self.send(&peer, message.clone());
         }
     }
 
     /// Notes something that operators ought to know.
     #[expect(clippy::needless_pass_by_value, reason = "names and formatted texts are passed alike")]
-    pub fn note(&mut self, event: &'static str, subject: impl ToString, detail: impl ToString) {
-        self.push(Effect::Note(Note { event, subject: subject.to_string(), detail: detail.to_string() }));
+    pub fn log_event(&mut self, event: &'static str, subject: impl ToString, detail: impl ToString) {
+        self.push(Effect::LogEvent(LogEvent {
+            event,
+            subject: subject.to_string(),
+            detail: detail.to_string(),
+        }));
     }
 
     /// Notes a decision on a request, with what decided it.
-    pub fn decided(&mut self, request: RequestId, event: &'static str, detail: String) {
+    pub fn log_decision(&mut self, request: RequestId, event: &'static str, detail: String) {
         self.push(Effect::Decision(Decision { request, event, detail }));
     }
 
--- a/crates/skylarkshore-core/src/dump.rs
+++ b/crates/skylarkshore-core/src/dump.rs
@@ -4,7 +4,7 @@
 
 /// One belief of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct DumpEntry {
     /// What kind of thing it is about, such as `engine` or `request`.
     pub kind: &'static str,
     /// The thing's name.
--- a/crates/skylarkshore-core/src/effect.rs
+++ b/crates/skylarkshore-core/src/effect.rs
@@ -124,11 +124,11 @@
     /// Stop watching.
     Unwatch,
     /// Take news that a peer has read.
-    TakeNews(News),
+    ApplyNews(News),
     /// Read news often, since others wait for it, or as seldom as for this process alone.
     ReadNewsForOthers(bool),
     /// Tell peers all that the key-value service holds.
-    TellState {
+    SendState {
         /// Whom to tell.
         to: Vec<HostId>,
         /// What the parts are to have in common.
@@ -139,11 +139,11 @@
         records: Vec<Versioned>,
     },
     /// Take a part of all that the key-value service holds, from a peer.
-    TakeState(StatePart),
+    ApplyStatePart(StatePart),
     /// Go on waiting for a peer's state.
-    AwaitState,
+    ExtendStateWait,
     /// Read what news from peers have left out.
-    ReadOn,
+    ReadMissedNews,
     /// Send a message to a peer.
     Peer(Envelope),
     /// Find out whether a life of a process has ended for certain.
@@ -174,7 +174,7 @@
         action: Order,
     },
     /// Ask an engine how it stands.
-    AskReport {
+    RequestReport {
         /// The engine.
         upstream: UpstreamId,
     },
@@ -201,7 +201,7 @@
         keep_failure: bool,
     },
     /// Pass on the answer that is kept of a request's last attempt.
-    PassOn {
+    ForwardHeldAnswer {
         /// The request.
         request: RequestId,
     },
@@ -232,7 +232,7 @@
         refusal: Refusal,
     },
     /// Note something that operators ought to know.
-    Note(Note),
+    LogEvent(LogEvent),
     /// Note a decision on a request.
     Decision(Decision),
     /// Take no new connections and no new requests; those in progress go on.
@@ -254,7 +254,7 @@
 
 /// Something that operators ought to know; becomes a log line and a counter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEvent {
     /// A short fixed name of the event, such as `engine_taken_over`.
     pub event: &'static str,
     /// What it is about, such as an engine's or a model's name.
--- a/crates/skylarkshore-core/src/event.rs
+++ b/crates/skylarkshore-core/src/event.rs
@@ -40,23 +40,29 @@
 
 /// What the operators want of requests of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestPolicy {
     /// On how many upstreams it may run at most.
-    pub tries: u32,
+    pub max_runs: u32,
     /// Until when an answer has its full value.
-    pub aim: Time,
+    pub soft_deadline: Time,
     /// Until when an answer has to begin; its caller waits no longer.
-    pub begins_by: Time,
+    pub first_byte_deadline: Time,
     /// How much earlier (below zero) or later it is served than the rules say.
-    pub rank: i16,
+    pub order_offset: i16,
     /// Whether another upstream may go on with a stream that broke off.
     pub resumable: bool,
 }
 
-impl Terms {
+impl RequestPolicy {
     /// The terms of a request of which nothing special is wanted.
     pub const fn plain(deadline: Time, resumable: bool) -> Self {
-        Self { tries: u32::MAX, aim: deadline, begins_by: Time::NEVER, rank: 0, resumable }
+        Self {
+            max_runs: u32::MAX,
+            soft_deadline: deadline,
+            first_byte_deadline: Time::NEVER,
+            order_offset: 0,
+            resumable,
+        }
     }
 }
 
@@ -76,24 +82,24 @@
     /// By when it has to be answered.
     pub deadline: Time,
     /// What is wanted of its kind.
-    pub terms: Terms,
+    pub policy: RequestPolicy,
     /// Its client account, where callers have one.
     pub charge: Option<Charge>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The whole answer came, and was passed on unless it is kept here.
-    Whole {
+    Completed {
         /// The answer, where it is held back to be recorded first.
         held: Option<RecordedAnswer>,
     },
     /// The whole answer came but is larger than what may be held; it was passed on.
-    WholeTooLarge,
+    CompletedTooLarge,
     /// The whole answer came, says that the upstream failed, and is kept to be
     /// passed on unless another upstream is asked.
-    FailedWhole,
+    CompletedWithFailure,
     /// Nothing of the request reached the upstream.
     NotSent,
     /// The upstream said that it did nothing.
@@ -107,13 +113,13 @@
     },
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// Returns a short fixed word for it, for logs and counters.
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
-            Self::Whole { .. } => "whole",
-            Self::WholeTooLarge => "whole_too_large",
-            Self::FailedWhole => "failed",
+            Self::Completed { .. } => "whole",
+            Self::CompletedTooLarge => "whole_too_large",
+            Self::CompletedWithFailure => "failed",
             Self::NotSent => "not_sent",
             Self::Rejected(Rejection::NotLoaded) => "rejected_not_loaded",
             Self::Rejected(Rejection::Busy) => "rejected_busy",
@@ -140,7 +146,7 @@
 
 /// How much an upstream had to do when it answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadTold {
+pub struct ReportedLoad {
     /// Requests that ran.
     pub running: u32,
     /// Requests that waited inside it.
@@ -196,7 +202,7 @@
     /// The watch has told something that other processes may want to know.
     NewsRead(News),
     /// The watch had no answer in time, and is asked again from where it stood.
-    WatchUnanswered,
+    WatchTimedOut,
     /// The watch broke and may have missed changes.
     WatchBroken,
     /// A message from a peer, whose identity was checked.
@@ -207,7 +213,7 @@
         message: PeerMessage,
     },
     /// Nothing accepts connections any more where a live host had this life of a process.
-    PeerRefused {
+    PeerConnectionRefused {
         /// The host.
         host: HostId,
         /// The life of the process that has ended.
@@ -244,11 +250,11 @@
         request: RequestId,
     },
     /// An upstream's answer told how much it has to do.
-    LoadTold {
+    LoadReported {
         /// The upstream.
         upstream: UpstreamId,
         /// What it told.
-        load: LoadTold,
+        load: ReportedLoad,
     },
     /// The first part of an answer came.
     AnswerStarted {
@@ -260,6 +266,6 @@
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptEnd,
+        end: AttemptOutcome,
     },
 }
--- a/crates/skylarkshore-core/src/listing.rs
+++ b/crates/skylarkshore-core/src/listing.rs
@@ -5,7 +5,7 @@
 use crate::collections::OrderedSet;
 use crate::id::UpstreamId;
 use crate::time::Time;
-use crate::upstream::{Standing, Upstream, UpstreamChanges, UpstreamList};
+use crate::upstream::{Upstream, UpstreamChanges, UpstreamList, UpstreamStatus};
 
 /// What is known of the way to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
         }
         let is_in_doubt = self.is_in_doubt(now, grace);
         changes.gone.retain(|id| {
-            let is_live = before.get(id).is_some_and(|known| known.standing == Standing::Live);
+            let is_live = before.get(id).is_some_and(|known| known.status == UpstreamStatus::Live);
             let is_hidden = is_in_doubt && is_live;
             if is_hidden {
                 self.missing.insert(id.clone());
--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -32,11 +32,11 @@
 
 use std::time::Duration;
 
-use crate::authority::{Authority, EngineUse, HomeWish, OwnershipChange};
+use crate::authority::{Authority, EngineUse, HomeRequest, OwnershipChange};
 use crate::collections::OrderedMap;
 use crate::config::NodeConfig;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::id::{ModelName, OrderId, UpstreamId};
 use crate::loading::demand::Demand;
 use crate::loading::engine::Engine;
@@ -173,7 +173,7 @@
         match answered {
             Answered::Accepted => self.note_accepted(cx, authority, id, &action),
             Answered::Done => engine.note_done(cx.now, &action),
-            Answered::InDoubt => cx.note("order_lost", id, format!("order={order}")),
+            Answered::InDoubt => cx.log_event("order_lost", id, format!("order={order}")),
             Answered::NotDone => note_not_done(cx, engine, &mut self.tally, &action, answer),
         }
     }
@@ -184,7 +184,7 @@
             Order::Load { model, .. } => {
                 load::note_accepted(cx, engine, model);
                 if turnaround::unloaded(engine, cx.now, beside.load_times) {
-                    cx.note("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
+                    cx.log_event("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
                 }
             }
             Order::Unload { .. } => decide(cx, engine, beside),
@@ -221,7 +221,7 @@
             }
             served = load::note_ended(cx, engine, beside);
             if news == ReportNews::Restarted {
-                cx.note("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
+                cx.log_event("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
                 engine.on_restart(cx.now);
             }
             decide(cx, engine, beside);
@@ -256,7 +256,7 @@
     }
 
     /// Tells what is believed.
-    pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
+    pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
         describe::dump(self, cx)
     }
 
@@ -308,7 +308,7 @@
     let copies = &report.copies;
     let (in_memory, on_disk) = (copies.in_memory.len(), copies.on_disk.len());
     let detail = format!("holds=[{}] copies_in_memory={in_memory} copies_on_disk={on_disk}", held.join(" "));
-    cx.note("engine_surveyed", &engine.id, detail);
+    cx.log_event("engine_surveyed", &engine.id, detail);
 }
 
 fn note_not_done(
@@ -320,14 +320,14 @@
 ) {
     if let OrderAnswer::FenceTooLow { seen } = answer {
         engine.phase = stages::Phase::Superseded;
-        cx.note("engine_superseded", &engine.id, format!("fence={} seen={seen}", engine.fence));
+        cx.log_event("engine_superseded", &engine.id, format!("fence={} seen={seen}", engine.fence));
     }
     let reason = match answer {
         OrderAnswer::Refused { reason } => reason.as_str(),
         OrderAnswer::NotSent => "the engine refuses connections",
         OrderAnswer::FenceTooLow { .. } => "the engine has seen a higher fence",
         // One out of turn is tried again as soon as a report tells how things stand.
-        OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OutOfTurn | OrderAnswer::Lost => return,
+        OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OrderConflict | OrderAnswer::Lost => return,
     };
     if let Order::Load { model, .. } | Order::LoadAdapter { model, .. } = action {
         load::failed(cx, engine, tally, model, reason);
@@ -335,19 +335,19 @@
 }
 
 impl EngineUse for Loading {
-    fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        self.engines.get(engine).is_some_and(|engine| engine.is_free_of(model))
+    fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool {
+        self.engines.get(engine).is_some_and(|engine| engine.is_unused_by(model))
     }
 
-    fn is_settled(&self, engine: &UpstreamId) -> bool {
+    fn has_no_open_orders(&self, engine: &UpstreamId) -> bool {
         self.engines.get(engine).is_none_or(|engine| engine.ledger.is_empty())
     }
 
-    fn drawn(&self, engine: &UpstreamId) -> Watts {
-        self.engines.get(engine).map_or(Watts(0), Engine::drawn)
+    fn power_draw(&self, engine: &UpstreamId) -> Watts {
+        self.engines.get(engine).map_or(Watts(0), Engine::power_draw)
     }
 
-    fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
+    fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
         self.engines.get(engine)?.lacks
     }
 
@@ -355,7 +355,7 @@
         self.engines.get(engine).map_or(Mebibytes(0), Engine::free_memory)
     }
 
-    fn home_wishes(&self) -> Vec<HomeWish> {
+    fn home_requests(&self) -> Vec<HomeRequest> {
         self.engines.values().flat_map(|engine| &engine.wishes.due).cloned().collect()
     }
 }
--- a/crates/skylarkshore-core/src/loading/adapters.rs
+++ b/crates/skylarkshore-core/src/loading/adapters.rs
@@ -30,7 +30,7 @@
     if engine.ledger.find(&model, |order| matches!(order, Order::UnloadAdapter { .. })).is_some() {
         return false;
     }
-    cx.note("adapter_closing", format!("{model}/{adapter}@{}", engine.id), "its place is needed");
+    cx.log_event("adapter_closing", format!("{model}/{adapter}@{}", engine.id), "its place is needed");
     engine.send(cx, permit, None, Order::UnloadAdapter { model, adapter });
     false
 }
--- a/crates/skylarkshore-core/src/loading/close.rs
+++ b/crates/skylarkshore-core/src/loading/close.rs
@@ -14,7 +14,7 @@
 use crate::loading::shortage::Margin;
 use crate::loading::stages::{CloseReason, Closing};
 use crate::loading::wants::{self, Cause, Want};
-use crate::rules::{IdleAfter, Outcome, ServiceOrder};
+use crate::rules::{IdleAfter, RuleOutcome, ServiceOrder};
 use crate::time::Time;
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order, ReportedModel};
@@ -54,7 +54,7 @@
     reason: CloseReason,
     room_for: Option<ServiceOrder>,
 ) {
-    cx.note("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
+    cx.log_event("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
     engine.closing.insert(model.clone(), Closing { since: cx.now, reason, room_for, needed: cx.now });
 }
 
@@ -78,7 +78,7 @@
     // A home that is only unconfirmed isn't lost. After an engine has changed
     // hands its homes are written anew one by one; were its models taken for
     // homeless meanwhile, each take-over would empty the engine.
-    if beside.authority.must_close(&engine.id, &seen.model) && !may_become_home(cx, engine, beside, seen) {
+    if beside.authority.must_unload(&engine.id, &seen.model) && !may_become_home(cx, engine, beside, seen) {
         return Some(CloseReason::Surplus);
     }
     if seen.version != known.version {
@@ -90,10 +90,10 @@
 
 /// Tells whether the engine holds the model from before and is about to become its home.
 fn may_become_home(cx: &Cx<'_>, engine: &Engine, beside: &Beside<'_>, seen: &ReportedModel) -> bool {
-    let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.holds_live(&seen.model));
+    let holds = cx.upstreams.get(&engine.id).is_some_and(|listed| listed.is_live_holder(&seen.model));
     let Some((_, homes)) = cx.cache.homes(&seen.model) else { return false };
     let most = wants::rule(cx, engine, beside, &seen.model).replicas_max as usize;
-    engine.is_one_by_one() && holds && !homes.left.contains(&engine.id) && homes.engines.len() < most
+    engine.is_one_by_one() && holds && !homes.evicted_from.contains(&engine.id) && homes.engines.len() < most
 }
 
 /// Works out which idle models the policy would rather unload.
@@ -139,7 +139,7 @@
     engine.last_busy.values().chain(ready).any(|used| !used.after(BURST_PAUSE).is_due(now))
 }
 
-fn stay(cx: &Cx<'_>, engine: &Engine, beside: &Beside<'_>, model: &ModelName, outcome: &Outcome) -> Stay {
+fn stay(cx: &Cx<'_>, engine: &Engine, beside: &Beside<'_>, model: &ModelName, outcome: &RuleOutcome) -> Stay {
     let used = beside.history.last(model);
     let since = used.unwrap_or_else(|| last_use(engine, beside, model));
     let load_time = beside.load_times.on(cx, engine, model);
@@ -332,7 +332,7 @@
     let ready_for = ready.map_or(Duration::ZERO, |ready| cx.now.since(ready)).as_millis();
     let waiting = beside.demand.of_model(model).map_or(0, |need| need.waiting);
     let detail = format!("reason={reason} ready_for_ms={ready_for} used={is_used} waiting={waiting}");
-    cx.note("model_unloaded", format!("{model}@{}", engine.id), detail);
+    cx.log_event("model_unloaded", format!("{model}@{}", engine.id), detail);
     beside.tally.unloads += 1;
     beside.tally.unused += u64::from(!is_used);
 }
--- a/crates/skylarkshore-core/src/loading/crowd.rs
+++ b/crates/skylarkshore-core/src/loading/crowd.rs
@@ -77,7 +77,7 @@
         }
         self.learned = Some(now);
         let detail = format!("from={before} took_ms={} listed_ms={}", took.as_millis(), listed.as_millis());
-        cx.note("loads_at_once", now, detail);
+        cx.log_event("loads_at_once", now, detail);
     }
 }
 
--- a/crates/skylarkshore-core/src/loading/describe.rs
+++ b/crates/skylarkshore-core/src/loading/describe.rs
@@ -1,7 +1,7 @@
 //! What is believed of engines and models, in words and numbers.
 
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::id::ModelName;
 use crate::loading::Loading;
 use crate::loading::engine::Engine;
@@ -12,11 +12,11 @@
 use crate::upstream::{LoadState, ReportedModel};
 
 /// Tells what is believed of every engine and every model on it.
-pub(crate) fn dump(loading: &Loading, cx: &Cx<'_>) -> Vec<Belief> {
+pub(crate) fn dump(loading: &Loading, cx: &Cx<'_>) -> Vec<DumpEntry> {
     let mut beliefs = Vec::new();
     for engine in loading.engines.values() {
         beliefs.push(engine_belief(cx, engine));
-        beliefs.extend(engine.ledger.beliefs(&engine.id));
+        beliefs.extend(engine.ledger.dump_entries(&engine.id));
         let shown = engine.report().into_iter().flat_map(|report| &report.models);
         beliefs.extend(shown.map(|seen| model_belief(engine, seen)));
         let hidden = engine.loads.iter().filter(|(model, _)| engine.model(model).is_none());
@@ -24,11 +24,11 @@
             belief(engine, model, "load ordered, not seen yet".to_owned(), Some(progress.started))
         }));
     }
-    beliefs.extend(loading.pacing.beliefs());
+    beliefs.extend(loading.pacing.dump_entries());
     beliefs
 }
 
-fn engine_belief(cx: &Cx<'_>, engine: &Engine) -> Belief {
+fn engine_belief(cx: &Cx<'_>, engine: &Engine) -> DumpEntry {
     let phase = match engine.phase {
         Phase::RaisingFence { .. } => "raising the fence",
         Phase::FenceRaised { .. } => "waiting for its first report",
@@ -44,10 +44,10 @@
         engine.free_memory(),
         reserved(engine),
     );
-    Belief { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired) }
+    DumpEntry { kind: "engine", subject: engine.id.to_string(), state, since: Some(engine.acquired) }
 }
 
-fn model_belief(engine: &Engine, seen: &ReportedModel) -> Belief {
+fn model_belief(engine: &Engine, seen: &ReportedModel) -> DumpEntry {
     if let Some(closing) = engine.closing.get(&seen.model) {
         let text = format!("closing for {}; running={}", closing.reason, seen.running);
         return belief(engine, &seen.model, text, Some(closing.since));
@@ -67,8 +67,8 @@
     belief(engine, &seen.model, text, since)
 }
 
-fn belief(engine: &Engine, model: &ModelName, state: String, since: Option<Time>) -> Belief {
-    Belief { kind: "model", subject: format!("{model}@{}", engine.id), state, since }
+fn belief(engine: &Engine, model: &ModelName, state: String, since: Option<Time>) -> DumpEntry {
+    DumpEntry { kind: "model", subject: format!("{model}@{}", engine.id), state, since }
 }
 
 /// Returns the numbers for the metrics.
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -18,7 +18,7 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 use crate::units::{Mebibytes, Watts};
-use crate::upstream::{EngineReport, EngineSpec, LoadState, OrderMode, ReportedModel, Standing};
+use crate::upstream::{EngineReport, EngineSpec, LoadState, OrderMode, ReportedModel, UpstreamStatus};
 
 /// How long an adapter takes to answer after its order was accepted; engines
 /// state 5 to 10 ms.
@@ -36,7 +36,7 @@
     pub late_orders_memory: Mebibytes,
     pub spec: Option<EngineSpec>,
     pub site: Option<SiteName>,
-    pub standing: Standing,
+    pub status: UpstreamStatus,
     pub ledger: Ledger,
     pub seen: Option<Seen>,
     /// The latest life that is known of.
@@ -118,7 +118,7 @@
             late_orders_memory: Mebibytes(0),
             spec: None,
             site: None,
-            standing: Standing::Live,
+            status: UpstreamStatus::Live,
             ledger: Ledger::default(),
             seen: None,
             life: Incarnation::default(),
@@ -163,7 +163,7 @@
     pub(crate) fn refresh(&mut self, cx: &Cx<'_>) {
         if let Some(upstream) = cx.upstreams.get(&self.id) {
             self.spec = upstream.engine().cloned();
-            self.standing = upstream.standing;
+            self.status = upstream.status;
             self.site = Some(upstream.site.clone());
             if self.incarnation().is_some_and(|known| known < upstream.incarnation) {
                 self.on_listed_life(cx.now, upstream.incarnation);
@@ -185,7 +185,7 @@
     }
 
     /// Tells whether the model is neither loaded nor loading nor possibly so.
-    pub(crate) fn is_free_of(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_unused_by(&self, model: &ModelName) -> bool {
         self.report().is_some()
             && self.late_orders == LateOrders::None
             && self.model(model).is_none()
@@ -193,7 +193,7 @@
     }
 
     /// Returns the power that the engine may be drawing now.
-    pub(crate) fn drawn(&self) -> Watts {
+    pub(crate) fn power_draw(&self) -> Watts {
         let Some(spec) = &self.spec else { return Watts(0) };
         if self.may_hold_models() { spec.active_watts } else { spec.sleep_watts }
     }
@@ -242,7 +242,7 @@
 
     /// Tells whether the engine numbers its orders and carries them out one at a time.
     pub(crate) fn is_one_by_one(&self) -> bool {
-        self.spec.as_ref().is_some_and(|spec| spec.order_mode == OrderMode::OneByOne)
+        self.spec.as_ref().is_some_and(|spec| spec.order_mode == OrderMode::Sequential)
     }
 
     /// Tells whether an order for a base model would be carried out at once.
@@ -284,7 +284,7 @@
 
     /// Tells whether the engine gets no new work.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.standing == Standing::Leaving || self.report().is_some_and(|report| report.leaving)
+        self.status == UpstreamStatus::Leaving || self.report().is_some_and(|report| report.leaving)
     }
 
     /// Returns how many requests the engine runs at a time.
--- a/crates/skylarkshore-core/src/loading/engine/contact.rs
+++ b/crates/skylarkshore-core/src/loading/engine/contact.rs
@@ -27,7 +27,7 @@
     pub(crate) fn expire_orders(&mut self, cx: &mut Cx<'_>) {
         let expired = self.ledger.expire(cx.now, cx.cfg.timings.order_settle);
         if expired > 0 {
-            cx.note("order_lost", &self.id, format!("unanswered={expired}"));
+            cx.log_event("order_lost", &self.id, format!("unanswered={expired}"));
         }
     }
 
@@ -66,7 +66,7 @@
         };
         self.next_ask = cx.now.after(every);
         self.unanswered_since.get_or_insert(cx.now);
-        cx.push(Effect::AskReport { upstream: self.id.clone() });
+        cx.push(Effect::RequestReport { upstream: self.id.clone() });
     }
 
     /// Tells whether nothing runs, waits or is under way here, and nobody is interested.
@@ -120,7 +120,7 @@
             OrderAnswer::Refused { .. } if ignores => self.on_fence_raised(cx),
             OrderAnswer::FenceTooLow { .. } => self.phase = Phase::Superseded,
             OrderAnswer::Refused { .. }
-            | OrderAnswer::OutOfTurn
+            | OrderAnswer::OrderConflict
             | OrderAnswer::NotSent
             | OrderAnswer::Lost => {
                 self.phase = Phase::RaisingFence { order: None, retry: cx.now.after(FENCE_RETRY) };
@@ -138,7 +138,7 @@
     pub(crate) fn count_answer(&mut self, now: Time, answer: &OrderAnswer) {
         match answer {
             OrderAnswer::Accepted => self.count_accepted(now),
-            OrderAnswer::OutOfTurn | OrderAnswer::Refused { .. } | OrderAnswer::Lost => {
+            OrderAnswer::OrderConflict | OrderAnswer::Refused { .. } | OrderAnswer::Lost => {
                 self.accepted = None;
                 self.recount_from = now;
                 self.next_ask = now;
--- a/crates/skylarkshore-core/src/loading/engine/reports.rs
+++ b/crates/skylarkshore-core/src/loading/engine/reports.rs
@@ -36,7 +36,7 @@
         // Engines that number their orders hold models from before anyone owned them.
         if !is_first && !self.is_one_by_one() {
             for model in unexpected {
-                cx.note(
+                cx.log_event(
                     "unexpected_model",
                     format!("{model}@{}", self.id),
                     "loaded by no order of the owner",
@@ -49,7 +49,7 @@
     pub(crate) fn note_unshown(&mut self, cx: &mut Cx<'_>, settled: &[Settled]) {
         for order in settled.iter().filter(|order| !order.shown) {
             if let Order::LoadAdapter { model, adapter, .. } = &order.action {
-                cx.note(
+                cx.log_event(
                     "adapter_not_shown",
                     format!("{model}/{adapter}@{}", self.id),
                     "will be asked for anew",
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -6,7 +6,7 @@
 
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{HostId, ModelName, UpstreamId};
 use crate::loading::crowd::Crowd;
 use crate::peer::PeerMessage;
@@ -120,7 +120,7 @@
             let ahead = self.queue.values().filter(|other| rank(other) < rank(own)).count();
             let wait = self.wait(cx, ahead);
             let (upstream, model) = (key.engine.clone(), key.model.clone());
-            cx.tell(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
+            cx.send(from, PeerMessage::LoadSlotQueued { upstream, model, wait });
         }
     }
 
@@ -209,14 +209,14 @@
     }
 
     /// Tells which loads hold a share of the weight store and which wait for one.
-    pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
         let granted = self.granted.iter().map(|(key, granted)| {
             let state = format!("let through for {}", granted.from);
-            Belief { kind: "store_slot", subject: key.to_string(), state, since: Some(granted.renewed) }
+            DumpEntry { kind: "store_slot", subject: key.to_string(), state, since: Some(granted.renewed) }
         });
         let queued = self.queue.iter().map(|(key, queued)| {
             let state = format!("waits for {}", queued.from);
-            Belief { kind: "store_slot", subject: key.to_string(), state, since: Some(queued.since) }
+            DumpEntry { kind: "store_slot", subject: key.to_string(), state, since: Some(queued.since) }
         });
         granted.chain(queued)
     }
@@ -235,7 +235,7 @@
             let beside = self.granted.len();
             let (to, waiting) = (&queued.from, self.queue.len());
             let detail = format!("to={to} running={beside} of={at_once} waiting={waiting}");
-            cx.note("load_slot_granted", &key, detail);
+            cx.log_event("load_slot_granted", &key, detail);
             tell_granted(cx, &queued.from, &key);
             self.granted.insert(
                 key,
@@ -259,5 +259,5 @@
 
 fn tell_granted(cx: &mut Cx<'_>, to: &HostId, key: &LoadKey) {
     let granted = PeerMessage::LoadSlotGranted { upstream: key.engine.clone(), model: key.model.clone() };
-    cx.tell(to, granted);
+    cx.send(to, granted);
 }
--- a/crates/skylarkshore-core/src/loading/ledger.rs
+++ b/crates/skylarkshore-core/src/loading/ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::collections::OrderedMap;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{AdapterName, ModelName, OrderId, UpstreamId};
 use crate::time::Time;
 use crate::units::Mebibytes;
@@ -189,7 +189,7 @@
     /// Takes out what the report, asked for at `asked`, settles.
     pub(crate) fn settle(&mut self, report: &EngineReport, asked: Time, settle: Duration) -> Vec<Settled> {
         let is_settled = |order: &OrderId, pending: &mut PendingOrder| {
-            let named = report.settled.contains(order);
+            let named = report.finished_orders.contains(order);
             if let Some((accepted, after)) = report.accepted.zip(pending.after) {
                 let taken = accepted > after && asked >= pending.sent && !report.busy;
                 let expired = pending.lost.is_some_and(|lost| asked >= lost.after(settle));
@@ -238,7 +238,7 @@
     }
 
     /// Tells which orders the engine has yet to answer or to carry out.
-    pub(crate) fn beliefs(&self, engine: &UpstreamId) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self, engine: &UpstreamId) -> impl Iterator<Item = DumpEntry> {
         self.orders.iter().map(move |(id, pending)| {
             let progress = match pending.progress {
                 Progress::InFlight => "on its way",
@@ -246,7 +246,7 @@
                 Progress::Unanswered => "in doubt",
             };
             let state = format!("order {id}, {progress}: {:?}", pending.action);
-            Belief { kind: "order", subject: engine.to_string(), state, since: Some(pending.sent) }
+            DumpEntry { kind: "order", subject: engine.to_string(), state, since: Some(pending.sent) }
         })
     }
 
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -120,7 +120,7 @@
 
 /// Tells whether the engine may draw what it draws with something loaded.
 pub(crate) fn has_power(engine: &Engine, beside: &Beside<'_>) -> bool {
-    engine.spec.as_ref().is_some_and(|spec| beside.authority.granted(&engine.id) >= spec.active_watts)
+    engine.spec.as_ref().is_some_and(|spec| beside.authority.granted_power(&engine.id) >= spec.active_watts)
 }
 
 fn load_adapters(cx: &mut Cx<'_>, engine: &mut Engine, beside: &mut Beside<'_>, permit: Permit, want: &Want) {
@@ -227,7 +227,7 @@
         _ => want.model.to_string(),
     };
     let copy = if engine.has_copy(&want.model) { "here" } else { "none" };
-    cx.note(
+    cx.log_event(
         "load_started",
         format!("{what}@{}", engine.id),
         format!("cause={} order={} waiting={} copy={copy}", want.cause, want.order, want.waiting),
@@ -274,7 +274,7 @@
         let source = if load.is_from_store { "store" } else { "copy" };
         let waiting = beside.demand.of_model(&model).map_or(0, |need| need.waiting);
         let detail = format!("took_ms={} source={source} waiting={waiting}", took.as_millis());
-        cx.note("load_ended", format!("{model}@{}", engine.id), detail);
+        cx.log_event("load_ended", format!("{model}@{}", engine.id), detail);
     }
     for load in engine.loads.values_mut() {
         load.checked = cx.now;
@@ -301,7 +301,7 @@
     let count = engine.failures.get(model).map_or(0, |failures| failures.count).saturating_add(1);
     let pause = FIRST_RETRY.saturating_mul(1 << count.min(MAX_DOUBLINGS));
     engine.failures.insert(model.clone(), Failures { count, retry: cx.now.after(pause) });
-    cx.note("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
+    cx.log_event("load_failed", format!("{model}@{}", engine.id), format!("count={count} reason={reason}"));
 }
 
 /// Tells whether the engine is busy with a load of the model or of its adapters, or may be.
--- a/crates/skylarkshore-core/src/loading/pacing.rs
+++ b/crates/skylarkshore-core/src/loading/pacing.rs
@@ -17,7 +17,7 @@
 
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{HostId, UpstreamId};
 use crate::loading::gate::{Gate, LoadKey, QUEUE_LIFE, RENEW_EVERY, Urgency, rate};
 use crate::peer::PeerMessage;
@@ -132,7 +132,7 @@
             ask.unanswered = None;
             ask.next = now;
             if let Some(gate) = ask.gate.clone() {
-                cx.note("store_gate_silent", &gate, format!("asked for {key}"));
+                cx.log_event("store_gate_silent", &gate, format!("asked for {key}"));
                 self.silent.insert(gate, now.after(GATE_AVOIDED));
             }
             self.ask_gate(cx, key);
@@ -185,7 +185,7 @@
         if let Some(ask) = self.asks.get_mut(key) {
             ask.share = Share::Local;
         }
-        cx.note("store_gates_away", key, "the load begins without a gate");
+        cx.log_event("store_gates_away", key, "the load begins without a gate");
         true
     }
 
@@ -221,9 +221,9 @@
             upstream: key.engine.clone(),
             model: key.model.clone(),
             order: ask.urgency.order,
-            patience: ask.urgency.patience,
+            max_wait: ask.urgency.patience,
         };
-        cx.tell(&gate, wanted);
+        cx.send(&gate, wanted);
     }
 
     /// Gives a share back that a load can't use, unless it has begun.
@@ -237,12 +237,12 @@
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let Some(ask) = self.asks.remove(key) else { return };
         if let Some(gate) = ask.gate {
-            cx.tell(&gate, returned(key));
+            cx.send(&gate, returned(key));
         }
     }
 
     /// Tells what this process asks of the gate, and what it grants where it keeps the gate itself.
-    pub(crate) fn beliefs(&self) -> impl Iterator<Item = Belief> {
+    pub(crate) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
         let asks = self.asks.iter().map(|(key, ask)| {
             let gate = ask.gate.as_ref().map_or("none", HostId::as_str);
             let standing = match (ask.share, ask.started) {
@@ -251,9 +251,9 @@
                 (_, true) => "in progress",
             };
             let state = format!("{standing}; gate={gate}");
-            Belief { kind: "load_slot", subject: key.to_string(), state, since: ask.asked }
+            DumpEntry { kind: "load_slot", subject: key.to_string(), state, since: ask.asked }
         });
-        asks.chain(self.gate.beliefs())
+        asks.chain(self.gate.dump_entries())
     }
 
     /// Gives back every slot of an engine.
@@ -312,15 +312,15 @@
         let Some(gate) = gate else { return };
         let former = ask.gate.replace(gate.clone()).filter(|former| *former != gate);
         if let Some(former) = former {
-            cx.tell(&former, returned(key));
+            cx.send(&former, returned(key));
         }
-        cx.tell(&gate, held(key));
+        cx.send(&gate, held(key));
     }
 
     /// Takes a peer's message about slots.
     pub(crate) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         match message {
-            PeerMessage::LoadSlotWanted { upstream, model, order, patience } => {
+            PeerMessage::LoadSlotWanted { upstream, model, order, max_wait: patience } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
                 self.gate.wanted(cx, from, &key, Urgency { order: *order, patience: *patience });
             }
@@ -352,7 +352,7 @@
     fn on_granted(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
         let Some(ask) = self.asks.get_mut(key) else {
             // The load isn't wanted any more; others could use the slot.
-            cx.tell(from, returned(key));
+            cx.send(from, returned(key));
             return;
         };
         ask.unanswered = None;
@@ -362,7 +362,7 @@
             ask.next = cx.now.after(RENEW_EVERY);
         } else if ask.gate.as_ref() != Some(from) {
             // Another gate has let it through meanwhile, and only that one is told of its end.
-            cx.tell(from, returned(key));
+            cx.send(from, returned(key));
         }
     }
 }
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -23,13 +23,13 @@
     ) {
         self.pacing.on_peer(cx, from, message);
         match message {
-            PeerMessage::Used { target, arrived, late, worked, waited_for } => {
+            PeerMessage::Used { target, arrived, late, run_time, waited_for } => {
                 self.usage.count(
                     cx.now,
                     &target.model,
-                    Counted { arrived: *arrived, late: *late, worked: *worked },
+                    Counted { arrived: *arrived, late: *late, run_time: *run_time },
                 );
-                self.unserved.asked(cx.now, target, *arrived, *worked);
+                self.unserved.asked(cx.now, target, *arrived, *run_time);
                 self.note_use(cx, &target.model);
                 self.note_adapter_use(cx.now, target);
                 self.demand.listens(cx.now, from, &target.model, &cx.cfg.timings);
@@ -37,7 +37,7 @@
                     self.demand.satisfied(from, target);
                 }
             }
-            PeerMessage::Wanted { target, waiting, order, patience, aim } => {
+            PeerMessage::Wanted { target, waiting, order, max_wait: patience, soft_deadline: aim } => {
                 if *waiting > 0 {
                     self.history.used(cx.now, &target.model);
                 }
@@ -46,13 +46,13 @@
                     Wanted { from, target, waiting: *waiting, order: *order, patience: *patience, aim: *aim };
                 if let Some(busy) = self.busy(cx, authority, &wanted) {
                     self.demand.wanted(cx.now, Wanted { waiting: 0, ..wanted }, &cx.cfg.timings);
-                    return cx.tell(from, busy);
+                    return cx.send(from, busy);
                 }
                 self.demand.wanted(cx.now, wanted, &cx.cfg.timings);
                 self.answer_wanted(cx, authority, &wanted);
             }
             PeerMessage::PowerWanted { site, .. } => self.shortages.called(cx.now, site),
-            PeerMessage::ReservationWanted { upstream, patience } => {
+            PeerMessage::ReservationWanted { upstream, max_wait: patience } => {
                 let Some(engine) = self.engines.get_mut(upstream) else { return };
                 engine.reservation.wanted(cx.now, from, *patience);
                 views::tell_changes(cx, engine, &self.demand);
@@ -134,6 +134,6 @@
         if let PeerMessage::CannotLoad { reason: CannotLoad::TooSlow, retry_after, .. } = &refusal {
             self.demand.promise(cx.now, wanted, *retry_after);
         }
-        cx.tell(wanted.from, refusal);
+        cx.send(wanted.from, refusal);
     }
 }
--- a/crates/skylarkshore-core/src/loading/policy.rs
+++ b/crates/skylarkshore-core/src/loading/policy.rs
@@ -7,7 +7,7 @@
 use crate::loading::gaps::Expectation;
 use crate::loading::history::History;
 use crate::loading::shortage::Margin;
-use crate::rules::{Facts, IdleAfter, Outcome, Percent};
+use crate::rules::{IdleAfter, Percent, RuleInput, RuleOutcome};
 
 /// The times ahead that are looked at, in seconds.
 const HORIZONS: [f64; 16] = [
@@ -31,15 +31,15 @@
 }
 
 /// Finds what the rules decide for a model.
-pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: Use) -> &'a Outcome {
-    let facts = Facts {
+pub(crate) fn outcome<'a>(cx: &Cx<'a>, model: &ModelName, usage: Use) -> &'a RuleOutcome {
+    let facts = RuleInput {
         model: Some(model),
         data_centre: Some(&cx.cfg.data_centre),
         at: Some(cx.at),
         memory_pressure: Some(usage.memory_pressure),
         idle_for: usage.idle_for,
         queue: Some(usage.queue),
-        ..Facts::default()
+        ..RuleInput::default()
     };
     cx.document.rules.decide(&facts).outcome
 }
@@ -59,7 +59,7 @@
     pub(crate) fn new(
         history: &History,
         model: &ModelName,
-        outcome: &Outcome,
+        outcome: &RuleOutcome,
         load_time: Duration,
         idle: Duration,
     ) -> Self {
@@ -86,7 +86,7 @@
 }
 
 /// Returns what an avoided cold start is worth, in seconds of an idle accelerator.
-fn worth(history: &History, model: &ModelName, outcome: &Outcome, load_time: Duration) -> f64 {
+fn worth(history: &History, model: &ModelName, outcome: &RuleOutcome, load_time: Duration) -> f64 {
     if outcome.idle_weight == 0 {
         return f64::INFINITY;
     }
@@ -125,7 +125,7 @@
 pub(crate) fn is_worth_prewarming(
     history: &History,
     model: &ModelName,
-    outcome: &Outcome,
+    outcome: &RuleOutcome,
     load_time: Duration,
     idle: Duration,
 ) -> bool {
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -6,7 +6,7 @@
 use crate::loading::engine::Engine;
 use crate::store::HomesRecord;
 use crate::units::Mebibytes;
-use crate::upstream::Standing;
+use crate::upstream::UpstreamStatus;
 
 /// From how many requests a second on a model has a second replica.
 ///
@@ -78,7 +78,7 @@
     model: &ModelName,
     homes: &HomesRecord,
 ) -> bool {
-    cx.upstreams.keepers(model).take(COPIES_LEAST).count() < COPIES_LEAST
+    cx.upstreams.engines_with_weights(model).take(COPIES_LEAST).count() < COPIES_LEAST
         || beside.usage.late_share(cx.now, model) > SCARCE_LATE_SHARE
         || holders(cx, model, homes) * SCARCE_SHARE < replicas_by_use(cx, engine, beside, model, homes)
 }
@@ -109,7 +109,7 @@
 
 /// Tells whether an engine holds a model and stays, as far as the list tells.
 fn is_holding(cx: &Cx<'_>, engine: &UpstreamId, model: &ModelName) -> bool {
-    let known = cx.upstreams.get(engine).filter(|known| known.standing == Standing::Live);
+    let known = cx.upstreams.get(engine).filter(|known| known.status == UpstreamStatus::Live);
     known.is_some_and(|known| known.holds.contains(model))
 }
 
@@ -172,7 +172,7 @@
     homes: &'a HomesRecord,
 ) -> impl Iterator<Item = &'a UpstreamId> {
     homes.engines.iter().filter(|home| {
-        let live = cx.upstreams.get(home).is_some_and(|upstream| upstream.standing == Standing::Live);
+        let live = cx.upstreams.get(home).is_some_and(|upstream| upstream.status == UpstreamStatus::Live);
         let owned = cx.cache.owner(home).is_some_and(|(_, owner)| cx.cache.member(&owner.host).is_some());
         **home == engine.id || live && owned
     })
--- a/crates/skylarkshore-core/src/loading/stages.rs
+++ b/crates/skylarkshore-core/src/loading/stages.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Display;
 
-use crate::authority::HomeWish;
+use crate::authority::HomeRequest;
 use crate::collections::OrderedMap;
 use crate::id::{ModelName, OrderId};
 use crate::rules::ServiceOrder;
@@ -166,5 +166,5 @@
     /// Where no room can be made.
     pub crowded: OrderedMap<ModelName, Time>,
     /// What has been wished for long enough.
-    pub due: Vec<HomeWish>,
+    pub due: Vec<HomeRequest>,
 }
--- a/crates/skylarkshore-core/src/loading/turnaround.rs
+++ b/crates/skylarkshore-core/src/loading/turnaround.rs
@@ -45,7 +45,7 @@
 /// Takes note that a load came while the engine still unloads; tells whether it did.
 pub(crate) fn came_too_early(engine: &mut Engine, now: Time, action: &Order, answer: &OrderAnswer) -> bool {
     let Order::Load { model, .. } = action else { return false };
-    if *answer != OrderAnswer::OutOfTurn || engine.ledger.accepted_unload().is_none() {
+    if *answer != OrderAnswer::OrderConflict || engine.ledger.accepted_unload().is_none() {
         return false;
     }
     engine.loads.remove(model);
--- a/crates/skylarkshore-core/src/loading/unserved.rs
+++ b/crates/skylarkshore-core/src/loading/unserved.rs
@@ -39,9 +39,9 @@
 
 impl Unserved {
     /// Takes note of requests that arrived at a router, and of those that ran.
-    pub(crate) fn asked(&mut self, now: Time, target: &ModelTarget, arrived: u32, worked: Duration) {
+    pub(crate) fn asked(&mut self, now: Time, target: &ModelTarget, arrived: u32, run_time: Duration) {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
-        if worked > Duration::ZERO {
+        if run_time > Duration::ZERO {
             self.spells.remove(&base);
             self.spells.remove(target);
         } else if arrived > 0 {
@@ -77,9 +77,9 @@
                 continue;
             }
             spell.next_told = cx.now.after(TOLD_EVERY);
-            let copies = upstreams.keepers(&target.model).count();
+            let copies = upstreams.engines_with_weights(&target.model).count();
             let lasts = cx.now.since(spell.since).as_millis();
-            cx.note(
+            cx.log_event(
                 "model_unserved",
                 target,
                 format!("asked={} for_ms={lasts} copies={copies}", spell.asked),
--- a/crates/skylarkshore-core/src/loading/usage.rs
+++ b/crates/skylarkshore-core/src/loading/usage.rs
@@ -48,7 +48,7 @@
     /// Answers that began late for the engine's sake.
     pub late: u32,
     /// For how long requests ran, added up.
-    pub worked: Duration,
+    pub run_time: Duration,
 }
 
 /// How much each model is used.
@@ -63,8 +63,8 @@
         let mut rate = self.rate(now, model);
         rate.requests += f64::from(told.arrived) / MEMORY.as_secs_f64();
         rate.late += f64::from(told.late) / MEMORY.as_secs_f64();
-        rate.running += told.worked.as_secs_f64() / MEMORY.as_secs_f64();
-        if told.worked > Duration::ZERO {
+        rate.running += told.run_time.as_secs_f64() / MEMORY.as_secs_f64();
+        if told.run_time > Duration::ZERO {
             rate.worked_at = Some(now);
         }
         self.rates.insert(model.clone(), rate);
--- a/crates/skylarkshore-core/src/loading/views.rs
+++ b/crates/skylarkshore-core/src/loading/views.rs
@@ -50,7 +50,7 @@
     let view = remember(cx.now, engine, view);
     for host in hosts {
         engine.told.to.insert(host.clone(), cx.now);
-        cx.tell(&host, PeerMessage::View(view.clone()));
+        cx.send(&host, PeerMessage::View(view.clone()));
     }
 }
 
@@ -112,7 +112,7 @@
         return;
     }
     engine.told.to.insert(host.clone(), cx.now);
-    cx.tell(host, PeerMessage::View(view));
+    cx.send(host, PeerMessage::View(view));
 }
 
 fn remember(now: Time, engine: &mut Engine, mut view: EngineView) -> EngineView {
--- a/crates/skylarkshore-core/src/loading/wants.rs
+++ b/crates/skylarkshore-core/src/loading/wants.rs
@@ -9,7 +9,7 @@
 use crate::loading::policy::{self, Use};
 use crate::loading::replicas;
 use crate::loading::{Beside, demand::Need};
-use crate::rules::{Outcome, Percent, ServiceOrder};
+use crate::rules::{Percent, RuleOutcome, ServiceOrder};
 use crate::time::Time;
 use crate::units::Watts;
 
@@ -197,7 +197,7 @@
 
 /// Tells whether an engine that stays has the model or a copy of it, as far as the list tells.
 fn has_copy_elsewhere(cx: &Cx<'_>, engine: &Engine, model: &ModelName) -> bool {
-    cx.upstreams.keepers(model).any(|known| known.id != engine.id)
+    cx.upstreams.engines_with_weights(model).any(|known| known.id != engine.id)
 }
 
 /// Works out which models are better loaded ahead of their next request.
@@ -226,7 +226,7 @@
 }
 
 /// Returns how many replicas the requests that wait are worth.
-fn replicas_needed(engine: &Engine, need: &Need, outcome: &Outcome) -> u32 {
+fn replicas_needed(engine: &Engine, need: &Need, outcome: &RuleOutcome) -> u32 {
     let worth = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
     worth.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
@@ -238,7 +238,7 @@
     wants: &[Want],
 ) -> Option<(Watts, ServiceOrder)> {
     let needs = engine.spec.as_ref()?.active_watts;
-    let granted = beside.authority.granted(&engine.id);
+    let granted = beside.authority.granted_power(&engine.id);
     // A load ahead of any request isn't worth another engine's sleep.
     let needed = wants.iter().filter(|want| want.cause != Cause::Ahead);
     let unmet = needed.into_iter().find(|want| engine.model(&want.model).is_none())?;
@@ -246,7 +246,12 @@
 }
 
 /// Finds what the rules decide for a model on an engine.
-pub(crate) fn rule<'a>(cx: &Cx<'a>, engine: &Engine, beside: &Beside<'_>, model: &ModelName) -> &'a Outcome {
+pub(crate) fn rule<'a>(
+    cx: &Cx<'a>,
+    engine: &Engine,
+    beside: &Beside<'_>,
+    model: &ModelName,
+) -> &'a RuleOutcome {
     let total = engine.memory();
     let taken = total.saturating_sub(engine.free_memory());
     let usage = Use {
--- a/crates/skylarkshore-core/src/loading/wishes.rs
+++ b/crates/skylarkshore-core/src/loading/wishes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::authority::HomeWish;
+use crate::authority::HomeRequest;
 use crate::collections::OrderedMap;
 use crate::cx::Cx;
 use crate::id::ModelName;
@@ -38,10 +38,10 @@
     keep_since(cx.now, &mut engine.wishes.crowded, &crowded);
     let is_home = |model: &ModelName| beside.authority.is_home(&engine.id, model);
     let spread = lasting(cx.now, &engine.wishes.full, FULL_FOR)
-        .map(|model| HomeWish { model: model.clone(), leave: None });
+        .map(|model| HomeRequest { model: model.clone(), move_from: None });
     let moves = lasting(cx.now, &engine.wishes.crowded, CROWDED_FOR)
         .filter(|model| is_home(model))
-        .map(|model| HomeWish { model: model.clone(), leave: Some(engine.id.clone()) });
+        .map(|model| HomeRequest { model: model.clone(), move_from: Some(engine.id.clone()) });
     engine.wishes.due = spread.chain(moves).collect();
 }
 
--- a/crates/skylarkshore-core/src/headcount.rs
+++ b/crates/skylarkshore-core/src/member_count.rs
@@ -12,17 +12,17 @@
 
 /// The largest number of processes seen lately.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Headcount {
+pub(crate) struct MemberCount {
     most: u64,
     seen: Time,
 }
 
-impl Headcount {
+impl MemberCount {
     /// Nobody else is known.
     pub(crate) const ALONE: Self = Self { most: 1, seen: Time::START };
 
     /// Takes note of a number that was seen.
-    pub(crate) fn note(&mut self, now: Time, hosts: usize) {
+    pub(crate) fn record(&mut self, now: Time, hosts: usize) {
         let hosts = u64::try_from(hosts).unwrap_or(u64::MAX).max(1);
         if hosts >= self.most || self.seen.after(BELIEVED).is_due(now) {
             *self = Self { most: hosts, seen: now };
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -10,7 +10,7 @@
 use crate::config::NodeConfig;
 use crate::control::Control;
 use crate::cx::{Counters, Cx};
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::effect::Effect;
 use crate::event::Event;
 use crate::id::{HostId, StoreRevision};
@@ -20,7 +20,7 @@
 use crate::rules::MinuteOfDay;
 use crate::serving::Serving;
 use crate::store::{
-    Key, Record, RecordBatch, StoreAnswer, StoreCache, Versioned, WriteOutcome, WriteRequest, Writes,
+    Key, Record, RecordBatch, StoreAnswer, StoreCache, Versioned, WriteOutcome, WriteQueue, WriteRequest,
 };
 use crate::time::Time;
 use crate::upstream::{UpstreamChanges, UpstreamList};
@@ -36,7 +36,7 @@
     listing: Listing,
     counters: Counters,
     rng: SmallRng,
-    writes: Writes,
+    writes: WriteQueue,
     control: Control,
     loading: Loading,
     serving: Serving,
@@ -57,7 +57,7 @@
 
 /// The parts that a decision changes, beside the surroundings that it reads.
 struct Parts<'a> {
-    writes: &'a mut Writes,
+    writes: &'a mut WriteQueue,
     control: &'a mut Control,
     loading: &'a mut Loading,
     serving: &'a mut Serving,
@@ -74,7 +74,7 @@
             listing: Listing::new(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(cfg.seed),
-            writes: Writes::default(),
+            writes: WriteQueue::default(),
             control: Control::new(&cfg),
             loading: Loading::new(&cfg),
             serving: Serving::new(&cfg),
@@ -122,11 +122,11 @@
 
     /// Tells whether the process knows enough to serve.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.document.is_known() && !self.upstreams.is_empty()
+        !self.is_leaving() && self.document.is_configured() && !self.upstreams.is_empty()
     }
 
     /// Tells what the process believes.
-    pub fn dump(&mut self, now: Time) -> Vec<Belief> {
+    pub fn dump(&mut self, now: Time) -> Vec<DumpEntry> {
         self.with(now, &mut Vec::new(), |cx, parts| {
             let mut beliefs = parts.control.dump(cx);
             beliefs.extend(parts.loading.dump(cx));
@@ -181,7 +181,7 @@
                     self.take_records(now, vec![found.clone()], effects);
                 }
                 let ended = self.with(now, effects, |cx, parts| {
-                    parts.control.on_store(cx, call, &result);
+                    parts.control.on_store_result(cx, call, &result);
                     parts.serving.on_store(cx, call, &result);
                     parts.writes.on_result(cx, call, &result)
                 });
@@ -198,25 +198,27 @@
             }
             Event::State { upto, records } => {
                 self.take_snapshot(now, upto, records, effects);
-                self.with(now, effects, |cx, parts| parts.control.on_state(cx, upto));
+                self.with(now, effects, |cx, parts| parts.control.on_snapshot(cx, upto));
             }
             Event::UnknownPeer => {
                 self.with(now, effects, |cx, parts| parts.control.on_unknown_peer(cx));
             }
             Event::NewsMissed { lasts } => {
-                self.with(now, effects, |cx, parts| parts.control.on_news_missed(cx, lasts));
+                self.with(now, effects, |cx, parts| parts.control.on_news_gap(cx, lasts));
             }
-            Event::WatchUnanswered => {
+            Event::WatchTimedOut => {
                 self.listing.silent();
-                self.control.on_watch_unanswered();
+                self.control.on_watch_timed_out();
             }
             Event::WatchBroken => {
                 self.listing.silent();
                 self.with(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
             }
             Event::Peer { from, message } => self.on_peer(now, &from, message, effects),
-            Event::PeerRefused { host, incarnation } => {
-                self.with(now, effects, |cx, parts| parts.control.on_peer_refused(cx, &host, incarnation));
+            Event::PeerConnectionRefused { host, incarnation } => {
+                self.with(now, effects, |cx, parts| {
+                    parts.control.on_peer_connection_refused(cx, &host, incarnation);
+                });
             }
             Event::Order { upstream, order, answer } => {
                 self.with(now, effects, |cx, parts| {
@@ -233,8 +235,8 @@
             Event::CallerGone { request } => {
                 self.with(now, effects, |cx, parts| parts.serving.on_caller_gone(cx, request));
             }
-            Event::LoadTold { upstream, load } => {
-                self.with(now, effects, |cx, parts| parts.serving.on_load_told(cx, &upstream, load));
+            Event::LoadReported { upstream, load } => {
+                self.with(now, effects, |cx, parts| parts.serving.on_load_reported(cx, &upstream, load));
             }
             Event::AnswerStarted { attempt } => {
                 self.with(now, effects, |cx, parts| parts.serving.on_answer_started(cx, attempt));
@@ -284,7 +286,7 @@
             return;
         }
         self.with(now, effects, |cx, parts| parts.control.on_drained(cx));
-        if self.control.has_left() {
+        if self.control.has_deregistered() {
             self.shutdown = Shutdown::Exited;
             effects.push(Effect::Exit);
         }
@@ -313,7 +315,7 @@
             return;
         }
         if let PeerMessage::News(news) = &message {
-            effects.push(Effect::TakeNews(news.clone()));
+            effects.push(Effect::ApplyNews(news.clone()));
         }
         if let PeerMessage::Spread { origin, message: inner } = &message {
             let is_own = *origin == self.cfg.host;
@@ -348,7 +350,7 @@
         records: Vec<Versioned>,
         effects: &mut Vec<Effect>,
     ) {
-        let changed = self.cache.apply_all(revision, records);
+        let changed = self.cache.apply_snapshot(revision, records);
         self.announce(now, &changed, effects);
     }
 
@@ -371,7 +373,7 @@
         if let WriteOutcome::Done(found) | WriteOutcome::Conflict(found) = outcome {
             self.take_records(now, vec![found.clone()], effects);
         }
-        self.with(now, effects, |cx, parts| parts.control.on_write(cx, key, outcome));
+        self.with(now, effects, |cx, parts| parts.control.on_write_outcome(cx, key, outcome));
     }
 
     fn announce(&mut self, now: Time, changed: &[Key], effects: &mut Vec<Effect>) {
@@ -380,7 +382,7 @@
                 self.adopt_document();
             }
             self.with(now, effects, |cx, parts| {
-                parts.control.on_change(cx, key);
+                parts.control.on_key_change(cx, key);
                 parts.serving.on_change(cx, key);
             });
         }
--- a/crates/skylarkshore-core/src/peer.rs
+++ b/crates/skylarkshore-core/src/peer.rs
@@ -70,9 +70,9 @@
         /// The most urgent order of service among them.
         order: ServiceOrder,
         /// How long the most patient of them can still wait.
-        patience: Duration,
+        max_wait: Duration,
         /// How long the least patient of them can wait for its answer to have its full value.
-        aim: Option<Duration>,
+        soft_deadline: Option<Duration>,
     },
     /// A model is used from the sender, which wants to hear of it for a while.
     Used {
@@ -83,7 +83,7 @@
         /// How many answers since then began late although their requests hadn't waited there.
         late: u32,
         /// For how long its requests from there have run since then, added up.
-        worked: Duration,
+        run_time: Duration,
         /// Whether requests wait there.
         waited_for: bool,
     },
@@ -107,7 +107,7 @@
         /// The order of service of those who wait.
         order: ServiceOrder,
         /// How long those who wait can still wait.
-        patience: Duration,
+        max_wait: Duration,
     },
     /// The load has to wait for its turn; the gate works.
     LoadSlotQueued {
@@ -167,7 +167,7 @@
         /// The engine.
         upstream: UpstreamId,
         /// How long it can still wait.
-        patience: Duration,
+        max_wait: Duration,
     },
     /// The sender needs the engine for itself no longer.
     ReservationReturned {
--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -22,9 +22,9 @@
 use crate::accounts::Charge;
 use crate::collections::{HashMap, HashSet, OrderedMap};
 use crate::cx::Cx;
-use crate::dump::Belief;
-use crate::headcount::Headcount;
+use crate::dump::DumpEntry;
 use crate::id::{AccountName, HostId, RequestId};
+use crate::member_count::MemberCount;
 use crate::peer::{CreditMessage, PeerMessage};
 use crate::time::Time;
 use crate::units::Credits;
@@ -45,14 +45,14 @@
 
 /// Whether a request may use its account's credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum CreditDecision {
     /// It may, from then on.
     Granted {
         /// When the credit is there.
         not_before: Time,
     },
     /// The account is over its limit.
-    Over {
+    OverLimit {
         /// When there will be enough credit.
         retry_after: Duration,
     },
@@ -60,17 +60,17 @@
     TooLarge,
 }
 
-impl Ruling {
+impl CreditDecision {
     const NOW: Self = Self::Granted { not_before: Time::START };
 }
 
 /// What was found for a request that had to wait for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct CreditOutcome {
     /// The request.
     pub request: RequestId,
     /// The ruling.
-    pub ruling: Ruling,
+    pub decision: CreditDecision,
 }
 
 /// A question that a keeper hasn't answered.
@@ -99,7 +99,7 @@
     /// What this host may spend of each account's limit while it reaches no keeper.
     own: HashMap<AccountName, Bucket>,
     denials: HashMap<AccountName, Denial>,
-    hosts: Headcount,
+    hosts: MemberCount,
     members_due: Time,
     /// When the own shares were last somebody else's to lend.
     brought: Time,
@@ -120,33 +120,38 @@
             asks: OrderedMap::new(),
             own: HashMap::default(),
             denials: HashMap::default(),
-            hosts: Headcount::ALONE,
+            hosts: MemberCount::ALONE,
             members_due: Time::START,
             brought: Time::START,
         }
     }
 
     /// Asks for a request's credit; none while the answer is awaited.
-    pub fn ask(&mut self, cx: &mut Cx<'_>, request: RequestId, charge: &Charge) -> Option<Ruling> {
+    pub fn request_credit(
+        &mut self,
+        cx: &mut Cx<'_>,
+        request: RequestId,
+        charge: &Charge,
+    ) -> Option<CreditDecision> {
         if terms_of(cx, &charge.account).is_none() {
-            return Some(Ruling::NOW);
+            return Some(CreditDecision::NOW);
         }
         if let Some(denial) = self.denials.get(&charge.account)
             && !denial.believed_until.is_due(cx.now)
             && charge.cost >= denial.cost
         {
-            return Some(Ruling::Over { retry_after: denial.credit_at.remaining(cx.now) });
+            return Some(CreditDecision::OverLimit { retry_after: denial.credit_at.remaining(cx.now) });
         }
         self.ask_keeper(cx, request, charge, 1)
     }
 
     /// Stops waiting for a request's credit.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn cancel(&mut self, request: RequestId) {
         self.asks.retain(|_, ask| ask.request != request);
     }
 
     /// Gives back the credit of a request that wasn't run.
-    pub fn give_back(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
+    pub fn return_credit(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
         if terms_of(cx, &charge.account).is_none() {
             return;
         }
@@ -156,13 +161,13 @@
     }
 
     /// Does what is due, and rules on requests whose keepers were silent.
-    pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
+    pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         if cx.document.catalogue.accounts.iter().all(|(_, account)| account.limit.is_none()) {
             return Vec::new();
         }
         if self.members_due.is_due(cx.now) {
             self.members_due = cx.now.after(MEMBERS_EVERY);
-            self.hosts.note(cx.now, hosts_known(cx));
+            self.hosts.record(cx.now, hosts_known(cx));
             self.keepers.note_members(cx);
             self.books.forget_old(cx.now);
             self.denials.retain(|_, denial| !denial.believed_until.is_due(cx.now));
@@ -175,7 +180,12 @@
     }
 
     /// Takes a peer's message, and returns what was found for the request that it concerns.
-    pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &CreditMessage) -> Option<Verdict> {
+    pub fn on_peer(
+        &mut self,
+        cx: &mut Cx<'_>,
+        from: &HostId,
+        message: &CreditMessage,
+    ) -> Option<CreditOutcome> {
         match message {
             CreditMessage::SignOn { with_share } => {
                 if *with_share {
@@ -193,17 +203,17 @@
                     tell(cx, from, returned(account.clone(), *cost));
                     return None;
                 };
-                let ruling = Ruling::Granted { not_before: cx.now.after(*wait) };
-                return Some(Verdict { request: ask.request, ruling });
+                let decision = CreditDecision::Granted { not_before: cx.now.after(*wait) };
+                return Some(CreditOutcome { request: ask.request, decision });
             }
             CreditMessage::Denied { ask, retry_after } => {
                 self.keepers.note_heard(from);
                 let ask = self.asks.remove(ask)?;
-                let ruling = match *retry_after {
+                let decision = match *retry_after {
                     Some(retry_after) => self.note_denial(cx.now, &ask.charge, retry_after),
-                    None => Ruling::TooLarge,
+                    None => CreditDecision::TooLarge,
                 };
-                return Some(Verdict { request: ask.request, ruling });
+                return Some(CreditOutcome { request: ask.request, decision });
             }
             CreditMessage::Returned { account, cost } => self.books.give_back(account, *cost),
         }
@@ -214,12 +224,14 @@
     fn lend(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
         self.books.sign_on(cx.now, to);
         let answer = match self.books.lend(cx, self.hosts.get(), account, cost) {
-            Ruling::Granted { not_before } => {
+            CreditDecision::Granted { not_before } => {
                 let wait = not_before.remaining(cx.now);
                 CreditMessage::Lent { ask, account: account.clone(), cost, wait }
             }
-            Ruling::Over { retry_after } => CreditMessage::Denied { ask, retry_after: Some(retry_after) },
-            Ruling::TooLarge => CreditMessage::Denied { ask, retry_after: None },
+            CreditDecision::OverLimit { retry_after } => {
+                CreditMessage::Denied { ask, retry_after: Some(retry_after) }
+            }
+            CreditDecision::TooLarge => CreditMessage::Denied { ask, retry_after: None },
         };
         tell(cx, to, answer);
     }
@@ -232,18 +244,18 @@
     }
 
     /// Tells which books are kept here.
-    pub fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.books.beliefs()
+    pub fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
+        self.books.dump_entries()
     }
 
-    fn note_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> Ruling {
+    fn note_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> CreditDecision {
         let denial = Denial {
             believed_until: now.after(retry_after.min(DENIAL_BELIEVED)),
             credit_at: now.after(retry_after),
             cost: charge.cost,
         };
         self.denials.insert(charge.account.clone(), denial);
-        Ruling::Over { retry_after }
+        CreditDecision::OverLimit { retry_after }
     }
 
     fn ask_keeper(
@@ -252,7 +264,7 @@
         request: RequestId,
         charge: &Charge,
         asked: u32,
-    ) -> Option<Ruling> {
+    ) -> Option<CreditDecision> {
         if self.members_due == Time::START {
             self.keepers.note_members(cx);
         }
@@ -260,8 +272,8 @@
             return Some(self.spend_own(cx, charge));
         };
         // When all hosts start at once, keepers are slow to answer.
-        if !self.keepers.has_answered(&keeper) && self.spend_own(cx, charge) == Ruling::NOW {
-            return Some(Ruling::NOW);
+        if !self.keepers.has_answered(&keeper) && self.spend_own(cx, charge) == CreditDecision::NOW {
+            return Some(CreditDecision::NOW);
         }
         let number = cx.rng.random();
         let lost_at = cx.now.after(ANSWER_TIMEOUT);
@@ -275,23 +287,23 @@
     }
 
     /// Turns to other keepers where one gave no answer in time.
-    fn ask_others(&mut self, cx: &mut Cx<'_>) -> Vec<Verdict> {
+    fn ask_others(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         let lost: Vec<(u64, Ask)> = self.asks.extract_if(.., |_, ask| ask.lost_at.is_due(cx.now)).collect();
         let mut verdicts = Vec::new();
         for (_, ask) in lost {
-            let ruling = if ask.asked < KEEPERS_ASKED {
+            let decision = if ask.asked < KEEPERS_ASKED {
                 self.ask_keeper(cx, ask.request, &ask.charge, ask.asked + 1)
             } else {
                 Some(self.spend_own(cx, &ask.charge))
             };
-            verdicts.extend(ruling.map(|ruling| Verdict { request: ask.request, ruling }));
+            verdicts.extend(decision.map(|decision| CreditOutcome { request: ask.request, decision }));
         }
         verdicts
     }
 
     /// Rules on a request by this host's own share.
-    fn spend_own(&mut self, cx: &Cx<'_>, charge: &Charge) -> Ruling {
-        let Some(terms) = terms_of(cx, &charge.account) else { return Ruling::NOW };
+    fn spend_own(&mut self, cx: &Cx<'_>, charge: &Charge) -> CreditDecision {
+        let Some(terms) = terms_of(cx, &charge.account) else { return CreditDecision::NOW };
         let share = Share { hosts: 1, of: self.hosts.get() };
         let (rate, size) = (share.rate(terms.limit.rate), share.credits(terms.size()));
         let debt = share.credits(terms.debt());
@@ -302,16 +314,16 @@
         own.fill(cx.now, rate, size.max(charge.cost));
         if own.covers(charge.cost, debt) {
             own.take(charge.cost);
-            return Ruling::NOW;
+            return CreditDecision::NOW;
         }
         let wanted = Credits(charge.cost.0.saturating_sub(debt.0));
         let retry_after = own.time_until(wanted, rate).unwrap_or(SIGNED_ON_FOR);
-        Ruling::Over { retry_after }
+        CreditDecision::OverLimit { retry_after }
     }
 }
 
 fn tell(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
-    cx.tell(to, PeerMessage::Credit(message));
+    cx.send(to, PeerMessage::Credit(message));
 }
 
 fn returned(account: AccountName, cost: Credits) -> CreditMessage {
--- a/crates/skylarkshore-core/src/quota/books.rs
+++ b/crates/skylarkshore-core/src/quota/books.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::Ruling;
+use super::CreditDecision;
 use super::bucket::Bucket;
 use super::share::Share;
 use super::terms::Terms;
 use crate::collections::{HashMap, OrderedMap};
 use crate::cx::Cx;
-use crate::dump::Belief;
+use crate::dump::DumpEntry;
 use crate::id::{AccountName, HostId};
 use crate::time::Time;
 use crate::units::Credits;
@@ -52,10 +52,16 @@
     }
 
     /// Lends an account's credit for a request, or says when there will be some.
-    pub(super) fn lend(&mut self, cx: &mut Cx<'_>, of: u64, account: &AccountName, cost: Credits) -> Ruling {
-        let Some(terms) = terms_of(cx, account) else { return Ruling::NOW };
+    pub(super) fn lend(
+        &mut self,
+        cx: &mut Cx<'_>,
+        of: u64,
+        account: &AccountName,
+        cost: Credits,
+    ) -> CreditDecision {
+        let Some(terms) = terms_of(cx, account) else { return CreditDecision::NOW };
         if cost > terms.most() {
-            return Ruling::TooLarge;
+            return CreditDecision::TooLarge;
         }
         self.note_own_pause(cx.now);
         let share = self.share(cx.now, of);
@@ -69,15 +75,15 @@
         match book.bucket.time_until(wanted, rate) {
             Some(wait) if wait <= LONGEST_WAIT => {
                 book.bucket.take(cost);
-                Ruling::Granted { not_before: cx.now.after(wait) }
+                CreditDecision::Granted { not_before: cx.now.after(wait) }
             }
             Some(wait) => {
                 let detail =
                     format!("cost={cost} credit={} rate={rate} hosts={} of={of}", book.bucket, share.hosts);
-                cx.note("credit_denied", account, detail);
-                Ruling::Over { retry_after: wait }
+                cx.log_event("credit_denied", account, detail);
+                CreditDecision::OverLimit { retry_after: wait }
             }
-            None => Ruling::Over { retry_after: SIGNED_ON_FOR },
+            None => CreditDecision::OverLimit { retry_after: SIGNED_ON_FOR },
         }
     }
 
@@ -106,8 +112,8 @@
     }
 
     /// Tells which accounts' credit is lent out here.
-    pub(super) fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.by_account.iter().map(|(account, book)| Belief {
+    pub(super) fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
+        self.by_account.iter().map(|(account, book)| DumpEntry {
             kind: "credit_book",
             subject: account.to_string(),
             state: format!("{} hosts signed on", self.signed_on.len()),
--- a/crates/skylarkshore-core/src/quota/keepers.rs
+++ b/crates/skylarkshore-core/src/quota/keepers.rs
@@ -103,7 +103,7 @@
         for (host, link) in &mut self.links {
             if link.is_lost(cx.now) && !link.is_silent && *host != cx.cfg.host {
                 link.is_silent = true;
-                cx.note("credit_keeper_silent", host, "the next one is asked");
+                cx.log_event("credit_keeper_silent", host, "the next one is asked");
             }
         }
         let due: OrderedSet<HostId> = self.parts.iter().flat_map(|ranked| self.due(cx.now, ranked)).collect();
--- a/crates/skylarkshore-core/src/rules.rs
+++ b/crates/skylarkshore-core/src/rules.rs
@@ -121,7 +121,7 @@
 
 impl Condition {
     /// Tells whether the condition holds for what is known.
-    pub fn holds(&self, facts: &Facts<'_>) -> bool {
+    pub fn holds(&self, facts: &RuleInput<'_>) -> bool {
         one_of(self.models.as_ref(), facts.model)
             && one_of(self.adapters.as_ref(), facts.adapter)
             && one_of(self.callers.as_ref(), facts.caller)
@@ -149,7 +149,7 @@
 
 /// What is known when a rule is looked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Facts<'a> {
+pub struct RuleInput<'a> {
     /// The base model.
     pub model: Option<&'a ModelName>,
     /// The adapter on it.
@@ -178,7 +178,7 @@
 
 impl Default for ServiceOrder {
     fn default() -> Self {
-        Self(Outcome::DEFAULT_ORDER)
+        Self(RuleOutcome::DEFAULT_ORDER)
     }
 }
 
@@ -195,7 +195,7 @@
 
 /// What a matching rule decides; every part has a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct RuleOutcome {
     /// How many replicas are kept loaded, requests or not.
     pub replicas_min: u32,
     /// How many replicas may be loaded at most.
@@ -212,12 +212,12 @@
     pub idle_weight: u32,
 }
 
-impl Outcome {
+impl RuleOutcome {
     /// The order of service where no rule says otherwise.
     pub const DEFAULT_ORDER: u16 = 100;
 }
 
-impl Default for Outcome {
+impl Default for RuleOutcome {
     fn default() -> Self {
         Self {
             replicas_min: 0,
@@ -239,16 +239,16 @@
     /// When it matches.
     pub when: Condition,
     /// What it decides.
-    pub then: Outcome,
+    pub then: RuleOutcome,
 }
 
 /// The rule that decided, or none when the defaults did.
 #[derive(Clone, Copy, Debug)]
-pub struct Decision<'a> {
+pub struct RuleMatch<'a> {
     /// The rule that matched first.
     pub rule: Option<&'a Rule>,
     /// What it decides.
-    pub outcome: &'a Outcome,
+    pub outcome: &'a RuleOutcome,
 }
 
 /// An ordered list of rules.
@@ -257,14 +257,14 @@
     /// The rules, the first one first.
     pub list: Vec<Rule>,
     /// What holds where no rule matches.
-    pub otherwise: Outcome,
+    pub otherwise: RuleOutcome,
 }
 
 impl Rules {
     /// Finds the first rule that matches.
-    pub fn decide(&self, facts: &Facts<'_>) -> Decision<'_> {
+    pub fn decide(&self, facts: &RuleInput<'_>) -> RuleMatch<'_> {
         let rule = self.list.iter().find(|rule| rule.when.holds(facts));
-        Decision { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
+        RuleMatch { rule, outcome: rule.map_or(&self.otherwise, |rule| &rule.then) }
     }
 }
 
@@ -286,7 +286,7 @@
     }
 
     /// Tells whether nothing can ever fulfil the condition.
-    pub fn is_impossible(&self) -> bool {
+    pub fn is_unsatisfiable(&self) -> bool {
         is_empty(self.models.as_ref())
             || is_empty(self.adapters.as_ref())
             || is_empty(self.callers.as_ref())
--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -26,9 +26,9 @@
 use crate::collections::{HashMap, OrderedMap, OrderedSet};
 use crate::config::NodeConfig;
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::effect::RefusalReason;
-use crate::event::{Arrival, AttemptEnd, LoadTold, Target};
+use crate::event::{Arrival, AttemptOutcome, ReportedLoad, Target};
 use crate::id::{AttemptId, CallId, HostId, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
 use crate::quota::Quota;
@@ -119,7 +119,7 @@
         };
         let Some(request) = self.requests.get_mut(id) else { return };
         if let State::Sent(run) = request.state.clone() {
-            let is_late = request.arrival.terms.aim.is_due(cx.now);
+            let is_late = request.arrival.policy.soft_deadline.is_due(cx.now);
             let waited = run.sent.since(request.arrived);
             let by_engine = is_late && waited * 2 < cx.now.since(request.arrived);
             if let Target::Model(target) = &request.arrival.target
@@ -132,12 +132,12 @@
     }
 
     /// Takes note of how much an upstream told that it had to do.
-    pub fn on_load_told(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, load: LoadTold) {
+    pub fn on_load_reported(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId, load: ReportedLoad) {
         self.routes.note_load(cx.now, upstream, load);
     }
 
     /// Takes the end of an attempt.
-    pub fn on_attempt_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
+    pub fn on_attempt_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
         let upstream = self.upstream_of(attempt);
         self.end_attempt(cx, attempt, end);
         if let Some(upstream) = upstream {
@@ -265,7 +265,7 @@
     /// which hosts to use for a while.
     pub fn on_shutdown(&mut self, cx: &mut Cx<'_>) {
         self.quota.on_shutdown(cx);
-        cx.note("serving_drains", self.requests.len(), "requests in progress go on to their end");
+        cx.log_event("serving_drains", self.requests.len(), "requests in progress go on to their end");
     }
 
     /// Takes note that callers have been sent elsewhere and the process ends soon.
@@ -284,8 +284,8 @@
     }
 
     /// Tells what is believed.
-    pub fn dump(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        self.beliefs(cx)
+    pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
+        self.dump_entries(cx)
     }
 
     /// Returns the numbers for the metrics.
@@ -333,7 +333,7 @@
     fn forget(&mut self, cx: &mut Cx<'_>, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.timers.remove(&Due { at: request.arrival.deadline, request: id });
-        self.timers.remove(&Due { at: request.arrival.terms.begins_by, request: id });
+        self.timers.remove(&Due { at: request.arrival.policy.first_byte_deadline, request: id });
         self.suspects.waiting.remove(&queue::Urgency::of(id, &request));
         self.end_alone(cx, id);
         self.settle_credit(cx, id, &request);
--- a/crates/skylarkshore-core/src/serving/alone.rs
+++ b/crates/skylarkshore-core/src/serving/alone.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::config::SuspectPolicy;
-use crate::control::relay::tell_everyone;
+use crate::control::relay::broadcast_via_relay;
 use crate::cx::Cx;
 use crate::effect::RefusalReason;
 use crate::event::Target;
@@ -87,7 +87,10 @@
             alone.asked = Some(cx.now);
         }
         if let Some(owner) = owner(cx, upstream) {
-            cx.tell(&owner, PeerMessage::ReservationWanted { upstream: upstream.clone(), patience });
+            cx.send(
+                &owner,
+                PeerMessage::ReservationWanted { upstream: upstream.clone(), max_wait: patience },
+            );
         }
     }
 
@@ -99,7 +102,7 @@
             return;
         }
         if let Some(owner) = owner(cx, &alone.upstream) {
-            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: alone.upstream });
+            cx.send(&owner, PeerMessage::ReservationReturned { upstream: alone.upstream });
         }
     }
 
@@ -114,7 +117,7 @@
             return;
         }
         if let Some(owner) = owner(cx, &view.upstream) {
-            cx.tell(&owner, PeerMessage::ReservationReturned { upstream: view.upstream.clone() });
+            cx.send(&owner, PeerMessage::ReservationReturned { upstream: view.upstream.clone() });
         }
     }
 
@@ -128,7 +131,10 @@
         let digests = vec![request.arrival.digest];
         let (upstream, incarnation) = (run.upstream.clone(), run.life);
         self.suspects.count_loss(cx, &upstream, incarnation, &digests);
-        tell_everyone(cx, &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false });
+        broadcast_via_relay(
+            cx,
+            &PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: false },
+        );
     }
 
     /// Takes a peer's word of suspects.
@@ -147,7 +153,7 @@
         }
         let company = if alone { Company::Alone } else { Company::Others };
         self.suspects.suspect(cx, upstream, digests, company);
-        cx.tell(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
+        cx.send(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
         self.refuse_convicted(cx);
         self.set_apart(cx);
         self.pump(cx);
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -6,7 +6,7 @@
 use crate::effect::RefusalReason;
 use crate::event::{Arrival, Target};
 use crate::id::{RequestId, UpstreamId};
-use crate::rules::{Facts, ServiceOrder};
+use crate::rules::{RuleInput, ServiceOrder};
 use crate::serving::Serving;
 use crate::serving::budget::Destination;
 use crate::serving::decide::Step;
@@ -43,9 +43,9 @@
             Target::Service(_) => None,
         };
         let verdict = self.judge(cx, &arrival, idle_for);
-        let (deadline, begins_by) = (arrival.deadline, arrival.terms.begins_by);
+        let (deadline, begins_by) = (arrival.deadline, arrival.policy.first_byte_deadline);
         let order = verdict.as_ref().map_or(ServiceOrder::default(), |order| *order);
-        let order = ServiceOrder(order.0.saturating_add_signed(arrival.terms.rank));
+        let order = ServiceOrder(order.0.saturating_add_signed(arrival.policy.order_offset));
         self.requests.insert(id, Request::new(arrival, order, cx.now));
         self.timers.insert(Due { at: deadline, request: id });
         self.timers.insert(Due { at: begins_by, request: id });
@@ -66,13 +66,13 @@
         if self.suspects.standing(arrival.digest) == Standing::Convicted {
             return Err(RefusalReason::CrashesUpstreams);
         }
-        let mut facts = Facts {
+        let mut facts = RuleInput {
             caller: Some(&arrival.caller),
             data_centre: Some(&cx.cfg.data_centre),
             at: Some(cx.at),
             idle_for,
             queue: Some(self.queue.len_of(&arrival.target)),
-            ..Facts::default()
+            ..RuleInput::default()
         };
         match &arrival.target {
             Target::Model(target) => {
@@ -163,7 +163,11 @@
         }
         if self.routes.prospect(cx, &target) != Prospect::Ready {
             let prospect = self.routes.prospect(cx, &target);
-            cx.decided(id, "request_waits", format!("for {} supply={}", target, prospect.describe(cx.now)));
+            cx.log_decision(
+                id,
+                "request_waits",
+                format!("for {} supply={}", target, prospect.describe(cx.now)),
+            );
         }
         self.review(cx, &target);
         self.pump_target(cx, &target);
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::config::SuspectPolicy;
-use crate::control::relay::tell_everyone;
+use crate::control::relay::broadcast_via_relay;
 use crate::cx::Cx;
 use crate::effect::{Effect, RefusalReason};
-use crate::event::{AttemptEnd, Rejection, Target};
+use crate::event::{AttemptOutcome, Rejection, Target};
 use crate::id::{AttemptId, Digest, HostId, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
 use crate::serving::Serving;
@@ -35,7 +35,7 @@
     ///
     /// An attempt that was given up, or whose end comes twice, is unknown here,
     /// so that a late answer can't reach another request's caller.
-    pub(super) fn end_attempt(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
+    pub(super) fn end_attempt(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
         let Some(id) = self.attempts.remove(&attempt) else {
             self.tally.late += 1;
             return;
@@ -43,21 +43,25 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Some(run) = request.run().cloned() else { return };
         self.routes.free(&run.upstream);
-        if !matches!(end, AttemptEnd::Whole { .. } | AttemptEnd::WholeTooLarge) {
+        if !matches!(end, AttemptOutcome::Completed { .. } | AttemptOutcome::CompletedTooLarge) {
             let after = cx.now.since(run.sent).as_millis();
-            let detail = format!("upstream={} after_ms={after} end={}", run.upstream, end.word());
-            cx.decided(id, "request_not_answered", detail);
+            let detail = format!("upstream={} after_ms={after} end={}", run.upstream, end.label());
+            cx.log_decision(id, "request_not_answered", detail);
         }
-        let answered =
-            matches!(end, AttemptEnd::Whole { .. } | AttemptEnd::WholeTooLarge | AttemptEnd::FailedWhole);
+        let answered = matches!(
+            end,
+            AttemptOutcome::Completed { .. }
+                | AttemptOutcome::CompletedTooLarge
+                | AttemptOutcome::CompletedWithFailure
+        );
         self.paces.end(cx.now, &request.arrival.target, answered.then(|| cx.now.since(run.sent)));
         match end {
-            AttemptEnd::Whole { held } => self.on_whole(cx, id, &run.upstream, held),
-            AttemptEnd::WholeTooLarge => self.on_whole(cx, id, &run.upstream, None),
-            AttemptEnd::FailedWhole => self.on_failed_whole(cx, id, &run.upstream),
-            AttemptEnd::NotSent => self.on_not_sent(cx, id, &run.upstream),
-            AttemptEnd::Rejected(rejection) => self.on_rejected(cx, id, &run.upstream, rejection),
-            AttemptEnd::Lost { passed_on, died } => self.on_lost(cx, id, &run, passed_on, died),
+            AttemptOutcome::Completed { held } => self.on_whole(cx, id, &run.upstream, held),
+            AttemptOutcome::CompletedTooLarge => self.on_whole(cx, id, &run.upstream, None),
+            AttemptOutcome::CompletedWithFailure => self.on_failed_whole(cx, id, &run.upstream),
+            AttemptOutcome::NotSent => self.on_not_sent(cx, id, &run.upstream),
+            AttemptOutcome::Rejected(rejection) => self.on_rejected(cx, id, &run.upstream, rejection),
+            AttemptOutcome::Lost { passed_on, died } => self.on_lost(cx, id, &run, passed_on, died),
         }
     }
 
@@ -86,7 +90,7 @@
             _ => self.finish(cx, id),
         }
         if cleared {
-            tell_everyone(cx, &PeerMessage::Cleared { request: digest });
+            broadcast_via_relay(cx, &PeerMessage::Cleared { request: digest });
             self.requeue_cleared(cx, digest);
         }
     }
@@ -104,7 +108,7 @@
     fn on_not_sent(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         self.routes.note_trouble(cx, upstream);
         if let Some(owner) = owner(cx, upstream) {
-            cx.tell(&owner, PeerMessage::UpstreamUnreachable { upstream: upstream.clone() });
+            cx.send(&owner, PeerMessage::UpstreamUnreachable { upstream: upstream.clone() });
         }
         let is_model = self.requests.get(&id).is_some_and(|r| matches!(r.arrival.target, Target::Model(_)));
         if is_model {
@@ -147,7 +151,7 @@
             }
             (Rejection::Leaving, _) => {
                 if self.routes.note_leaving(cx.now, upstream) {
-                    tell_everyone(cx, &PeerMessage::UpstreamLeaving { upstream: upstream.clone() });
+                    broadcast_via_relay(cx, &PeerMessage::UpstreamLeaving { upstream: upstream.clone() });
                 }
                 self.fail_once(cx, id, upstream);
                 return self.retry(cx, id, Cost::Free);
@@ -180,7 +184,7 @@
         request.enter(State::TellingPeers, cx.now);
         let digest = request.arrival.digest;
         if let Some(owner) = owner(cx, &run.upstream) {
-            cx.tell(&owner, PeerMessage::UpstreamUnreachable { upstream: run.upstream.clone() });
+            cx.send(&owner, PeerMessage::UpstreamUnreachable { upstream: run.upstream.clone() });
         }
         if run.company == Company::Alone || !self.suspects.join_telling(&run.upstream, digest, id) {
             let mut digests = others;
@@ -223,14 +227,14 @@
             && request.may_be_sent()
             && (!request.passed_on || request.can_resume())
             && request.failures < cx.cfg.limits.attempts
-            && request.runs < request.arrival.terms.tries
+            && request.runs < request.arrival.policy.max_runs
             && (cost == Cost::Free || self.budget.spend(cx.now, &destination));
         if may {
             self.tally.retries += 1;
             return self.wait(cx, id);
         }
         if request.kept_failure {
-            cx.push(Effect::PassOn { request: id });
+            cx.push(Effect::ForwardHeldAnswer { request: id });
             return self.finish(cx, id);
         }
         let reason = if lost { RefusalReason::UpstreamLost } else { RefusalReason::NoUpstream };
--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -5,8 +5,8 @@
 
 use crate::collections::OrderedMap;
 use crate::config::RetryLimits;
-use crate::headcount::Headcount;
 use crate::id::ServiceName;
+use crate::member_count::MemberCount;
 use crate::time::Time;
 
 /// A thousandth of a retry, so that a tenth of a request can be counted.
@@ -47,7 +47,7 @@
                 percent,
                 slack,
                 window,
-                hosts: Headcount::ALONE,
+                hosts: MemberCount::ALONE,
                 used: OrderedMap::new(),
             }),
         }
@@ -77,7 +77,7 @@
     /// Takes note of how many processes share the budget.
     pub(super) fn note_hosts(&mut self, now: Time, hosts: usize) {
         if let Self::Shared(share) = self {
-            share.hosts.note(now, hosts);
+            share.hosts.record(now, hosts);
         }
     }
 }
@@ -115,7 +115,7 @@
     percent: u32,
     slack: u32,
     window: Duration,
-    hosts: Headcount,
+    hosts: MemberCount,
     used: OrderedMap<Destination, Usage>,
 }
 
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -4,7 +4,7 @@
 use crate::cx::Cx;
 use crate::effect::RefusalReason;
 use crate::id::RequestId;
-use crate::quota::{Ruling, Verdict};
+use crate::quota::{CreditDecision, CreditOutcome};
 use crate::serving::Serving;
 use crate::serving::decide::Step;
 use crate::serving::request::{Due, Past, Request, State};
@@ -16,17 +16,17 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(charge) = request.arrival.charge.clone() else { return self.admit(cx, id) };
         request.enter(State::AwaitingCredit { not_before: None }, cx.now);
-        if let Some(ruling) = self.quota.ask(cx, id, &charge) {
-            self.on_ruling(cx, Verdict { request: id, ruling });
+        if let Some(decision) = self.quota.request_credit(cx, id, &charge) {
+            self.on_ruling(cx, CreditOutcome { request: id, decision });
         }
     }
 
     /// Lets a request in whose credit is there, or refuses it.
-    pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: Verdict) {
-        let Verdict { request: id, ruling } = verdict;
+    pub(super) fn on_ruling(&mut self, cx: &mut Cx<'_>, verdict: CreditOutcome) {
+        let CreditOutcome { request: id, decision } = verdict;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        match ruling {
-            Ruling::Granted { not_before } => {
+        match decision {
+            CreditDecision::Granted { not_before } => {
                 request.has_credit = true;
                 if not_before.is_due(cx.now) {
                     return self.admit(cx, id);
@@ -34,11 +34,11 @@
                 request.enter(State::AwaitingCredit { not_before: Some(not_before) }, cx.now);
                 self.timers.insert(Due { at: not_before, request: id });
             }
-            Ruling::Over { retry_after } => {
+            CreditDecision::OverLimit { retry_after } => {
                 let step = Step::Refuse { reason: RefusalReason::OverLimit, retry_after: Some(retry_after) };
                 self.advance(cx, id, step);
             }
-            Ruling::TooLarge => {
+            CreditDecision::TooLarge => {
                 self.advance(cx, id, Step::Refuse { reason: RefusalReason::BeyondLimit, retry_after: None });
             }
         }
@@ -55,9 +55,9 @@
     pub(super) fn settle_credit(&mut self, cx: &mut Cx<'_>, id: RequestId, request: &Request) {
         let Some(charge) = &request.arrival.charge else { return };
         if !request.has_credit {
-            self.quota.forget(id);
+            self.quota.cancel(id);
         } else if request.past == Past::Clean && request.has_not_begun() {
-            self.quota.give_back(cx, charge);
+            self.quota.return_credit(cx, charge);
         }
     }
 
@@ -79,7 +79,7 @@
     if accounts.is_empty() {
         return None;
     }
-    match accounts.holder(&charge.key) {
+    match accounts.find_by_key(&charge.key) {
         None => Some(RefusalReason::KeyWithdrawn),
         Some((holder, _)) if *holder != charge.account => Some(RefusalReason::AccountChanged),
         Some(_) => None,
--- a/crates/skylarkshore-core/src/serving/decide.rs
+++ b/crates/skylarkshore-core/src/serving/decide.rs
@@ -62,7 +62,7 @@
             request.runs,
             request.account()
         );
-        cx.decided(id, "request_sent", detail);
+        cx.log_decision(id, "request_sent", detail);
         cx.push(Effect::Send {
             request: id,
             attempt,
@@ -74,7 +74,7 @@
             once: request.arrival.repeat != Repeat::Allowed,
             keep_failure: request.arrival.repeat == Repeat::Allowed
                 && !request.passed_on
-                && request.runs + 1 < request.arrival.terms.tries.min(cx.cfg.limits.attempts),
+                && request.runs + 1 < request.arrival.policy.max_runs.min(cx.cfg.limits.attempts),
         });
         let life = cx.upstreams.get(&upstream).map(|listed| listed.incarnation);
         request.enter(State::Sent(Run { attempt, upstream, life, company, sent: cx.now }), cx.now);
@@ -101,7 +101,7 @@
             request.describe(),
             refusal.reason
         );
-        cx.decided(id, "request_refused", detail);
+        cx.log_decision(id, "request_refused", detail);
         request.passed_on = request.is_partly_answered();
         if let Some(place) = request.place() {
             self.routes.free(place);
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -160,7 +160,7 @@
         self.claims.remove(&key);
         self.unsettled.insert(cx.now, key);
         self.in_doubt += 1;
-        cx.note("once_in_doubt", key, "the request may have run; its key stays claimed");
+        cx.log_event("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
     /// Forgets the keys whose records have ended.
@@ -226,7 +226,11 @@
             Step::Recording => {
                 if !matches!(outcome, WriteOutcome::Done(_)) {
                     self.unsettled.insert(cx.now, key);
-                    cx.note("once_answer_not_recorded", key, "the request has run; its key stays claimed");
+                    cx.log_event(
+                        "once_answer_not_recorded",
+                        key,
+                        "the request has run; its key stays claimed",
+                    );
                 }
                 self.claims.remove(&key)?.user.map(Learnt::Recorded)
             }
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -168,7 +168,7 @@
         lane.classes.entry(urgency.order).or_default().push(caller, urgency.due);
         lane.members.insert(urgency);
         lane.deadlines.insert(urgency.due);
-        lane.aims.insert(Due { at: request.arrival.terms.aim, request: id });
+        lane.aims.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
         self.callers.entry(caller.clone()).or_default().insert(urgency);
         self.all.insert(urgency);
     }
@@ -250,7 +250,7 @@
         let Some(lane) = self.lanes.get_mut(target) else { return };
         lane.members.remove(&urgency);
         lane.deadlines.remove(&urgency.due);
-        lane.aims.remove(&Due { at: request.arrival.terms.aim, request: id });
+        lane.aims.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
         if let Some(class) = lane.classes.get_mut(&urgency.order) {
             class.remove(caller, urgency.due, exit);
             if class.callers.is_empty() {
--- a/crates/skylarkshore-core/src/serving/report.rs
+++ b/crates/skylarkshore-core/src/serving/report.rs
@@ -1,21 +1,21 @@
 //! What a process tells of its requests, for the state dump and the metrics.
 
 use crate::cx::Cx;
-use crate::dump::{Belief, Gauge};
+use crate::dump::{DumpEntry, Gauge};
 use crate::serving::Serving;
 use crate::serving::suspect::Standing;
 use crate::serving::tally::gauge;
 
 impl Serving {
     /// Tells of each request, each upstream in use and each suspect.
-    pub(super) fn beliefs(&self, cx: &Cx<'_>) -> Vec<Belief> {
-        let requests = self.requests.iter().map(|(id, request)| Belief {
+    pub(super) fn dump_entries(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
+        let requests = self.requests.iter().map(|(id, request)| DumpEntry {
             kind: "request",
             subject: id.to_string(),
             state: request.describe(),
             since: Some(request.since),
         });
-        let routes = self.routes.used().map(|(upstream, n)| Belief {
+        let routes = self.routes.used().map(|(upstream, n)| DumpEntry {
             kind: "route",
             subject: upstream.to_string(),
             state: format!("{n} requests from here, {}", self.routes.describe(cx, upstream)),
@@ -26,9 +26,9 @@
                 Standing::Convicted => "crashes upstreams and is refused",
                 Standing::Suspect | Standing::Free => "was in progress when an upstream died and runs alone",
             };
-            Belief { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
+            DumpEntry { kind: "suspect", subject: digest.to_string(), state: state.to_owned(), since: None }
         });
-        requests.chain(routes).chain(suspects).chain(self.quota.beliefs()).collect()
+        requests.chain(routes).chain(suspects).chain(self.quota.dump_entries()).collect()
     }
 
     /// Returns the numbers for the metrics.
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -145,7 +145,7 @@
     /// its caller would have lost the time that it could have asked elsewhere in.
     pub(super) fn waits_until(&self) -> Time {
         let deadline = self.arrival.deadline;
-        if self.passed_on { deadline } else { deadline.min(self.arrival.terms.begins_by) }
+        if self.passed_on { deadline } else { deadline.min(self.arrival.policy.first_byte_deadline) }
     }
 
     /// Makes a request that has just arrived.
@@ -229,7 +229,7 @@
 
     /// Tells whether a part that the caller has can be continued by another upstream.
     pub(super) const fn can_resume(&self) -> bool {
-        self.arrival.terms.resumable
+        self.arrival.policy.resumable
     }
 
     /// Returns what is true of the request if it ends now without an answer.
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -9,12 +9,12 @@
 use crate::catalogue::ModelTarget;
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
-use crate::event::{LoadTold, Target};
+use crate::event::{ReportedLoad, Target};
 use crate::id::{Digest, ServiceName, UpstreamId};
 use crate::serving::load::{Millis, OthersLoad};
 use crate::serving::views::{News, Views};
 use crate::time::Time;
-use crate::upstream::{Standing, Upstream};
+use crate::upstream::{Upstream, UpstreamStatus};
 use crate::view::EngineView;
 
 /// How much fuller an upstream may be than the emptiest, in thousandths, to
@@ -203,7 +203,7 @@
     }
 
     /// Takes note of how much an upstream told that it had to do.
-    pub(super) fn note_load(&mut self, now: Time, upstream: &UpstreamId, load: LoadTold) {
+    pub(super) fn note_load(&mut self, now: Time, upstream: &UpstreamId, load: ReportedLoad) {
         let others = (load.running + load.waiting).saturating_sub(self.in_flight(upstream));
         let told = self
             .told
@@ -314,7 +314,7 @@
 
     /// Tells whether an upstream is known to be about to go.
     pub(super) fn is_going(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let listed = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
+        let listed = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let says_so = self.views.get(upstream).is_some_and(|known| known.view.leaving);
         !listed || says_so || self.leaving.contains_key(upstream)
     }
@@ -369,7 +369,7 @@
 
     /// Tells whether the host list names a live replica of a service, be it paused or not.
     pub(super) fn has_replica(&self, cx: &Cx<'_>, service: &ServiceName) -> bool {
-        let mut live = cx.upstreams.replicas(service).filter(|u| u.standing == Standing::Live);
+        let mut live = cx.upstreams.replicas(service).filter(|u| u.status == UpstreamStatus::Live);
         live.any(|u| !self.leaving.contains_key(&u.id))
     }
 
@@ -413,7 +413,7 @@
     }
 
     fn usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let live = cx.upstreams.get(upstream).is_some_and(|u| u.standing == Standing::Live);
+        let live = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let paused = self.paused.get(upstream).is_some_and(|pause| !pause.until.is_due(cx.now));
         live && !paused && !self.leaving.contains_key(upstream)
     }
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -168,7 +168,7 @@
             until: cx.now.after(TELL_PATIENCE),
             held: vec![held],
         };
-        cx.tell_all(&telling.message());
+        cx.broadcast(&telling.message());
         self.tellings.push(telling);
     }
 
@@ -199,9 +199,9 @@
             suspicion.crashed.insert(Life { upstream: upstream.clone(), incarnation: None });
             let convicted = company == Company::Alone || suspicion.crashed.len() >= CRASHES_THAT_CONVICT;
             if convicted && !suspicion.convicted {
-                cx.note("request_convicted", digest, format!("it crashed {upstream}"));
+                cx.log_event("request_convicted", digest, format!("it crashed {upstream}"));
             } else if !convicted {
-                cx.note("request_suspected", digest, format!("it was in progress when {upstream} died"));
+                cx.log_event("request_suspected", digest, format!("it was in progress when {upstream} died"));
             }
             suspicion.convicted |= convicted;
             let kept = if suspicion.convicted { CONVICTED } else { SUSPECTED };
@@ -256,7 +256,11 @@
             if ended >= CRASHES_THAT_CONVICT && !suspicion.convicted {
                 suspicion.convicted = true;
                 suspicion.until = cx.now.after(CONVICTED);
-                cx.note("request_convicted", digest, format!("{ended} upstreams ended while they ran it"));
+                cx.log_event(
+                    "request_convicted",
+                    digest,
+                    format!("{ended} upstreams ended while they ran it"),
+                );
             }
         }
     }
@@ -304,7 +308,7 @@
             telling.again_at = cx.now.after(TELL_AGAIN);
             let message = telling.message();
             for host in &telling.missing {
-                cx.tell(host, message.clone());
+                cx.send(host, message.clone());
             }
         }
         self.take_told(cx.now)
--- a/crates/skylarkshore-core/src/serving/wanted.rs
+++ b/crates/skylarkshore-core/src/serving/wanted.rs
@@ -204,7 +204,7 @@
             let late = std::mem::take(&mut want.late);
             for owner in owners(cx, target, &OrderedSet::new()) {
                 let (target, waited_for) = (target.clone(), want.waiting_since.is_some());
-                cx.tell(&owner, PeerMessage::Used { target, arrived, late, worked, waited_for });
+                cx.send(&owner, PeerMessage::Used { target, arrived, late, run_time: worked, waited_for });
             }
         }
     }
--- a/crates/skylarkshore-core/src/serving/wanted/assign.rs
+++ b/crates/skylarkshore-core/src/serving/wanted/assign.rs
@@ -46,7 +46,7 @@
         let fastest = self.busy.iter().min_by_key(|(_, busy)| busy.ready_at);
         let Some((owner, busy)) = fastest else { return };
         let takes = busy.ready_at.remaining(now).as_millis();
-        cx.note("load_assigned", target, format!("to={owner} takes_ms={takes} of={}", self.busy.len()));
+        cx.log_event("load_assigned", target, format!("to={owner} takes_ms={takes} of={}", self.busy.len()));
         // It is told without an aim, so that it takes the target on.
         self.told_to.insert(owner.clone());
         self.assigned = Some(owner.clone());
--- a/crates/skylarkshore-core/src/serving/wanted/owners.rs
+++ b/crates/skylarkshore-core/src/serving/wanted/owners.rs
@@ -27,10 +27,10 @@
         target: target.clone(),
         waiting: ask.count,
         order: ask.order,
-        patience: ask.patience,
-        aim: ask.aim,
+        max_wait: ask.patience,
+        soft_deadline: ask.aim,
     };
-    cx.tell(owner, message);
+    cx.send(owner, message);
 }
 
 /// Returns the owners of a model's homes, each once, in the order in which they are asked.
--- a/crates/skylarkshore-core/src/store.rs
+++ b/crates/skylarkshore-core/src/store.rs
@@ -16,7 +16,7 @@
 use crate::units::{Capacity, Watts};
 
 pub use cache::StoreCache;
-pub use writes::{WriteOutcome, WriteRequest, Writes};
+pub use writes::{WriteOutcome, WriteQueue, WriteRequest};
 
 /// A key of the system's own in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -84,7 +84,7 @@
     /// The engines, the preferred one first.
     pub engines: Vec<UpstreamId>,
     /// The engines that the model left last for want of memory, the latest one last.
-    pub left: Vec<UpstreamId>,
+    pub evicted_from: Vec<UpstreamId>,
 }
 
 /// How a site's power is shared out among its engines.
--- a/crates/skylarkshore-core/src/store/cache.rs
+++ b/crates/skylarkshore-core/src/store/cache.rs
@@ -15,7 +15,7 @@
     owners: OrderedMap<UpstreamId, Versioned>,
     homes: OrderedMap<ModelName, Versioned>,
     others: OrderedMap<Key, Versioned>,
-    newest: StoreRevision,
+    latest_revision: StoreRevision,
     members_version: u64,
 }
 
@@ -28,7 +28,7 @@
         }
         let known_record = known.and_then(|known| known.record.as_ref());
         let news = known_record != change.record.as_ref();
-        self.newest = self.newest.max(change.revision);
+        self.latest_revision = self.latest_revision.max(change.revision);
         self.put(change);
         news
     }
@@ -49,7 +49,7 @@
     ///
     /// A known key that the read lacks was deleted, unless the read is older
     /// than what is known of the key.
-    pub fn apply_all(&mut self, revision: StoreRevision, records: Vec<Versioned>) -> Vec<Key> {
+    pub fn apply_snapshot(&mut self, revision: StoreRevision, records: Vec<Versioned>) -> Vec<Key> {
         let present: HashSet<&Key> = records.iter().map(|r| &r.key).collect();
         let gone: Vec<Versioned> = self
             .entries()
@@ -65,13 +65,13 @@
                 changed.push(key);
             }
         }
-        self.newest = self.newest.max(revision);
+        self.latest_revision = self.latest_revision.max(revision);
         changed
     }
 
     /// Returns the highest revision that has been seen.
-    pub const fn newest(&self) -> StoreRevision {
-        self.newest
+    pub const fn latest_revision(&self) -> StoreRevision {
+        self.latest_revision
     }
 
     /// Returns what is known of a key, deletions included.
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -62,13 +62,13 @@
 
 /// The writes in progress, one at a time for each key.
 #[derive(Debug, Default)]
-pub struct Writes {
+pub struct WriteQueue {
     pending: OrderedMap<Key, Pending>,
     queued: VecDeque<WriteRequest>,
     calls: HashMap<CallId, Key>,
 }
 
-impl Writes {
+impl WriteQueue {
     /// Begins a write, or queues it behind one of the same key.
     ///
     /// The outcome comes from [`on_result`](Self::on_result) or [`on_tick`](Self::on_tick).
--- a/crates/skylarkshore-core/src/upstream.rs
+++ b/crates/skylarkshore-core/src/upstream.rs
@@ -34,7 +34,7 @@
     ///
     /// An unload waits for the requests that run, so that the models on such an
     /// engine needn't be idle to make way.
-    OneByOne,
+    Sequential,
 }
 
 /// What a model engine can hold and draws.
@@ -69,7 +69,7 @@
 
 /// What the host list says of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum UpstreamStatus {
     /// It may get new work.
     Live,
     /// It is about to go and may not get new work.
@@ -90,7 +90,7 @@
     /// What it is.
     pub kind: UpstreamKind,
     /// Whether it may get new work.
-    pub standing: Standing,
+    pub status: UpstreamStatus,
     /// Which life of it the list speaks of; a restart has a higher number.
     pub incarnation: Incarnation,
     /// How many requests it runs at a time, where it tells.
@@ -98,7 +98,7 @@
     /// The models that it held when it last registered, where it tells.
     pub holds: Vec<ModelName>,
     /// The weights of which it keeps copies, where it tells.
-    pub copies: Copies,
+    pub copies: WeightCopies,
 }
 
 /// The models of which an engine keeps copies beside those that are loaded.
@@ -106,14 +106,14 @@
 /// A load from a copy is faster than one from the weight store, and takes
 /// nothing of the weight store's rate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copies {
+pub struct WeightCopies {
     /// In the host's memory.
     pub in_memory: OrderedSet<ModelName>,
     /// On the host's disk.
     pub on_disk: OrderedSet<ModelName>,
 }
 
-impl Copies {
+impl WeightCopies {
     /// Tells whether there is a copy of the model anywhere.
     pub fn has(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
@@ -130,8 +130,8 @@
     }
 
     /// Tells whether it held the model when it last registered, and may get new work.
-    pub fn holds_live(&self, model: &ModelName) -> bool {
-        self.standing == Standing::Live && self.holds.contains(model)
+    pub fn is_live_holder(&self, model: &ModelName) -> bool {
+        self.status == UpstreamStatus::Live && self.holds.contains(model)
     }
 
     /// Returns the service's name, if this is a replica of one.
@@ -194,7 +194,7 @@
     },
     /// The engine did nothing: it is carrying another order out, or has
     /// accepted another number of orders than expected.
-    OutOfTurn,
+    OrderConflict,
     /// The engine did nothing, for a reason of its own.
     Refused {
         /// The engine's words.
@@ -265,11 +265,11 @@
     /// How old the load figures may be.
     pub lag: Duration,
     /// The orders it has settled lately, newest last.
-    pub settled: Vec<OrderId>,
+    pub finished_orders: Vec<OrderId>,
     /// Whether it is carrying an order out.
     pub busy: bool,
     /// How many orders it has accepted in this life, where it numbers them.
     pub accepted: Option<u64>,
     /// The weights of which it keeps copies.
-    pub copies: Copies,
+    pub copies: WeightCopies,
 }
--- a/crates/skylarkshore-core/src/upstream/list.rs
+++ b/crates/skylarkshore-core/src/upstream/list.rs
@@ -2,7 +2,7 @@
 
 use crate::collections::{HashMap, OrderedMap, OrderedSet};
 use crate::id::{ModelName, ServiceName, UpstreamId};
-use crate::upstream::{Standing, Upstream};
+use crate::upstream::{Upstream, UpstreamStatus};
 
 /// What has changed on the host list.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -32,7 +32,7 @@
     /// The live engines that hold a model.
     holders: HashMap<ModelName, OrderedSet<UpstreamId>>,
     /// The live engines that hold a model or keep a copy of its weights.
-    keepers: HashMap<ModelName, OrderedSet<UpstreamId>>,
+    engines_with_weights: HashMap<ModelName, OrderedSet<UpstreamId>>,
 }
 
 impl UpstreamList {
@@ -72,8 +72,8 @@
     }
 
     /// Returns the live engines that hold a model or keep a copy of its weights.
-    pub fn keepers(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
-        self.found(self.keepers.get(model))
+    pub fn engines_with_weights(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
+        self.found(self.engines_with_weights.get(model))
     }
 
     fn found<'a>(&'a self, ids: Option<&'a OrderedSet<UpstreamId>>) -> impl Iterator<Item = &'a Upstream> {
@@ -120,7 +120,7 @@
             drop_from(&mut self.holders, model, id);
         }
         for model in kept(&upstream) {
-            drop_from(&mut self.keepers, model, id);
+            drop_from(&mut self.engines_with_weights, model, id);
         }
         Some(upstream)
     }
@@ -131,14 +131,14 @@
         if let Some(service) = upstream.service() {
             self.replicas.entry(service.clone()).or_default().insert(id.clone());
         }
-        if upstream.standing != Standing::Live {
+        if upstream.status != UpstreamStatus::Live {
             return;
         }
         for model in &upstream.holds {
             self.holders.entry(model.clone()).or_default().insert(id.clone());
         }
         for model in kept(upstream) {
-            self.keepers.entry(model.clone()).or_default().insert(id.clone());
+            self.engines_with_weights.entry(model.clone()).or_default().insert(id.clone());
         }
     }
 }
--- a/crates/skylarkshore-core/tests/control/homes.rs
+++ b/crates/skylarkshore-core/tests/control/homes.rs
@@ -1,4 +1,4 @@
-use skylarkshore_core::authority::{Authority, HomeWish};
+use skylarkshore_core::authority::{Authority, HomeRequest};
 use skylarkshore_core::id::{ModelName, UpstreamId};
 use skylarkshore_core::store::{Key, Record};
 use skylarkshore_core::upstream::FenceCheck;
@@ -26,8 +26,8 @@
     cluster.process(&host)
 }
 
-fn home_request(model: &str, leave: Option<&UpstreamId>) -> HomeWish {
-    HomeWish { model: name(model), leave: leave.cloned() }
+fn home_request(model: &str, leave: Option<&UpstreamId>) -> HomeRequest {
+    HomeRequest { model: name(model), move_from: leave.cloned() }
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut cluster = cluster_with_owners(22, &["a", "b", "c"], 6, FenceCheck::Refuses);
     cluster.run_until("a first home", secs(10), |cluster| homes(cluster, "model-0").len() == 1);
     for process in cluster.processes.values_mut() {
-        process.engines.wishes = vec![home_request("model-0", None)];
+        process.engines.home_requests = vec![home_request("model-0", None)];
     }
     cluster
         .run_until("a second home", secs(5), |cluster| allowed_engines(cluster, &name("model-0")).len() == 2);
@@ -78,7 +78,7 @@
             cluster.faults.delayed_writes = 100;
             cluster.faults.write_delay = Some(secs(20));
         }
-        owner(&mut cluster, &old_home).engines.wishes = vec![home_request("model-0", Some(&old_home))];
+        owner(&mut cluster, &old_home).engines.home_requests = vec![home_request("model-0", Some(&old_home))];
         cluster.run_until("the move begins", secs(5), |cluster| {
             !owner(cluster, &old_home).control.is_home(&old_home, &name("model-0"))
         });
@@ -87,7 +87,7 @@
             assert!(allowed_engines(cluster, &name("model-0")).len() <= 1);
             assert!(!owner(cluster, &old_home).control.is_home(&old_home, &name("model-0")));
         });
-        owner(&mut cluster, &old_home).engines.wishes.clear();
+        owner(&mut cluster, &old_home).engines.home_requests.clear();
         cluster.faults.outage = false;
         cluster.faults.lost_answers = 0;
         cluster.faults.delayed_writes = 0;
@@ -105,7 +105,7 @@
 fn a_surplus_home_is_removed_after_its_replica_is_unloaded() {
     let mut cluster = cluster_with_owners(24, &["a", "b"], 6, FenceCheck::Refuses);
     for process in cluster.processes.values_mut() {
-        process.engines.wishes = vec![home_request("model-1", None)];
+        process.engines.home_requests = vec![home_request("model-1", None)];
     }
     cluster.run_until("a second home", secs(10), |cluster| {
         allowed_engines(cluster, &name("model-1")).len() == 2
@@ -114,7 +114,7 @@
     owner(&mut cluster, &last).engines.loaded.insert((last.clone(), name("model-1")));
     cluster.store.put(Key::Document, Record::Document(document(2, 4, 1, UNLIMITED_POWER).into()));
     cluster.run_until("the surplus replica must close", secs(7), |cluster| {
-        owner(cluster, &last).control.must_close(&last, &name("model-1"))
+        owner(cluster, &last).control.must_unload(&last, &name("model-1"))
     });
     cluster.run(secs(10), |cluster| assert_eq!(homes(cluster, "model-1").len(), 2));
     owner(&mut cluster, &last).engines.loaded.clear();
--- a/crates/skylarkshore-core/tests/control/leases.rs
+++ b/crates/skylarkshore-core/tests/control/leases.rs
@@ -38,7 +38,8 @@
             assert_one_owner_each(cluster);
             is_every_engine_owned(cluster)
         });
-        let superseded: usize = cluster.processes.values().map(|process| process.noted("superseded")).sum();
+        let superseded: usize =
+            cluster.processes.values().map(|process| process.event_count("superseded")).sum();
         assert_eq!(superseded, 0, "seed {seed}");
     }
 }
@@ -56,7 +57,7 @@
     });
     let now = cluster.now;
     let process = cluster.process("a");
-    assert_eq!(process.noted("superseded"), 1);
+    assert_eq!(process.event_count("superseded"), 1);
     assert!(engines.iter().all(|engine| process.control.permit(now, engine).is_none()));
     cluster.run(secs(30), |_| {});
     assert_eq!(member(&cluster, "a"), Some(later));
@@ -86,14 +87,14 @@
 fn a_process_cut_off_from_the_store_receives_new_rules_from_peers() {
     let mut cluster = cluster_with_owners(13, &["a", "b", "c"], 3, FenceCheck::Refuses);
     for host in ["a", "b", "c"] {
-        cluster.process(host).cut = true;
+        cluster.process(host).store_unreachable = true;
         cluster.run(secs(3), |_| {});
         let revision = cluster.process(host).document.revision.0 + 1;
         cluster.store.put(Key::Document, Record::Document(document(revision, 4, 2, UNLIMITED_POWER).into()));
         cluster.run_until("new rules everywhere", secs(7), |cluster| {
             cluster.processes.values().all(|process| process.document.revision.0 == revision)
         });
-        cluster.process(host).cut = false;
+        cluster.process(host).store_unreachable = false;
         cluster.run(secs(10), |_| {});
     }
 }
@@ -148,7 +149,7 @@
         Cluster::with_engines(15, &["a", "b"], 2, FenceCheck::Ignores, document(1, 2, 1, UNLIMITED_POWER));
     cluster.run(secs(20), |_| {});
     let now = cluster.now;
-    insta::assert_snapshot!(cluster.process("a").beliefs(now), @r"
+    insta::assert_snapshot!(cluster.process("a").dump_entries(now), @r"
     lease a: registered at revision 2
     feed a: hears from peers, complete up to revision 10
     member a: live, incarnation 1, dc-a, callers 127.0.0.1:1
--- a/crates/skylarkshore-core/tests/control/ownership.rs
+++ b/crates/skylarkshore-core/tests/control/ownership.rs
@@ -26,7 +26,7 @@
 }
 
 fn handed_over(cluster: &Cluster) -> usize {
-    cluster.processes.values().map(|process| process.noted("engine_handed_over")).sum()
+    cluster.processes.values().map(|process| process.event_count("engine_handed_over")).sum()
 }
 
 /// Returns until when the new owner of an engine expects orders of the former owner.
@@ -107,7 +107,7 @@
     assert!(engines_of_a.iter().all(|engine| late_orders_until(&cluster, engine) == Some(Time::NEVER)));
     cluster.process("a").frozen = false;
     cluster.run(secs(30), assert_one_owner_each);
-    let lost = cluster.process("a").noted("engine_lost");
+    let lost = cluster.process("a").event_count("engine_lost");
     assert_eq!(lost, engines_of_a.len());
     assert!(is_every_engine_owned(&mut cluster));
 }
@@ -130,7 +130,7 @@
         cluster.run_until("every engine has a permit again", secs(20), is_every_engine_owned);
         cluster.run(secs(60), assert_one_owner_each);
         assert_eq!(before, owned_counts(&cluster), "{fence_check:?}");
-        let lost: usize = cluster.processes.values().map(|process| process.noted("engine_lost")).sum();
+        let lost: usize = cluster.processes.values().map(|process| process.event_count("engine_lost")).sum();
         assert_eq!(lost, 0, "{fence_check:?}");
     }
 }
@@ -160,7 +160,7 @@
     });
     cluster.run_until("the process is deregistered", secs(5), |cluster| {
         cluster.finish_draining("a");
-        cluster.process("a").control.has_left()
+        cluster.process("a").control.has_deregistered()
     });
     let key = skylarkshore_core::store::Key::Member(name("a"));
     assert!(cluster.store.record(&key).is_none());
@@ -175,7 +175,7 @@
     cluster.shut_down("a");
     cluster.run_until("the process is deregistered", secs(25), |cluster| {
         cluster.finish_draining("a");
-        cluster.process("a").control.has_left()
+        cluster.process("a").control.has_deregistered()
     });
 }
 
@@ -184,14 +184,14 @@
 fn an_engine_is_not_handed_over_while_an_order_is_in_progress() {
     let mut cluster = cluster_with_owners(9, &["a", "b"], 4, FenceCheck::Ignores);
     let engines = engines_of(&cluster, "a");
-    cluster.process("a").engines.unsettled = engines.iter().cloned().collect();
+    cluster.process("a").engines.open_order_engines = engines.iter().cloned().collect();
     cluster.shut_down("a");
     cluster.run(secs(8), assert_one_owner_each);
     for engine in &engines {
         assert!(cluster.holders(engine).is_empty(), "{engine} has an owner that may act");
-        assert!(cluster.process("a").control.granted(engine).0 > 0, "{engine} isn't owned any more");
+        assert!(cluster.process("a").control.granted_power(engine).0 > 0, "{engine} isn't owned any more");
     }
-    cluster.process("a").engines.unsettled.clear();
+    cluster.process("a").engines.open_order_engines.clear();
     cluster.run_until("the other process owns every engine", secs(10), is_every_engine_owned);
 }
 
--- a/crates/skylarkshore-core/tests/control/power.rs
+++ b/crates/skylarkshore-core/tests/control/power.rs
@@ -14,7 +14,7 @@
     let engines = cluster.engines.keys();
     let most = |engine: &UpstreamId| {
         let owners = cluster.processes.values();
-        owners.map(|process| process.control.granted(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
+        owners.map(|process| process.control.granted_power(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
     };
     engines.map(most).sum()
 }
@@ -35,7 +35,7 @@
 }
 
 fn has_full_power(cluster: &Cluster, engine: &UpstreamId) -> bool {
-    cluster.processes.values().any(|process| process.control.granted(engine) == ACTIVE_WATTS)
+    cluster.processes.values().any(|process| process.control.granted_power(engine) == ACTIVE_WATTS)
 }
 
 /// Guards against owners that together assume more power than the cap, which would trip the site's breaker.
@@ -56,12 +56,12 @@
         let engines: Vec<UpstreamId> = cluster.engines.keys().cloned().collect();
         for engine in engines {
             let host = holder(&cluster, &engine);
-            cluster.process(&host).engines.lacking.insert(engine.clone());
+            cluster.process(&host).engines.short_of_power.insert(engine.clone());
             cluster.run_until("power for the engine", secs(60), |cluster| {
                 assert_within_cap(cluster, TIGHT);
                 has_full_power(cluster, &engine)
             });
-            cluster.process(&host).engines.lacking.clear();
+            cluster.process(&host).engines.short_of_power.clear();
         }
     }
 }
@@ -108,7 +108,7 @@
     let mut stopping = working.clone();
     stopping.retain(|(engine, model)| {
         let host = holder(&cluster, engine);
-        cluster.process(&host).control.must_close(engine, model)
+        cluster.process(&host).control.must_unload(engine, model)
     });
     assert_eq!(stopping.len(), 1, "{stopping:?} of {working:?} have to stop");
     let host = holder(&cluster, &stopping[0].0);
--- a/crates/skylarkshore-core/tests/control/stale.rs
+++ b/crates/skylarkshore-core/tests/control/stale.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use skylarkshore_core::authority::{Authority, HomeWish};
+use skylarkshore_core::authority::{Authority, HomeRequest};
 use skylarkshore_core::id::{ModelName, UpstreamId};
 use skylarkshore_core::store::{Key, Record};
 use skylarkshore_core::units::Watts;
@@ -57,7 +57,7 @@
 fn granted(cluster: &Cluster, former: &str) -> Watts {
     let most = |engine: &UpstreamId| {
         let others = cluster.processes.iter().filter(|(host, _)| host.as_str() != former);
-        others.map(|(_, p)| p.control.granted(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
+        others.map(|(_, p)| p.control.granted_power(engine)).max().unwrap_or_default().max(SLEEP_WATTS)
     };
     cluster.engines.keys().map(most).sum()
 }
@@ -73,7 +73,8 @@
     let former = holder(&cluster, &engine);
     cluster.faults.delayed_writes = 100;
     cluster.faults.write_delay = Some(secs(25));
-    cluster.process(&former).engines.wishes = vec![HomeWish { model: model(), leave: Some(engine.clone()) }];
+    cluster.process(&former).engines.home_requests =
+        vec![HomeRequest { model: model(), move_from: Some(engine.clone()) }];
     cluster.run(secs(1), |_| {});
     cluster.kill(&former);
     cluster.faults.delayed_writes = 0;
@@ -101,17 +102,18 @@
         load_at_one_home(cluster, &former, &mut loaded);
         !loaded.is_empty()
     });
-    cluster.process(&former).engines.wishes = vec![HomeWish { model: model(), leave: Some(engine) }];
+    cluster.process(&former).engines.home_requests =
+        vec![HomeRequest { model: model(), move_from: Some(engine) }];
     cluster.run(secs(30), |cluster| load_at_one_home(cluster, &former, &mut loaded));
 }
 
 /// Lets an engine's owner lose its lease and the engine without being notified.
 fn isolate_and_replace_owner(cluster: &mut Cluster, engine: &UpstreamId) -> String {
     let former = holder(cluster, engine);
-    cluster.process(&former).cut = true;
-    cluster.process(&former).deaf = true;
+    cluster.process(&former).store_unreachable = true;
+    cluster.process(&former).inbound_cut = true;
     cluster.run_until("a successor owns the engines", secs(40), |cluster| owner(cluster, engine) != former);
-    cluster.process(&former).cut = false;
+    cluster.process(&former).store_unreachable = false;
     cluster.run_until("the former owner registers again", secs(15), |cluster| {
         cluster.store.record(&Key::Member(name(&former))).is_some()
     });
@@ -124,7 +126,7 @@
 
 fn engine_with_full_power(cluster: &Cluster) -> UpstreamId {
     let full = |engine: &&UpstreamId| {
-        cluster.processes.values().any(|process| process.control.granted(engine) == ACTIVE_WATTS)
+        cluster.processes.values().any(|process| process.control.granted_power(engine) == ACTIVE_WATTS)
     };
     cluster.engines.keys().find(full).cloned().expect("an engine has power")
 }
@@ -134,7 +136,7 @@
     let others: Vec<UpstreamId> = cluster.engines.keys().filter(|other| *other != engine).cloned().collect();
     for other in others {
         let host = holder(cluster, &other);
-        cluster.process(&host).engines.lacking.insert(other);
+        cluster.process(&host).engines.short_of_power.insert(other);
     }
 }
 
@@ -151,7 +153,7 @@
     cluster.faults.delayed_writes = 100;
     cluster.faults.write_delay = Some(secs(25));
     cluster.run_until("the former owner gives the power up", secs(5), |cluster| {
-        cluster.process(&former).control.granted(&engine) == SLEEP_WATTS
+        cluster.process(&former).control.granted_power(&engine) == SLEEP_WATTS
     });
     cluster.kill(&former);
     cluster.faults.delayed_writes = 0;
@@ -160,12 +162,12 @@
     cluster.faults.outage = true;
     let mut drawing = BTreeSet::new();
     let mut check = |cluster: &mut Cluster| {
-        if cluster.process(&successor).control.granted(&engine) == ACTIVE_WATTS {
+        if cluster.process(&successor).control.granted_power(&engine) == ACTIVE_WATTS {
             cluster.process(&successor).engines.loaded.insert((engine.clone(), model()));
             drawing.insert(engine.clone());
         }
         let others = granted(cluster, &former);
-        let lowered = cluster.process(&successor).control.granted(&engine) < ACTIVE_WATTS;
+        let lowered = cluster.process(&successor).control.granted_power(&engine) < ACTIVE_WATTS;
         let uncounted = if !drawing.is_empty() && lowered { ACTIVE_WATTS.0 - SLEEP_WATTS.0 } else { 0 };
         assert!(others.0 + uncounted <= TIGHT.0, "{others} and {uncounted}W at {}", cluster.now);
     };
@@ -184,14 +186,14 @@
     let former = isolate_and_replace_owner(&mut cluster, &engine);
     cluster.run_until("the successor has the power", secs(5), |cluster| {
         let host = successor_of(cluster, &engine, &former);
-        cluster.process(&host).control.granted(&engine) == ACTIVE_WATTS
+        cluster.process(&host).control.granted_power(&engine) == ACTIVE_WATTS
     });
     let successor = successor_of(&cluster, &engine, &former);
     cluster.process(&successor).engines.loaded.insert((engine.clone(), model()));
     let log_position = cluster.store.log.len();
-    cluster.process(&former).deaf = false;
+    cluster.process(&former).inbound_cut = false;
     cluster.send_power_request(&former, Watts(ACTIVE_WATTS.0 - SLEEP_WATTS.0));
-    cluster.process(&former).deaf = true;
+    cluster.process(&former).inbound_cut = true;
     cluster.run(secs(30), |_| {});
     for change in &cluster.store.log[log_position..] {
         let Some(Record::Power(record)) = &change.record else { continue };
@@ -215,7 +217,7 @@
     cluster.faults.write_delay = Some(secs(12));
     cluster.shut_down("a");
     cluster.run(secs(2), assert_one_owner_each);
-    cluster.process("a").deaf = true;
+    cluster.process("a").inbound_cut = true;
     cluster.run(secs(30), assert_one_owner_each);
 }
 
@@ -230,15 +232,15 @@
     let engines: Vec<UpstreamId> =
         cluster.engines.keys().filter(|engine| holder(&cluster, engine) == "a").cloned().collect();
     assert!(!engines.is_empty(), "a owns something");
-    cluster.process("a").cut = true;
+    cluster.process("a").store_unreachable = true;
     cluster.run_until("the member key is deleted", secs(15), |cluster| {
         cluster.store.record(&Key::Member(name("a"))).is_none()
     });
     cluster.run(secs(1), assert_one_owner_each);
     for host in ["b", "c"] {
-        cluster.process(host).deaf = true;
+        cluster.process(host).inbound_cut = true;
     }
-    cluster.process("a").cut = false;
+    cluster.process("a").store_unreachable = false;
     cluster.run(secs(60), |cluster| {
         assert_one_owner_each(cluster);
         assert!(engines.iter().all(|engine| owner(cluster, engine) == "a"), "taken over at {}", cluster.now);
@@ -254,7 +256,7 @@
     let mut cluster = cluster(47, FenceCheck::Ignores, UNLIMITED_POWER);
     cluster.run_until("a renewal is answered", secs(5), |cluster| cluster.process("a").has_lease_answer());
     cluster.process("a").frozen = true;
-    cluster.process("a").deaf = true;
+    cluster.process("a").inbound_cut = true;
     cluster.run(secs(40), assert_one_owner_each);
     assert!(is_every_engine_owned(&mut cluster), "others have taken over");
     cluster.process("a").frozen = false;
--- a/crates/skylarkshore-core/tests/control/storm.rs
+++ b/crates/skylarkshore-core/tests/control/storm.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
-use skylarkshore_core::authority::{Authority, HomeWish};
+use skylarkshore_core::authority::{Authority, HomeRequest};
 use skylarkshore_core::id::{HostId, ModelName, UpstreamId};
 use skylarkshore_core::store::{Key, OwnerRecord, Record};
 use skylarkshore_core::units::Watts;
@@ -67,8 +67,8 @@
         match self.rng.random_range(0..2000) {
             0..4 if alive => self.cluster.process(host).frozen = true,
             4..24 if alive => self.cluster.process(host).frozen = false,
-            24..28 if alive => self.cluster.process(host).cut = true,
-            28..48 if alive => self.cluster.process(host).cut = false,
+            24..28 if alive => self.cluster.process(host).store_unreachable = true,
+            28..48 if alive => self.cluster.process(host).store_unreachable = false,
             48..51 => self.cluster.kill(host),
             51..71 if !alive => self.restart(host),
             71..72 => self.cluster.faults.outage = true,
@@ -102,20 +102,20 @@
         for process in self.cluster.processes.values_mut().filter(|process| !process.frozen) {
             let held: Vec<&UpstreamId> = engines.iter().filter(|engine| process.holds(now, engine)).collect();
             for engine in held {
-                let powered = process.control.granted(engine) >= ACTIVE_WATTS;
+                let powered = process.control.granted_power(engine) >= ACTIVE_WATTS;
                 let at = (engine.clone(), model.clone());
                 if powered && process.control.is_home(engine, &model) && self.rng.random_bool(0.2) {
                     self.loads += usize::from(self.loaded.insert(at.clone()));
                 }
-                if process.control.must_close(engine, &model) || self.rng.random_bool(0.02) {
+                if process.control.must_unload(engine, &model) || self.rng.random_bool(0.02) {
                     self.loaded.remove(&at);
                 }
                 if self.rng.random_bool(0.01) {
-                    process.engines.lacking.insert(engine.clone());
+                    process.engines.short_of_power.insert(engine.clone());
                 }
             }
             let leave = engines.choose(&mut self.rng).filter(|_| self.rng.random_bool(0.5)).cloned();
-            process.engines.wishes = vec![HomeWish { model: model.clone(), leave }];
+            process.engines.home_requests = vec![HomeRequest { model: model.clone(), move_from: leave }];
         }
         for process in self.cluster.processes.values_mut() {
             process.engines.loaded.clone_from(&self.loaded);
@@ -168,7 +168,7 @@
             match self.cluster.processes.get_mut(&name::<HostId>(host)) {
                 Some(process) => {
                     process.frozen = false;
-                    process.cut = false;
+                    process.store_unreachable = false;
                 }
                 None => self.restart(host),
             }
--- a/crates/skylarkshore-core/tests/fleet_size.rs
+++ b/crates/skylarkshore-core/tests/fleet_size.rs
@@ -218,7 +218,7 @@
     let parent = asked(&effects).expect("it asks nobody");
     let part = StatePart { series: 1, upto: upto(hosts), part: 0, parts: 1, body: Vec::new().into() };
     let effects = node.handle(NOW, Event::Peer { from: parent, message: PeerMessage::State(part) });
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::TakeState(_))), "{effects:?}");
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::ApplyStatePart(_))), "{effects:?}");
 }
 
 /// Guards against a host that never serves because those whom it asks are gone.
@@ -253,7 +253,7 @@
 fn what_news_left_out_is_read_at_once_where_members_are_few_and_asked_for_where_they_are_many() {
     let (mut node, _) = settled(1, 10);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
-    assert!(effects.contains(&Effect::ReadOn), "{effects:?}");
+    assert!(effects.contains(&Effect::ReadMissedNews), "{effects:?}");
     let (mut node, _) = settled(not_the_root(100), 100);
     let effects = node.handle(NOW, Event::NewsMissed { lasts: false });
     assert_eq!(effects, []);
--- a/crates/skylarkshore-core/tests/loading/faults.rs
+++ b/crates/skylarkshore-core/tests/loading/faults.rs
@@ -48,7 +48,7 @@
 #[test]
 fn an_engine_that_names_no_orders_frees_their_memory_only_after_a_while() {
     let mut rig = Rig::new(&[("maize", 600), ("rye", 600)]);
-    rig.engine.names_settled = false;
+    rig.engine.reports_finished_orders = false;
     rig.fates = vec![Fate::Held];
     rig.want("entry-2", "maize", 1);
     rig.run(Duration::from_secs(1) / 4);
@@ -98,7 +98,7 @@
     assert_eq!(rig.engine.loads_of("maize"), 0);
     rig.with(|loading, _, _| {
         use skylarkshore_core::authority::EngineUse;
-        let lacks = loading.lacks(&crate::support::name(crate::support::ENGINE));
+        let lacks = loading.power_shortfall(&crate::support::name(crate::support::ENGINE));
         assert_eq!(lacks.map(|(watts, _)| watts), Some(Watts(1)));
     });
     rig.authority.granted = ACTIVE;
--- a/crates/skylarkshore-core/tests/loading/one_by_one.rs
+++ b/crates/skylarkshore-core/tests/loading/one_by_one.rs
@@ -71,8 +71,8 @@
         target: target("rye"),
         waiting: 1,
         order: ServiceOrder::default(),
-        patience: PATIENT,
-        aim,
+        max_wait: PATIENT,
+        soft_deadline: aim,
     };
     rig.hear(&name("entry-3"), &wanted(Some(Duration::from_secs(3))));
     assert_eq!(rig.refusals(), ["rye Busy"]);
--- a/crates/skylarkshore-core/tests/loading/pace.rs
+++ b/crates/skylarkshore-core/tests/loading/pace.rs
@@ -32,7 +32,7 @@
                 upstream: engine(number),
                 model: name("maize"),
                 order: ServiceOrder::default(),
-                patience: Duration::from_mins(1),
+                max_wait: Duration::from_mins(1),
             };
             rig.hear(&name(peer), &wanted);
         }
--- a/crates/skylarkshore-core/tests/loading/slots.rs
+++ b/crates/skylarkshore-core/tests/loading/slots.rs
@@ -142,14 +142,14 @@
     rig.want("entry-3", "maize", 1);
     rig.run(Duration::from_millis(100));
     let own = format!("maize@{ENGINE}");
-    assert_eq!(rig.beliefs("load_slot"), [format!("{own}: waits; gate=entry-1")]);
-    let slots = rig.beliefs("store_slot");
+    assert_eq!(rig.dump_entries("load_slot"), [format!("{own}: waits; gate=entry-1")]);
+    let slots = rig.dump_entries("store_slot");
     assert_eq!(slots[0], "maize@far-0: let through for entry-2");
     assert_eq!(slots.last(), Some(&format!("{own}: waits for entry-1")));
     give_back(&mut rig, &[engine(0)]);
     rig.run(Duration::from_millis(200));
-    assert_eq!(rig.beliefs("order").len(), 1);
-    assert!(rig.beliefs("order")[0].contains("in doubt: Load"), "{:?}", rig.beliefs("order"));
+    assert_eq!(rig.dump_entries("order").len(), 1);
+    assert!(rig.dump_entries("order")[0].contains("in doubt: Load"), "{:?}", rig.dump_entries("order"));
 }
 
 /// The gate stands still, so the next host lets the load through. Then the first
--- a/crates/skylarkshore-core/tests/quota.rs
+++ b/crates/skylarkshore-core/tests/quota.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use skylarkshore_core::Time;
-use skylarkshore_core::accounts::{Account, Accounts, AmbiguousAccount, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, Accounts, AmbiguousAccount, KeyDigest, LimitUnit};
 use skylarkshore_core::id::Digest;
 use skylarkshore_core::units::Credits;
 
@@ -32,9 +32,9 @@
     // The later ones passed the limit when a keeper counted hosts for longer after they had left.
     for seed in (0..30).chain([149, 247, 297, 302, 439, 607, 693, 821, 888]) {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run_with(Plan::random(seed, HOSTS), secs(30));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} in a window that allows {allowed}");
         assert!(used >= allowed / 2, "seed {seed}: only {used} of {allowed} were used");
     }
@@ -46,7 +46,7 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(30));
         assert_eq!(fleet.refused_since(secs(0)), 0, "seed {seed}");
     }
@@ -58,10 +58,10 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
-        let keeper = fleet.keeper();
-        fleet.kill(keeper, secs(25));
+        let coordinator = fleet.coordinator();
+        fleet.kill(coordinator, secs(25));
         fleet.run(secs(25));
         assert_eq!(fleet.refused_since(secs(11)), 0, "seed {seed}");
     }
@@ -72,13 +72,13 @@
 fn all_hosts_killed_at_once_spend_no_window_twice() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run(secs(10));
         for host in 0..HOSTS {
             fleet.kill(host, secs(10).after(Duration::from_millis(300)));
         }
         fleet.run(secs(20));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} of {allowed}");
     }
 }
@@ -88,7 +88,7 @@
 fn an_account_below_its_limit_is_served_a_second_after_all_were_killed() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
         for host in 0..HOSTS {
             fleet.kill(host, secs(10).after(Duration::from_millis(300)));
@@ -103,7 +103,7 @@
 fn hosts_that_just_started_serve_from_their_own_shares() {
     let mut fleet = fleet(1);
     fleet.isolate_all();
-    fleet.ask_for(PER_SECOND * 55 / 100);
+    fleet.set_request_rate(PER_SECOND * 55 / 100);
     fleet.run(Time::from_millis(500));
     assert!(fleet.granted() >= 1, "all wait for keepers that can't answer");
 }
@@ -113,13 +113,13 @@
 fn two_halves_spend_the_limit_once_between_them() {
     for seed in 0..5 {
         let mut fleet = fleet(seed);
-        fleet.ask_for(PER_SECOND * 4);
+        fleet.set_request_rate(PER_SECOND * 4);
         fleet.run(secs(10));
         fleet.cut(0..HOSTS / 2);
         fleet.run(secs(30));
         fleet.heal();
         fleet.run(secs(40));
-        let (used, allowed) = (fleet.most_in_a_window(), fleet.allowed());
+        let (used, allowed) = (fleet.peak_window_usage(), fleet.allowed());
         assert!(used <= allowed, "seed {seed}: {used} of {allowed}");
     }
 }
@@ -130,7 +130,7 @@
     for seed in 0..5 {
         let mut fleet = fleet(seed);
         fleet.run(secs(2));
-        fleet.ask_for(PER_SECOND * 55 / 100);
+        fleet.set_request_rate(PER_SECOND * 55 / 100);
         fleet.run(secs(10));
         fleet.cut(0..HOSTS / 2);
         fleet.run(secs(30));
@@ -142,12 +142,12 @@
 #[test]
 fn a_lowered_limit_binds_after_a_window() {
     let mut fleet = fleet(1);
-    fleet.ask_for(PER_SECOND * 4);
+    fleet.set_request_rate(PER_SECOND * 4);
     fleet.run(secs(10));
     fleet.set_limit(PER_SECOND / 3);
     fleet.run(secs(30));
     let allowed = fleet.allowed();
-    let used = fleet.most_in_a_window_since(secs(11));
+    let used = fleet.peak_window_usage_since(secs(11));
     assert!(used <= allowed, "{used} of {allowed}");
 }
 
@@ -155,9 +155,9 @@
 #[test]
 fn what_was_not_run_is_given_back() {
     let mut fleet = fleet(1);
-    fleet.give_back_all();
+    fleet.return_all_credit();
     fleet.run(secs(2));
-    fleet.ask_for(PER_SECOND * 2);
+    fleet.set_request_rate(PER_SECOND * 2);
     fleet.run(secs(20));
     assert_eq!(fleet.refused_since(secs(0)), 0);
 }
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_request_counts_its_tokens_or_one() {
-    let tokens = Measure::Tokens { plain: Credits(200) };
-    let costs = [tokens.cost(Some(1540)), tokens.cost(None), Measure::Requests.cost(Some(1540))];
+    let tokens = LimitUnit::Tokens { default_cost: Credits(200) };
+    let costs = [tokens.cost(Some(1540)), tokens.cost(None), LimitUnit::Requests.cost(Some(1540))];
     assert_eq!(costs, [Credits(1540), Credits(200), Credits(1)]);
 }
--- a/crates/skylarkshore-core/tests/serving/crash.rs
+++ b/crates/skylarkshore-core/tests/serving/crash.rs
@@ -2,14 +2,14 @@
 
 use skylarkshore_core::config::{Limits, SuspectPolicy};
 use skylarkshore_core::effect::{RefusalOutcome, RefusalReason};
-use skylarkshore_core::event::AttemptEnd;
+use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::id::{Digest, Fence};
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::view::{EngineView, Readiness};
 
 use crate::support::serving::*;
 
-const DIED: AttemptEnd = AttemptEnd::Lost { passed_on: false, died: true };
+const DIED: AttemptOutcome = AttemptOutcome::Lost { passed_on: false, died: true };
 
 fn suspects(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Suspects { .. })
@@ -66,7 +66,7 @@
     let first = p.take_sent();
     assert_eq!(first.len(), 1);
 
-    p.end(first[0].attempt, AttemptEnd::Whole { held: None });
+    p.end(first[0].attempt, AttemptOutcome::Completed { held: None });
     let cleared = p.take_told(|m| matches!(m, PeerMessage::Cleared { .. }));
     assert_eq!(cleared.len(), 2);
     p.pass(1500);
@@ -165,7 +165,7 @@
     }
     let first = p.take_sent();
     assert_eq!(first.len(), 1);
-    p.end(first[0].attempt, AttemptEnd::Whole { held: None });
+    p.end(first[0].attempt, AttemptOutcome::Completed { held: None });
     let mut others: Vec<_> = p.take_sent().into_iter().map(|sent| sent.request.0).collect();
     others.sort_unstable();
     assert_eq!(others, [2, 3]);
@@ -200,7 +200,7 @@
     let mut p = Process::with_limits("a", 1, limits);
     for life in 1..=2 {
         let mut single = arrival(&p, service("booking"), 7);
-        single.terms.tries = 1;
+        single.policy.max_runs = 1;
         p.arrive(life, single);
         let sent = p.take_sent().remove(0);
         p.end(sent.attempt, DIED);
@@ -226,7 +226,7 @@
     let mut p = Process::with_limits("a", 1, limits);
     for life in 1..=2 {
         let mut single = arrival(&p, service("booking"), 7);
-        single.terms.tries = 1;
+        single.policy.max_runs = 1;
         p.arrive(life, single);
         let sent = p.take_sent().remove(0);
         let ended = p.end_life(sent.upstream.as_str());
--- a/crates/skylarkshore-core/tests/serving/flow.rs
+++ b/crates/skylarkshore-core/tests/serving/flow.rs
@@ -4,7 +4,7 @@
 
 use skylarkshore_core::catalogue::ModelTarget;
 use skylarkshore_core::effect::{Effect, RefusalOutcome, RefusalReason};
-use skylarkshore_core::event::{AttemptEnd, Target};
+use skylarkshore_core::event::{AttemptOutcome, Target};
 use skylarkshore_core::id::Incarnation;
 use skylarkshore_core::id::RequestId;
 use skylarkshore_core::peer::{CannotLoad, PeerMessage};
@@ -41,11 +41,11 @@
     p.peer("b", &PeerMessage::View(view("e1", 2, "m", Readiness::Ready)));
     let sent = p.take_sent();
     assert_eq!(sent.len(), 2, "the engine takes two at a time");
-    p.end(sent[0].attempt, AttemptEnd::Whole { held: None });
+    p.end(sent[0].attempt, AttemptOutcome::Completed { held: None });
     let third = p.take_sent();
     assert_eq!(third.len(), 1);
     for attempt in [sent[1].attempt, third[0].attempt] {
-        p.end(attempt, AttemptEnd::Whole { held: None });
+        p.end(attempt, AttemptOutcome::Completed { held: None });
     }
     assert!(p.serving.is_idle());
     assert_eq!(p.take_refused(), []);
@@ -92,12 +92,12 @@
     let mut p = Process::new("a", 1);
     p.arrive(1, arrival(&p, service("booking"), 1));
     let first = p.take_sent().remove(0);
-    p.end(first.attempt, AttemptEnd::NotSent);
+    p.end(first.attempt, AttemptOutcome::NotSent);
     let second = p.take_sent().remove(0);
     assert_ne!(first.upstream, second.upstream);
-    p.end(second.attempt, AttemptEnd::Whole { held: None });
-    p.end(second.attempt, AttemptEnd::Whole { held: None });
-    p.end(first.attempt, AttemptEnd::Lost { passed_on: false, died: true });
+    p.end(second.attempt, AttemptOutcome::Completed { held: None });
+    p.end(second.attempt, AttemptOutcome::Completed { held: None });
+    p.end(first.attempt, AttemptOutcome::Lost { passed_on: false, died: true });
     let finals = p.take().into_iter().filter(|e| matches!(e, Effect::Refuse { .. } | Effect::Abort { .. }));
     assert_eq!(finals.count(), 0, "late ends change nothing");
     assert!(p.serving.is_idle());
@@ -136,7 +136,7 @@
     let remaining = Duration::from_secs(6);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
     let mut impatient = arrival(&p, model("m"), 1);
-    impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
+    impatient.policy.first_byte_deadline = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
     p.arrive(2, arrival(&p, model("m"), 2));
     let refused = p.take_refused();
@@ -152,7 +152,7 @@
 fn a_wait_ends_before_the_caller_goes_away() {
     let mut p = Process::new("a", 1);
     let mut impatient = arrival(&p, model("m"), 1);
-    impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
+    impatient.policy.first_byte_deadline = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
     p.pass(1900);
     assert_eq!(p.take_refused(), []);
@@ -173,7 +173,7 @@
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
     for id in 1..=5 {
         let mut impatient = arrival(&p, model("m"), id);
-        impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
+        impatient.policy.first_byte_deadline = p.now.after(Duration::from_secs(2));
         p.arrive(id.into(), impatient);
     }
     assert_eq!(p.take_refused().len(), 5);
@@ -207,7 +207,7 @@
     let remaining = Duration::from_secs(6);
     p.peer("b", &PeerMessage::View(view("e1", 1, "m", Readiness::Loading { remaining })));
     let mut impatient = arrival(&p, model("m"), 1);
-    impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
+    impatient.policy.first_byte_deadline = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
     assert_eq!(p.take_refused().len(), 1);
     p.take();
@@ -223,7 +223,7 @@
 fn one_owner_takes_a_model_on_also_once_the_callers_aim_has_passed() {
     let mut p = Process::new("a", 1);
     let mut request = arrival(&p, model("m"), 1);
-    request.terms.aim = p.now.after(Duration::from_secs(1));
+    request.policy.soft_deadline = p.now.after(Duration::from_secs(1));
     p.arrive(1, request);
     let busy = |seconds| PeerMessage::CannotLoad {
         target: ModelTarget { model: name("m"), adapter: None },
@@ -239,8 +239,9 @@
     let told = p.take_told(wanted);
     assert!(told.iter().any(|(owner, _)| *owner == name("b")), "{told:?}");
     let second = told.iter().filter(|(owner, _)| *owner == name("c"));
-    let without_aim =
-        second.filter(|(_, message)| matches!(message, PeerMessage::Wanted { aim: None, .. })).count();
+    let without_aim = second
+        .filter(|(_, message)| matches!(message, PeerMessage::Wanted { soft_deadline: None, .. }))
+        .count();
     assert_eq!(without_aim, 0, "{told:?}");
 }
 
@@ -279,7 +280,7 @@
     p.take();
     let adapted = Target::Model(ModelTarget { model: name("m"), adapter: Some(name("bern")) });
     let mut impatient = arrival(&p, adapted, 1);
-    impatient.terms.begins_by = p.now.after(Duration::from_secs(2));
+    impatient.policy.first_byte_deadline = p.now.after(Duration::from_secs(2));
     p.arrive(1, impatient);
     assert_eq!(p.take_refused(), []);
     p.pass(1000);
