--- a/crates/skylarkshore-core/tests/serving/once.rs
+++ b/crates/skylarkshore-core/tests/serving/once.rs
@@ -1,7 +1,7 @@
 //! Requests that may run at most once.
 
 use skylarkshore_core::effect::{Effect, RefusalOutcome, RefusalReason};
-use skylarkshore_core::event::AttemptEnd;
+use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::id::{CallId, Incarnation};
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::store::{Key, OnceRecord, OnceState, Record, RecordedAnswer, StoreCall, StoreFailure};
@@ -49,7 +49,7 @@
     assert_eq!(a.take_sent(), [], "nothing is sent before the claim stands");
     a.serve_store(&mut store);
     let sent = a.take_sent().remove(0);
-    a.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    a.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     assert_eq!(a.take_refused(), []);
     a.serve_store(&mut store);
     assert_eq!(answers(&mut a), [confirmed()]);
@@ -76,7 +76,7 @@
     a.arrive(1, booking(&a, 7, 1));
     a.serve_store(&mut store);
     let sent = a.take_sent().remove(0);
-    a.end(sent.attempt, AttemptEnd::Lost { passed_on: false, died: false });
+    a.end(sent.attempt, AttemptOutcome::Lost { passed_on: false, died: false });
     let refused = a.take_refused().remove(0).1;
     assert_eq!((refused.outcome, refused.reason), (RefusalOutcome::Unknown, RefusalReason::UpstreamLost));
 
@@ -169,7 +169,7 @@
     for _ in 0..3 {
         p.pass(1000);
         let sent = p.take_sent().remove(0);
-        p.end(sent.attempt, AttemptEnd::NotSent);
+        p.end(sent.attempt, AttemptOutcome::NotSent);
     }
     assert_eq!(p.take_refused(), []);
     p.serve_store(&mut store);
@@ -187,7 +187,7 @@
     p.with(|serving, cx| serving.on_caller_gone(cx, sent.request));
     p.arrive(2, booking(&p, 7, 1));
     assert_eq!(p.take_refused().remove(0).1.reason, RefusalReason::KeyInProgress);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.serve_store(&mut store);
     assert_eq!(record(&store, 7).map(|r| r.state), Some(OnceState::Answered(confirmed())));
     p.arrive(3, booking(&p, 7, 1));
@@ -205,7 +205,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.serve_store(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.serve_store(&mut store);
     p.take();
     for id in 10..14 {
@@ -227,7 +227,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.serve_store(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Lost { passed_on: false, died: false });
+    p.end(sent.attempt, AttemptOutcome::Lost { passed_on: false, died: false });
 
     let mut second = booking(&p, 7, 1);
     second.deadline = p.now.after(std::time::Duration::from_millis(50));
@@ -268,7 +268,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.serve_store(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     let (call, request) = claim_of(&mut p);
     p.pass(350);
     assert_eq!(answers(&mut p), [confirmed()]);
@@ -287,7 +287,7 @@
     p.arrive(1, booking(&p, 7, 1));
     p.serve_store(&mut store);
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Whole { held: Some(confirmed()) });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: Some(confirmed()) });
     p.serve_store(&mut store);
     assert_eq!(answers(&mut p), [confirmed()]);
     p.arrive(2, booking(&p, 7, 1));
--- a/crates/skylarkshore-core/tests/serving/queue.rs
+++ b/crates/skylarkshore-core/tests/serving/queue.rs
@@ -3,27 +3,27 @@
 use std::time::Duration;
 
 use skylarkshore_core::effect::{Effect, RefusalOutcome, RefusalReason};
-use skylarkshore_core::event::{AttemptEnd, Rejection};
+use skylarkshore_core::event::{AttemptOutcome, Rejection};
 use skylarkshore_core::id::UpstreamId;
 use skylarkshore_core::peer::PeerMessage;
-use skylarkshore_core::rules::{Condition, Outcome, Rule, Rules, ServiceOrder};
+use skylarkshore_core::rules::{Condition, Rule, RuleOutcome, Rules, ServiceOrder};
 use skylarkshore_core::upstream::Upstream;
 use skylarkshore_core::view::Readiness;
 
 use crate::support::serving::*;
 
-fn rule(caller: &str, then: Outcome) -> Rule {
+fn rule(caller: &str, then: RuleOutcome) -> Rule {
     let callers = Some([name(caller)].into_iter().collect());
     Rule { name: caller.to_owned(), when: Condition { callers, ..Condition::default() }, then }
 }
 
 fn rules() -> Rules {
-    let clerk = Outcome { order: ServiceOrder(10), ..Outcome::default() };
-    let batch = Outcome { order: ServiceOrder(200), ..Outcome::default() };
-    let closed = Outcome { refuse: Some("closed for lodgement".to_owned()), ..Outcome::default() };
+    let clerk = RuleOutcome { order: ServiceOrder(10), ..RuleOutcome::default() };
+    let batch = RuleOutcome { order: ServiceOrder(200), ..RuleOutcome::default() };
+    let closed = RuleOutcome { refuse: Some("closed for lodgement".to_owned()), ..RuleOutcome::default() };
     Rules {
         list: vec![rule("clerk", clerk), rule("batch", batch), rule("barred", closed)],
-        otherwise: Outcome::default(),
+        otherwise: RuleOutcome::default(),
     }
 }
 
@@ -55,7 +55,7 @@
         }
         for attempt in sent {
             order.push(attempt.request.0);
-            p.end(attempt.attempt, AttemptEnd::Whole { held: None });
+            p.end(attempt.attempt, AttemptOutcome::Completed { held: None });
         }
     }
 }
@@ -109,7 +109,7 @@
     let sent = p.take_sent();
     p.pass(4000);
     for attempt in sent {
-        p.end(attempt.attempt, AttemptEnd::Whole { held: None });
+        p.end(attempt.attempt, AttemptOutcome::Completed { held: None });
     }
     for id in 10..16 {
         wait(&mut p, id, "orchard", 60);
@@ -143,9 +143,9 @@
         p.arrive(id, arrival(&p, service("booking"), 1));
         while let Some(attempt) = p.take_sent().into_iter().next() {
             sent += 1;
-            let lost = AttemptEnd::Lost { passed_on: false, died: false };
+            let lost = AttemptOutcome::Lost { passed_on: false, died: false };
             let is_well = attempt.request.0.is_multiple_of(2);
-            p.end(attempt.attempt, if is_well { AttemptEnd::Whole { held: None } } else { lost });
+            p.end(attempt.attempt, if is_well { AttemptOutcome::Completed { held: None } } else { lost });
         }
         p.pass(50);
     }
@@ -161,7 +161,7 @@
     let mut p = busy();
     let sent = p.take_sent();
     p.peer("c", &PeerMessage::View(view("e2", 1, "m", Readiness::Ready)));
-    p.end(sent[0].attempt, AttemptEnd::Lost { passed_on: true, died: false });
+    p.end(sent[0].attempt, AttemptOutcome::Lost { passed_on: true, died: false });
     let resumed = p.take_sent();
     assert_eq!(resumed.len(), 1);
     assert!(resumed[0].resume);
@@ -170,7 +170,7 @@
     for id in [1, 2] {
         p.peer("c", &PeerMessage::UpstreamLeaving { upstream: name(["e1", "e2"][id - 1]) });
     }
-    p.end(resumed[0].attempt, AttemptEnd::Lost { passed_on: true, died: false });
+    p.end(resumed[0].attempt, AttemptOutcome::Lost { passed_on: true, died: false });
     p.pass(10_000);
     let aborted = p.take().into_iter().find_map(|e| match e {
         Effect::Abort { refusal, .. } => Some(refusal.outcome),
@@ -189,10 +189,10 @@
         p.peer("b", &PeerMessage::View(view("e1", 2 * n, "m", Readiness::Ready)));
         p.arrive(n, arrival(&p, model("m"), 1));
         let stale = p.take_sent().remove(0);
-        p.end(stale.attempt, AttemptEnd::Rejected(Rejection::NotLoaded));
+        p.end(stale.attempt, AttemptOutcome::Rejected(Rejection::NotLoaded));
         p.peer("b", &PeerMessage::View(view("e1", 2 * n + 1, "m", Readiness::Ready)));
         let loaded = p.take_sent().remove(0);
-        p.end(loaded.attempt, AttemptEnd::Whole { held: None });
+        p.end(loaded.attempt, AttemptOutcome::Completed { held: None });
     }
     assert_eq!(p.take_refused(), []);
 }
--- a/crates/skylarkshore-core/tests/serving/random.rs
+++ b/crates/skylarkshore-core/tests/serving/random.rs
@@ -8,12 +8,12 @@
 
 use skylarkshore_core::collections::OrderedMap;
 use skylarkshore_core::effect::{Effect, RefusalOutcome};
-use skylarkshore_core::event::{Arrival, AttemptEnd, Rejection, Repeat, Target};
+use skylarkshore_core::event::{Arrival, AttemptOutcome, Rejection, Repeat, Target};
 use skylarkshore_core::id::{AttemptId, CallId, Digest, Fence, RequestId, UpstreamId};
 use skylarkshore_core::peer::{CannotLoad, PeerMessage};
 use skylarkshore_core::store::{RecordedAnswer, StoreCall, StoreFailure};
 use skylarkshore_core::time::Time;
-use skylarkshore_core::upstream::Standing;
+use skylarkshore_core::upstream::UpstreamStatus;
 use skylarkshore_core::view::{Readiness, ViewVersion};
 
 use crate::support::serving::*;
@@ -140,8 +140,8 @@
             }
             Op::Listed { at, upstream, live } => {
                 let p = &mut self.processes[at];
-                let standing = if live { Standing::Live } else { Standing::Leaving };
-                p.change_listed(UPSTREAMS[upstream], |listed| listed.standing = standing);
+                let status = if live { UpstreamStatus::Live } else { UpstreamStatus::Leaving };
+                p.change_listed(UPSTREAMS[upstream], |listed| listed.status = status);
             }
         }
     }
@@ -183,22 +183,24 @@
         };
         let (end, truth) = match end {
             0..=2 => (whole(name, once.is_some()), Truth::MayHaveRun),
-            3 if once.is_some() => (AttemptEnd::WholeTooLarge, Truth::MayHaveRun),
-            3 | 4 => (AttemptEnd::NotSent, Truth::NotRun),
-            5 => (AttemptEnd::Rejected(Rejection::Busy), Truth::NotRun),
-            6 => (AttemptEnd::Rejected(Rejection::NotLoaded), Truth::NotRun),
-            7 => (AttemptEnd::Lost { passed_on: once.is_none(), died: false }, Truth::MayHaveRun),
-            8 => (AttemptEnd::Lost { passed_on: false, died: true }, Truth::MayHaveRun),
-            _ => (AttemptEnd::Lost { passed_on: false, died: false }, Truth::MayHaveRun),
+            3 if once.is_some() => (AttemptOutcome::CompletedTooLarge, Truth::MayHaveRun),
+            3 | 4 => (AttemptOutcome::NotSent, Truth::NotRun),
+            5 => (AttemptOutcome::Rejected(Rejection::Busy), Truth::NotRun),
+            6 => (AttemptOutcome::Rejected(Rejection::NotLoaded), Truth::NotRun),
+            7 => (AttemptOutcome::Lost { passed_on: once.is_none(), died: false }, Truth::MayHaveRun),
+            8 => (AttemptOutcome::Lost { passed_on: false, died: true }, Truth::MayHaveRun),
+            _ => (AttemptOutcome::Lost { passed_on: false, died: false }, Truth::MayHaveRun),
         };
         if live {
             tried.truth = truth;
             match &end {
-                AttemptEnd::Whole { held: Some(answer) } => {
+                AttemptOutcome::Completed { held: Some(answer) } => {
                     self.answers.insert(answer.body.clone(), (once.unwrap(), asking.arrival.digest));
                 }
-                AttemptEnd::Whole { held: None } | AttemptEnd::WholeTooLarge => asking.finals += 1,
-                AttemptEnd::Lost { passed_on, .. } => {
+                AttemptOutcome::Completed { held: None } | AttemptOutcome::CompletedTooLarge => {
+                    asking.finals += 1;
+                }
+                AttemptOutcome::Lost { passed_on, .. } => {
                     asking.passed_on |= *passed_on;
                     asking.started = false;
                 }
@@ -259,7 +261,8 @@
                 assert_eq!(asking.finals, 0, "sent after its end: {request:?}");
                 assert_eq!(resume, asking.passed_on, "resumes what the caller has a part of: {request:?}");
                 assert!(!self.leaving.contains(&(at, upstream.clone())), "sent to a leaving upstream");
-                let live = self.processes[at].upstreams.get(&upstream).unwrap().standing == Standing::Live;
+                let live =
+                    self.processes[at].upstreams.get(&upstream).unwrap().status == UpstreamStatus::Live;
                 assert!(live, "sent to an upstream that the host list calls leaving");
                 let tried = Tried { request, upstream: upstream.clone(), truth: Truth::Running };
                 self.attempts.insert(Name { at, id: attempt }, tried);
@@ -337,10 +340,10 @@
     model(["m", "n"][n])
 }
 
-fn whole(attempt: Name<AttemptId>, held: bool) -> AttemptEnd {
+fn whole(attempt: Name<AttemptId>, held: bool) -> AttemptOutcome {
     let body = format!("{attempt:?}").into_bytes();
     let answer = RecordedAnswer { status: 200, content_type: None, body };
-    AttemptEnd::Whole { held: held.then_some(answer) }
+    AttemptOutcome::Completed { held: held.then_some(answer) }
 }
 
 proptest! {
--- a/crates/skylarkshore-core/tests/serving/routing.rs
+++ b/crates/skylarkshore-core/tests/serving/routing.rs
@@ -1,6 +1,6 @@
 //! Which upstream a request gets.
 
-use skylarkshore_core::event::{AttemptEnd, LoadTold, Rejection};
+use skylarkshore_core::event::{AttemptOutcome, Rejection, ReportedLoad};
 use skylarkshore_core::id::UpstreamId;
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::view::Readiness;
@@ -43,7 +43,7 @@
         p.arrive(id, arrival(&p, model("m"), 1));
         let sent = p.take_sent().remove(0);
         assert_eq!(sent.upstream.as_str(), "e2");
-        p.end(sent.attempt, AttemptEnd::Whole { held: None });
+        p.end(sent.attempt, AttemptOutcome::Completed { held: None });
     }
 }
 
@@ -60,8 +60,8 @@
         while let Some(sent) = p.take_sent().into_iter().next() {
             let missing = sent.upstream.as_str() == "e1";
             rejections += u32::from(missing);
-            let lacking = AttemptEnd::Rejected(Rejection::NotLoaded);
-            p.end(sent.attempt, if missing { lacking } else { AttemptEnd::Whole { held: None } });
+            let lacking = AttemptOutcome::Rejected(Rejection::NotLoaded);
+            p.end(sent.attempt, if missing { lacking } else { AttemptOutcome::Completed { held: None } });
         }
         p.pass(10);
     }
@@ -76,7 +76,7 @@
     let mut p = two_engines();
     p.arrive(1, arrival(&p, service("booking"), 1));
     let sent = p.take_sent().remove(0);
-    p.end(sent.attempt, AttemptEnd::Rejected(Rejection::Leaving));
+    p.end(sent.attempt, AttemptOutcome::Rejected(Rejection::Leaving));
     let told = p.take_told(|m| matches!(m, PeerMessage::UpstreamLeaving { .. }));
     assert_eq!(told.len(), 2);
     let again = p.take_sent().remove(0);
@@ -109,7 +109,7 @@
     }
     let mut order = Vec::new();
     for _ in 0..10 {
-        p.end(at_e1.attempt, AttemptEnd::Whole { held: None });
+        p.end(at_e1.attempt, AttemptOutcome::Completed { held: None });
         at_e1 = p.take_sent().remove(0);
         order.push(at_e1.request.0);
     }
@@ -124,13 +124,13 @@
     let booked = arrival(&p, service("booking"), 1);
     p.arrive(1, booked);
     let sent = p.take_sent().remove(0);
-    let full = LoadTold { running: 6, waiting: 12, concurrency: 6 };
+    let full = ReportedLoad { running: 6, waiting: 12, concurrency: 6 };
     let replicas: Vec<UpstreamId> =
         p.upstreams.iter().filter(|u| u.service().is_some()).map(|u| u.id.clone()).collect();
     for replica in &replicas {
-        p.with(|serving, cx| serving.on_load_told(cx, replica, full));
+        p.with(|serving, cx| serving.on_load_reported(cx, replica, full));
     }
-    p.end(sent.attempt, AttemptEnd::Whole { held: None });
+    p.end(sent.attempt, AttemptOutcome::Completed { held: None });
     p.arrive(2, arrival(&p, service("booking"), 2));
     assert_eq!(p.take_sent().len(), 0, "it was full just now");
     p.pass(1000);
--- a/crates/skylarkshore-core/tests/support/cluster.rs
+++ b/crates/skylarkshore-core/tests/support/cluster.rs
@@ -14,14 +14,14 @@
 use skylarkshore_core::effect::Effect;
 use skylarkshore_core::id::{Digest, HostId, Incarnation, StoreRevision, UpstreamId};
 use skylarkshore_core::peer::PeerMessage;
-use skylarkshore_core::rules::{Outcome, Rules, ServiceOrder};
+use skylarkshore_core::rules::{RuleOutcome, Rules, ServiceOrder};
 use skylarkshore_core::store::{
-    Key, Record, StoreCache, StoreCall, StoreFailure, StoreResult, Versioned, Writes,
+    Key, Record, StoreCache, StoreCall, StoreFailure, StoreResult, Versioned, WriteQueue,
 };
 use skylarkshore_core::units::{Capacity, Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamChanges, UpstreamKind,
-    UpstreamList,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamChanges, UpstreamKind, UpstreamList, UpstreamStatus,
+    WeightCopies,
 };
 
 use crate::process::{ACTIVE_WATTS, FakeEngines, Inbound, Process, SLEEP_WATTS};
@@ -95,11 +95,11 @@
         data_centre: name("dc-a"),
         site: name(SITE),
         kind: UpstreamKind::Engine(spec),
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
 
@@ -117,7 +117,8 @@
     document.revision.0 = revision;
     document.power_caps.insert(name(SITE), cap);
     document.catalogue.models = (0..models).map(|i| (name(&format!("model-{i}")), model.clone())).collect();
-    document.rules = Rules { list: Vec::new(), otherwise: Outcome { replicas_max, ..Outcome::default() } };
+    document.rules =
+        Rules { list: Vec::new(), otherwise: RuleOutcome { replicas_max, ..RuleOutcome::default() } };
     document
 }
 
@@ -163,13 +164,13 @@
             upstreams: UpstreamList::default(),
             changes: Vec::new(),
             notes: Vec::new(),
-            writes: Writes::default(),
+            writes: WriteQueue::default(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(cfg.seed),
             watched: None,
             frozen: false,
-            cut: false,
-            deaf: false,
+            store_unreachable: false,
+            inbound_cut: false,
             inbox: VecDeque::new(),
             cfg,
         };
@@ -312,7 +313,9 @@
 
     fn deliver_watch(&mut self, host: &HostId) {
         let Some(process) = self.processes.get_mut(host) else { return };
-        let Some(after) = process.watched.filter(|_| !process.cut && !process.deaf && !self.faults.outage)
+        let Some(after) = process
+            .watched
+            .filter(|_| !process.store_unreachable && !process.inbound_cut && !self.faults.outage)
         else {
             return;
         };
@@ -342,7 +345,7 @@
                 {
                     self.deliver(host, Inbound::Refused(asked, incarnation));
                 }
-                Effect::Note(note) => {
+                Effect::LogEvent(note) => {
                     if let Some(process) = self.processes.get_mut(host) {
                         process.notes.push((note.event, note.subject));
                     }
@@ -359,7 +362,8 @@
     }
 
     fn call_store(&mut self, host: &HostId, call: StoreCall) -> StoreResult {
-        let cut = self.faults.outage || self.processes.get(host).is_some_and(|process| process.cut);
+        let cut =
+            self.faults.outage || self.processes.get(host).is_some_and(|process| process.store_unreachable);
         if cut || self.is_injected(self.faults.lost_calls) {
             return Err(StoreFailure::NotDone);
         }
@@ -374,7 +378,7 @@
 
     fn deliver(&mut self, host: &HostId, inbound: Inbound) {
         let Some(process) = self.processes.get_mut(host) else { return };
-        if !process.deaf || !matches!(inbound, Inbound::Peer(..)) {
+        if !process.inbound_cut || !matches!(inbound, Inbound::Peer(..)) {
             process.inbox.push_back(inbound);
         }
     }
--- a/crates/skylarkshore-core/tests/support/fake_engine.rs
+++ b/crates/skylarkshore-core/tests/support/fake_engine.rs
@@ -6,7 +6,9 @@
 use skylarkshore_core::id::{AdapterName, Fence, Incarnation, ModelName, OrderId};
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::Mebibytes;
-use skylarkshore_core::upstream::{Copies, EngineReport, LoadState, Order, ReportedAdapter, ReportedModel};
+use skylarkshore_core::upstream::{
+    EngineReport, LoadState, Order, ReportedAdapter, ReportedModel, WeightCopies,
+};
 
 use crate::support::{LOAD_TIME, name};
 
@@ -26,7 +28,7 @@
     /// Whether it answers at all.
     pub up: bool,
     /// Whether reports name the orders that were settled.
-    pub names_settled: bool,
+    pub reports_finished_orders: bool,
     /// Which life it lives.
     pub incarnation: Incarnation,
     /// What it has done.
@@ -34,7 +36,7 @@
     /// How many orders it has accepted, if it numbers them and takes one at a time.
     pub accepted: Option<u64>,
     /// The models of which it keeps copies.
-    pub copies: Copies,
+    pub copies: WeightCopies,
     /// How long an unload takes, where it numbers its orders.
     pub unload_time: Duration,
     /// How long a load takes of a model of which it keeps a copy.
@@ -53,11 +55,11 @@
     pub fn new(memory: Mebibytes) -> Self {
         Self {
             up: true,
-            names_settled: true,
+            reports_finished_orders: true,
             incarnation: Incarnation(1),
             done: Vec::new(),
             accepted: None,
-            copies: Copies::default(),
+            copies: WeightCopies::default(),
             unload_time: Duration::ZERO,
             copy_load_time: LOAD_TIME,
             refuses_while_loading: false,
@@ -69,7 +71,7 @@
     }
 
     /// Carries an order out and fails the test if memory is overcommitted.
-    pub fn carry_out(&mut self, now: Time, order: OrderId, action: &Order) {
+    pub fn execute(&mut self, now: Time, order: OrderId, action: &Order) {
         self.done.push(action.clone());
         self.settled.push(order);
         if let Some(accepted) = &mut self.accepted
@@ -194,7 +196,7 @@
             waiting: 0,
             leaving: false,
             lag: Duration::from_millis(200),
-            settled: if self.names_settled { self.settled.clone() } else { Vec::new() },
+            finished_orders: if self.reports_finished_orders { self.settled.clone() } else { Vec::new() },
             busy: self.accepted.is_some() && (self.is_loading(now) || self.is_unloading(now)),
             accepted: self.accepted,
             copies: self.copies.clone(),
--- a/crates/skylarkshore-core/tests/support/fleet.rs
+++ b/crates/skylarkshore-core/tests/support/fleet.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use skylarkshore_core::accounts::{Account, AccountLimit, Charge, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, AccountLimit, Charge, KeyDigest, LimitUnit};
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::config::{Limits, NodeConfig, QuotaPolicy, Timings, Watchers};
 use skylarkshore_core::cx::{Counters, Cx};
@@ -15,7 +15,7 @@
     AccountName, CatalogueRevision, Digest, HostId, Incarnation, RequestId, StoreRevision,
 };
 use skylarkshore_core::peer::{CreditMessage, Envelope, PeerMessage};
-use skylarkshore_core::quota::{Quota, Ruling, Verdict};
+use skylarkshore_core::quota::{CreditDecision, CreditOutcome, Quota};
 use skylarkshore_core::rules::{MinuteOfDay, Rules};
 use skylarkshore_core::store::{Key, MemberRecord, Record, StoreCache, Versioned};
 use skylarkshore_core::time::Time;
@@ -126,7 +126,7 @@
     let held = Account {
         keys: [KeyDigest(Digest([1; 32]))].into(),
         priority: None,
-        measure: Measure::Tokens { plain: Credits(200) },
+        unit: LimitUnit::Tokens { default_cost: Credits(200) },
         limit: Some(limit),
     };
     let mut document = Document { catalogue_revision: CatalogueRevision(1), ..Document::default() };
@@ -210,12 +210,12 @@
     }
 
     /// Has callers ask for so much in a second from now on.
-    pub fn ask_for(&mut self, per_second: u64) {
+    pub fn set_request_rate(&mut self, per_second: u64) {
         self.asked_per_second = per_second;
     }
 
     /// Has every request end without having been run.
-    pub fn give_back_all(&mut self) {
+    pub fn return_all_credit(&mut self) {
         self.gives_back = true;
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Returns the host that was asked last for the account's credit.
-    pub fn keeper(&mut self) -> usize {
+    pub fn coordinator(&mut self) -> usize {
         let asks =
             |letter: &&Letter| matches!(letter.message, PeerMessage::Credit(CreditMessage::Wanted { .. }));
         loop {
@@ -285,11 +285,11 @@
         within + within * u64::from(OVERAGE_PERCENT) / 100 + SLACK.0
     }
 
-    pub fn most_in_a_window(&self) -> u64 {
-        self.most_in_a_window_since(Time::START)
+    pub fn peak_window_usage(&self) -> u64 {
+        self.peak_window_usage_since(Time::START)
     }
 
-    pub fn most_in_a_window_since(&self, since: Time) -> u64 {
+    pub fn peak_window_usage_since(&self, since: Time) -> u64 {
         let mut used: Vec<(Time, u64)> = self.used.iter().copied().filter(|(at, _)| *at >= since).collect();
         used.sort_unstable();
         let (mut first, mut sum, mut most) = (0, 0, 0);
@@ -375,22 +375,23 @@
             let request = RequestId(self.requests);
             let charge = Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
             self.waiting.insert((number, request), cost);
-            if let Some(ruling) = self.with(number, |quota, cx| quota.ask(cx, request, &charge)) {
-                self.rule(number, Verdict { request, ruling });
+            if let Some(decision) = self.with(number, |quota, cx| quota.request_credit(cx, request, &charge))
+            {
+                self.rule(number, CreditOutcome { request, decision });
             }
         }
     }
 
-    fn rule(&mut self, number: usize, verdict: Verdict) {
+    fn rule(&mut self, number: usize, verdict: CreditOutcome) {
         let Some(cost) = self.waiting.remove(&(number, verdict.request)) else { return };
-        match verdict.ruling {
-            Ruling::Granted { .. } if self.gives_back => {
+        match verdict.decision {
+            CreditDecision::Granted { .. } if self.gives_back => {
                 let charge =
                     Charge { account: account(), key: KeyDigest(Digest([1; 32])), cost: Credits(cost) };
-                self.with(number, |quota, cx| quota.give_back(cx, &charge));
+                self.with(number, |quota, cx| quota.return_credit(cx, &charge));
             }
-            Ruling::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
-            Ruling::Over { .. } | Ruling::TooLarge => self.refused.push(self.now),
+            CreditDecision::Granted { not_before } => self.used.push((self.now.max(not_before), cost)),
+            CreditDecision::OverLimit { .. } | CreditDecision::TooLarge => self.refused.push(self.now),
         }
     }
 
--- a/crates/skylarkshore-core/tests/support/loading.rs
+++ b/crates/skylarkshore-core/tests/support/loading.rs
@@ -14,7 +14,7 @@
 use skylarkshore_core::collections::{OrderedMap, OrderedSet};
 use skylarkshore_core::config::{Limits, NodeConfig, Timings, Watchers};
 use skylarkshore_core::cx::{Counters, Cx};
-use skylarkshore_core::effect::{Effect, Note};
+use skylarkshore_core::effect::{Effect, LogEvent};
 use skylarkshore_core::id::{
     CallId, DataCentre, Digest, Fence, HostId, Incarnation, ModelName, OrderId, StoreRevision, UpstreamId,
 };
@@ -27,8 +27,8 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::{Capacity, Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineReport, EngineSpec, FenceCheck, Order, OrderAnswer, OrderMode, Standing, Upstream,
-    UpstreamKind, UpstreamList,
+    EngineReport, EngineSpec, FenceCheck, Order, OrderAnswer, OrderMode, Upstream, UpstreamKind,
+    UpstreamList, UpstreamStatus, WeightCopies,
 };
 use skylarkshore_core::view::Readiness;
 
@@ -91,11 +91,11 @@
         self.homes.contains(model)
     }
 
-    fn must_close(&self, _engine: &UpstreamId, model: &ModelName) -> bool {
+    fn must_unload(&self, _engine: &UpstreamId, model: &ModelName) -> bool {
         self.surplus.contains(model)
     }
 
-    fn granted(&self, _engine: &UpstreamId) -> Watts {
+    fn granted_power(&self, _engine: &UpstreamId) -> Watts {
         self.granted
     }
 }
@@ -122,7 +122,7 @@
     /// Messages to other hosts and to the own router.
     pub told: Vec<Envelope>,
     /// Notes for the operators.
-    pub notes: Vec<Note>,
+    pub notes: Vec<LogEvent>,
     /// How many reports were asked for.
     pub reports_asked: usize,
     /// Whether the engine's reports get lost.
@@ -175,11 +175,11 @@
         data_centre: name::<DataCentre>("bern-a"),
         site: name("bern"),
         kind: UpstreamKind::Engine(spec),
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
 
@@ -240,7 +240,7 @@
         for (model_name, memory) in models {
             rig.document.catalogue.models.insert(name(model_name), model(*memory));
             rig.authority.homes.insert(name(model_name));
-            let homes = HomesRecord { engines: vec![name(ENGINE)], left: Vec::new() };
+            let homes = HomesRecord { engines: vec![name(ENGINE)], evicted_from: Vec::new() };
             rig.put(Key::Homes(name(model_name)), Record::Homes(homes));
         }
         let change = OwnershipChange::Acquired { engine: name(ENGINE), fence: Fence(7), late_orders_until };
@@ -254,7 +254,7 @@
         rig.engine.accepted = Some(0);
         rig.upstreams.change(&name(ENGINE), |engine| {
             if let UpstreamKind::Engine(spec) = &mut engine.kind {
-                spec.order_mode = OrderMode::OneByOne;
+                spec.order_mode = OrderMode::Sequential;
             }
         });
         rig
@@ -289,8 +289,10 @@
 
     /// Names the homes of a model, of which the engine may be one.
     pub fn set_homes(&mut self, model: &str, engines: &[&str]) {
-        let homes =
-            HomesRecord { engines: engines.iter().map(|engine| name(engine)).collect(), left: Vec::new() };
+        let homes = HomesRecord {
+            engines: engines.iter().map(|engine| name(engine)).collect(),
+            evicted_from: Vec::new(),
+        };
         self.put(Key::Homes(name(model)), Record::Homes(homes));
     }
 
@@ -317,7 +319,7 @@
     }
 
     /// Returns what the process believes of the kind, each as its subject and state.
-    pub fn beliefs(&mut self, kind: &str) -> Vec<String> {
+    pub fn dump_entries(&mut self, kind: &str) -> Vec<String> {
         let mut beliefs = Vec::new();
         self.with(|loading, cx, _| beliefs = loading.dump(cx));
         let of_kind = beliefs.into_iter().filter(|belief| belief.kind == kind);
@@ -389,7 +391,13 @@
         order: ServiceOrder,
         patience: Duration,
     ) {
-        let message = PeerMessage::Wanted { target: target(wanted), waiting, order, patience, aim: None };
+        let message = PeerMessage::Wanted {
+            target: target(wanted),
+            waiting,
+            order,
+            max_wait: patience,
+            soft_deadline: None,
+        };
         self.hear(&name(router), &message);
     }
 
@@ -400,15 +408,15 @@
 
     /// Says the same where engines began to answer some of them late.
     pub fn arrive_late(&mut self, router: &str, model: &str, arrived: u32, late: u32) {
-        let (target, worked) = (target(model), RUN_TIME * arrived);
-        let message = PeerMessage::Used { target, arrived, late, worked, waited_for: false };
+        let (target, run_time) = (target(model), RUN_TIME * arrived);
+        let message = PeerMessage::Used { target, arrived, late, run_time, waited_for: false };
         self.hear(&name(router), &message);
     }
 
     /// Says the same of requests that run for a given time each.
     pub fn arrive_for(&mut self, router: &str, model: &str, arrived: u32, run: Duration) {
-        let (target, worked) = (target(model), run * arrived);
-        let message = PeerMessage::Used { target, arrived, late: 0, worked, waited_for: false };
+        let (target, run_time) = (target(model), run * arrived);
+        let message = PeerMessage::Used { target, arrived, late: 0, run_time, waited_for: false };
         self.hear(&name(router), &message);
     }
 
@@ -447,7 +455,7 @@
     /// Lets an order that was held up arrive at last.
     pub fn release_held(&mut self) {
         for (order, action) in std::mem::take(&mut self.held) {
-            self.engine.carry_out(self.now, order, &action);
+            self.engine.execute(self.now, order, &action);
         }
     }
 
@@ -518,11 +526,11 @@
                 let differs =
                     self.engine.accepted.zip(after).is_some_and(|(accepted, after)| accepted != after);
                 if (differs || self.engine.refuses_orders(self.now)) && self.engine.up {
-                    return self.answer(effects, order, &OrderAnswer::OutOfTurn);
+                    return self.answer(effects, order, &OrderAnswer::OrderConflict);
                 }
                 self.carry(effects, order, &action);
             }
-            Effect::AskReport { .. } => {
+            Effect::RequestReport { .. } => {
                 self.reports_asked += 1;
                 let is_heard = self.engine.up && !self.reports_away;
                 let report = is_heard.then(|| self.engine.report(self.now));
@@ -532,7 +540,7 @@
                 });
             }
             Effect::Peer(envelope) => self.deliver(effects, envelope),
-            Effect::Note(note) => self.notes.push(note),
+            Effect::LogEvent(note) => self.notes.push(note),
             other => panic!("loading has no business with {other:?}"),
         }
     }
@@ -568,11 +576,11 @@
         }
         match fate {
             Fate::Arrives => {
-                self.engine.carry_out(self.now, order, action);
+                self.engine.execute(self.now, order, action);
                 self.answer(effects, order, &OrderAnswer::Accepted);
             }
             Fate::AnswerLost => {
-                self.engine.carry_out(self.now, order, action);
+                self.engine.execute(self.now, order, action);
                 self.answer(effects, order, &OrderAnswer::Lost);
             }
             Fate::Held => {
--- a/crates/skylarkshore-core/tests/support/process.rs
+++ b/crates/skylarkshore-core/tests/support/process.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use skylarkshore_core::Time;
-use skylarkshore_core::authority::{Authority, EngineUse, HomeWish, OwnershipChange};
+use skylarkshore_core::authority::{Authority, EngineUse, HomeRequest, OwnershipChange};
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::config::NodeConfig;
 use skylarkshore_core::control::Control;
@@ -15,7 +15,7 @@
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_core::rules::{MinuteOfDay, ServiceOrder};
 use skylarkshore_core::store::{
-    Key, Record, StoreAnswer, StoreCache, StoreResult, Versioned, WriteOutcome, Writes,
+    Key, Record, StoreAnswer, StoreCache, StoreResult, Versioned, WriteOutcome, WriteQueue,
 };
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::UpstreamList;
@@ -31,27 +31,27 @@
     /// Engines that draw power, with what is loaded on them.
     pub loaded: BTreeSet<(UpstreamId, ModelName)>,
     /// Engines for which requests wait.
-    pub lacking: BTreeSet<UpstreamId>,
-    pub unsettled: BTreeSet<UpstreamId>,
-    pub wishes: Vec<HomeWish>,
+    pub short_of_power: BTreeSet<UpstreamId>,
+    pub open_order_engines: BTreeSet<UpstreamId>,
+    pub home_requests: Vec<HomeRequest>,
 }
 
 impl EngineUse for FakeEngines {
-    fn is_free_of(&self, engine: &UpstreamId, model: &ModelName) -> bool {
+    fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         !self.loaded.contains(&(engine.clone(), model.clone()))
     }
 
-    fn is_settled(&self, engine: &UpstreamId) -> bool {
-        !self.unsettled.contains(engine)
+    fn has_no_open_orders(&self, engine: &UpstreamId) -> bool {
+        !self.open_order_engines.contains(engine)
     }
 
-    fn drawn(&self, engine: &UpstreamId) -> Watts {
+    fn power_draw(&self, engine: &UpstreamId) -> Watts {
         let at_work = self.loaded.iter().any(|(loaded, _)| loaded == engine);
         if at_work { ACTIVE_WATTS } else { SLEEP_WATTS }
     }
 
-    fn lacks(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
-        let lacks = self.lacking.contains(engine) && self.drawn(engine) == SLEEP_WATTS;
+    fn power_shortfall(&self, engine: &UpstreamId) -> Option<(Watts, ServiceOrder)> {
+        let lacks = self.short_of_power.contains(engine) && self.power_draw(engine) == SLEEP_WATTS;
         lacks.then(|| (ACTIVE_WATTS.saturating_sub(SLEEP_WATTS), ServiceOrder::default()))
     }
 
@@ -59,8 +59,8 @@
         Mebibytes(0)
     }
 
-    fn home_wishes(&self) -> Vec<HomeWish> {
-        self.wishes.clone()
+    fn home_requests(&self) -> Vec<HomeRequest> {
+        self.home_requests.clone()
     }
 }
 
@@ -74,16 +74,16 @@
     pub upstreams: UpstreamList,
     pub changes: Vec<OwnershipChange>,
     pub notes: Vec<(&'static str, String)>,
-    pub writes: Writes,
+    pub writes: WriteQueue,
     pub counters: Counters,
     pub rng: SmallRng,
     pub watched: Option<StoreRevision>,
     /// Neither runs nor ends; what is sent to it waits.
     pub frozen: bool,
     /// Can't reach the key-value service.
-    pub cut: bool,
+    pub store_unreachable: bool,
     /// Hears neither its watch nor its peers, though its calls are answered.
-    pub deaf: bool,
+    pub inbound_cut: bool,
     pub inbox: VecDeque<Inbound>,
 }
 
@@ -133,7 +133,7 @@
             {
                 self.document = Arc::clone(document);
             }
-            self.with(now, effects, |cx, parts| parts.control.on_change(cx, key));
+            self.with(now, effects, |cx, parts| parts.control.on_key_change(cx, key));
         }
     }
 
@@ -153,7 +153,7 @@
         if let WriteOutcome::Done(found) | WriteOutcome::Conflict(found) = &outcome {
             self.take_records(now, vec![found.clone()], effects);
         }
-        self.with(now, effects, |cx, parts| parts.control.on_write(cx, &key, &outcome));
+        self.with(now, effects, |cx, parts| parts.control.on_write_outcome(cx, &key, &outcome));
     }
 
     /// Hands over what has reached the process.
@@ -161,14 +161,14 @@
         match inbound {
             Inbound::Result(call, result) => {
                 if let Ok(StoreAnswer::Shared { revision, records }) = &result {
-                    let changed = self.cache.apply_all(*revision, records.clone());
+                    let changed = self.cache.apply_snapshot(*revision, records.clone());
                     self.take_changed(now, &changed, effects);
                 }
                 if let Ok(StoreAnswer::One(found)) = &result {
                     self.take_records(now, vec![found.clone()], effects);
                 }
                 let ended = self.with(now, effects, |cx, parts| {
-                    parts.control.on_store(cx, call, &result);
+                    parts.control.on_store_result(cx, call, &result);
                     parts.writes.on_result(cx, call, &result)
                 });
                 self.take_written(now, ended, effects);
@@ -181,7 +181,7 @@
                 if batch.after.is_some() {
                     self.take_records(now, batch.records, effects);
                 } else {
-                    let changed = self.cache.apply_all(batch.upto, batch.records);
+                    let changed = self.cache.apply_snapshot(batch.upto, batch.records);
                     self.take_changed(now, &changed, effects);
                 }
                 self.with(now, effects, |cx, parts| {
@@ -192,7 +192,9 @@
                 self.with(now, effects, |cx, parts| parts.control.on_peer(cx, &from, &message));
             }
             Inbound::Refused(host, incarnation) => {
-                self.with(now, effects, |cx, parts| parts.control.on_peer_refused(cx, &host, incarnation));
+                self.with(now, effects, |cx, parts| {
+                    parts.control.on_peer_connection_refused(cx, &host, incarnation);
+                });
             }
         }
     }
@@ -207,7 +209,7 @@
     }
 
     /// Returns what the process believes, a line for each thing.
-    pub fn beliefs(&mut self, now: Time) -> String {
+    pub fn dump_entries(&mut self, now: Time) -> String {
         let beliefs = self.with(now, &mut Vec::new(), |cx, parts| parts.control.dump(cx));
         let lines: Vec<String> =
             beliefs.iter().map(|b| format!("{} {}: {}", b.kind, b.subject, b.state)).collect();
@@ -218,7 +220,7 @@
         self.watched.is_some()
     }
 
-    pub fn noted(&self, event: &str) -> usize {
+    pub fn event_count(&self, event: &str) -> usize {
         self.notes.iter().filter(|(name, _)| *name == event).count()
     }
 }
@@ -226,6 +228,6 @@
 /// What a process is made of, as long as it runs.
 pub struct Parts<'a> {
     pub control: &'a mut Control,
-    pub writes: &'a mut Writes,
+    pub writes: &'a mut WriteQueue,
     pub engines: &'a FakeEngines,
 }
--- a/crates/skylarkshore-core/tests/support/serving.rs
+++ b/crates/skylarkshore-core/tests/support/serving.rs
@@ -10,7 +10,7 @@
 use skylarkshore_core::config::{Limits, NodeConfig, Timings, Watchers};
 use skylarkshore_core::cx::{Counters, Cx};
 use skylarkshore_core::effect::{Effect, Refusal};
-use skylarkshore_core::event::{Arrival, AttemptEnd, Repeat, Target, Terms};
+use skylarkshore_core::event::{Arrival, AttemptOutcome, Repeat, RequestPolicy, Target};
 use skylarkshore_core::id::{
     AttemptId, CallId, Digest, Fence, HostId, Incarnation, LeaseId, RequestId, StoreRevision, UpstreamId,
 };
@@ -19,12 +19,12 @@
 use skylarkshore_core::serving::Serving;
 use skylarkshore_core::store::{
     Expect, HomesRecord, Key, MemberRecord, OwnerRecord, Record, StoreAnswer, StoreCache, StoreCall,
-    StoreResult, Versioned, WriteRequest, Writes,
+    StoreResult, Versioned, WriteQueue, WriteRequest,
 };
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::{Capacity, Mebibytes};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamKind, UpstreamList,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamList, UpstreamStatus, WeightCopies,
 };
 use skylarkshore_core::view::{EngineView, ModelView, Readiness, ViewVersion};
 
@@ -107,7 +107,7 @@
     pub serving: Serving,
     /// What it wanted done since this was last taken.
     pub effects: Vec<Effect>,
-    writes: Writes,
+    writes: WriteQueue,
     counters: Counters,
     rng: SmallRng,
     cached: u64,
@@ -145,7 +145,7 @@
             cache: StoreCache::default(),
             upstreams: upstreams(),
             effects: Vec::new(),
-            writes: Writes::default(),
+            writes: WriteQueue::default(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(seed),
             cached: 0,
@@ -187,7 +187,8 @@
     }
 
     pub fn cache_homes(&mut self, model: &str, engines: &[&str]) {
-        let record = HomesRecord { engines: engines.iter().map(|e| name(e)).collect(), left: Vec::new() };
+        let record =
+            HomesRecord { engines: engines.iter().map(|e| name(e)).collect(), evicted_from: Vec::new() };
         self.cache(&Key::Homes(name(model)), Some(Record::Homes(record)));
     }
 
@@ -236,7 +237,7 @@
     }
 
     /// Does the same as [`with`](Self::with) for the writes in progress.
-    fn with_writes<T>(&mut self, f: impl FnOnce(&mut Writes, &mut Cx<'_>) -> T) -> T {
+    fn with_writes<T>(&mut self, f: impl FnOnce(&mut WriteQueue, &mut Cx<'_>) -> T) -> T {
         let mut writes = std::mem::take(&mut self.writes);
         let value = self.with(|_, cx| f(&mut writes, cx));
         self.writes = writes;
@@ -247,7 +248,7 @@
         self.with(|serving, cx| serving.on_arrived(cx, RequestId(id), arrival));
     }
 
-    pub fn end(&mut self, attempt: AttemptId, end: AttemptEnd) {
+    pub fn end(&mut self, attempt: AttemptId, end: AttemptOutcome) {
         self.with(|serving, cx| serving.on_attempt_ended(cx, attempt, end));
     }
 
@@ -269,7 +270,7 @@
         let end = self.now.after(Duration::from_millis(ms));
         while self.now < end {
             self.now = end.min(self.now.after(Duration::from_millis(50)));
-            let ended = self.with_writes(Writes::on_tick);
+            let ended = self.with_writes(WriteQueue::on_tick);
             for (key, outcome) in ended {
                 self.with(|serving, cx| serving.on_write(cx, &key, &outcome));
             }
@@ -357,7 +358,7 @@
 /// Makes a request that may be repeated and has ten seconds.
 pub fn arrival(process: &Process, target: Target, body: u8) -> Arrival {
     let resumable = matches!(target, Target::Model(_));
-    let terms = Terms::plain(process.now.after(Duration::from_secs(10)), resumable);
+    let policy = RequestPolicy::plain(process.now.after(Duration::from_secs(10)), resumable);
     Arrival {
         caller: name("orchard"),
         target,
@@ -365,7 +366,7 @@
         digest: digest(body),
         prefix: None,
         deadline: process.now.after(Duration::from_secs(10)),
-        terms,
+        policy,
         charge: None,
     }
 }
@@ -434,10 +435,10 @@
         data_centre: name("bern-a"),
         site: name("bern"),
         kind,
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
--- a/crates/skylarkshore-host/src/accounts.rs
+++ b/crates/skylarkshore-host/src/accounts.rs
@@ -27,8 +27,8 @@
 /// `tokens` is what the request says that it counts, where it does.
 pub fn charge(accounts: &Accounts, key: &[u8], tokens: Option<u64>) -> Option<Charge> {
     let key = key_digest(key)?;
-    let (name, account) = accounts.holder(&key)?;
-    Some(Charge { account: name.clone(), key, cost: account.measure.cost(tokens) })
+    let (name, account) = accounts.find_by_key(&key)?;
+    Some(Charge { account: name.clone(), key, cost: account.unit.cost(tokens) })
 }
 
 /// Sets the header that names the client account, in place of whatever the caller sent.
--- a/crates/skylarkshore-host/src/callers.rs
+++ b/crates/skylarkshore-host/src/callers.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Uri};
 use skylarkshore_core::Time;
 use skylarkshore_core::accounts::Charge;
-use skylarkshore_core::event::{Arrival, Target, Terms};
+use skylarkshore_core::event::{Arrival, RequestPolicy, Target};
 use skylarkshore_wire::caller::{ACCOUNT_HEADER, REQUEST_ID_HEADER};
 use skylarkshore_wire::operator::Health;
 use slog::debug;
@@ -175,7 +175,7 @@
             digest: request_digest(&head.method, &path, &body),
             prefix: chat.prefix,
             deadline: common.deadline,
-            terms: Terms::plain(common.deadline, true),
+            policy: RequestPolicy::plain(common.deadline, true),
             charge,
         };
         let outgoing = Outgoing {
@@ -200,7 +200,7 @@
         let charge = charge(&snapshot, head)?;
         let service = snapshot.document.catalogue.services.get(&call.service);
         let service = service.ok_or_else(|| Invalid::UnknownService { name: call.service.to_string() })?;
-        let is_once = call.spellings().iter().any(|path| service.is_once(path));
+        let is_once = call.spellings().iter().any(|path| service.is_at_most_once(path));
         let repeat = check::repeat(&head.headers, &common.caller, Some(&call.service), is_once)?;
         let body = self.exchange.read_body(body, &head.headers).await?;
         let arrival = Arrival {
@@ -210,7 +210,7 @@
             digest: request_digest(&head.method, &head.path_and_query(), &body),
             prefix: None,
             deadline: common.deadline,
-            terms: Terms::plain(common.deadline, false),
+            policy: RequestPolicy::plain(common.deadline, false),
             charge,
         };
         let outgoing = Outgoing {
@@ -249,7 +249,7 @@
     /// Returns the snapshot once there is a document to check requests against.
     fn known_document(&self) -> Result<Arc<Snapshot>, Invalid> {
         let snapshot = self.exchange.snapshot();
-        if !snapshot.document.is_known() {
+        if !snapshot.document.is_configured() {
             return Err(Invalid::NotReady);
         }
         Ok(snapshot)
--- a/crates/skylarkshore-host/src/driver.rs
+++ b/crates/skylarkshore-host/src/driver.rs
@@ -179,7 +179,7 @@
             host: self.node.config().host.clone(),
             incarnation: self.node.config().incarnation,
             document_revision: self.node.document().revision,
-            store_revision: self.node.cache().newest(),
+            store_revision: self.node.cache().latest_revision(),
             ready: self.node.is_ready(),
             leaving: self.node.is_leaving(),
             beliefs,
--- a/crates/skylarkshore-host/src/driver/effects.rs
+++ b/crates/skylarkshore-host/src/driver/effects.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use skylarkshore_core::collections::HashMap;
-use skylarkshore_core::effect::{Decision, Note, Refusal};
+use skylarkshore_core::effect::{Decision, LogEvent, Refusal};
 use skylarkshore_core::id::{AttemptId, CallId, HostId, Incarnation, RequestId, StoreRevision, UpstreamId};
 use skylarkshore_core::peer::{Envelope, News, PeerMessage, StatePart};
 use skylarkshore_core::store::{StoreCall, Versioned};
@@ -54,7 +54,7 @@
     }
 
     fn unanswered(&self) -> BoxFuture<'_, ()> {
-        Box::pin(self.0.event(Event::WatchUnanswered))
+        Box::pin(self.0.event(Event::WatchTimedOut))
     }
 }
 
@@ -83,11 +83,11 @@
             Effect::Store { call, request } => self.call_store(call, request),
             Effect::Watch { from } => self.watch(from),
             Effect::Unwatch => self.unwatch(),
-            Effect::TakeNews(news) => self.store.take_news(news),
-            Effect::TakeState(part) => self.store.take_state(part),
-            Effect::AwaitState => self.store.await_state(),
-            Effect::ReadOn => self.store.read_on(),
-            Effect::TellState { to, series, upto, records } => {
+            Effect::ApplyNews(news) => self.store.take_news(news),
+            Effect::ApplyStatePart(part) => self.store.take_state(part),
+            Effect::ExtendStateWait => self.store.await_state(),
+            Effect::ReadMissedNews => self.store.read_on(),
+            Effect::SendState { to, series, upto, records } => {
                 let parts = self.store.state(series, upto, &records);
                 self.tell_state(&to, &parts);
             }
@@ -98,7 +98,7 @@
                 let engine = upstreams.get(&upstream).cloned();
                 self.order(upstream, engine, EngineOrder { order, fence, not_after, after, action });
             }
-            Effect::AskReport { upstream } => {
+            Effect::RequestReport { upstream } => {
                 let engine = upstreams.get(&upstream).cloned();
                 self.ask_report(upstream, engine);
             }
@@ -129,7 +129,7 @@
                     keep_failure,
                 });
             }
-            Effect::PassOn { request } => {
+            Effect::ForwardHeldAnswer { request } => {
                 if let Some(pending) = self.env.requests.get(request) {
                     pending.pass_kept();
                 }
@@ -143,7 +143,7 @@
             Effect::Refuse { request, refusal } | Effect::Abort { request, refusal } => {
                 self.refuse(request, &refusal);
             }
-            Effect::Note(note) => self.note(&note),
+            Effect::LogEvent(note) => self.note(&note),
             Effect::Decision(decision) => self.decision(&decision),
             Effect::CloseIntake => {
                 info!(self.env.log, "intake_closed"; "requests_in_progress" => self.env.requests.len());
@@ -193,7 +193,7 @@
         let inbox = self.env.inbox.clone();
         tokio::spawn(async move {
             if probe::has_ended(&host, incarnation, address).await {
-                inbox.event(Event::PeerRefused { host, incarnation }).await;
+                inbox.event(Event::PeerConnectionRefused { host, incarnation }).await;
             }
         });
     }
@@ -238,7 +238,7 @@
     }
 
     fn not_sent(&self, attempt: AttemptId) {
-        let end = skylarkshore_core::event::AttemptEnd::NotSent;
+        let end = skylarkshore_core::event::AttemptOutcome::NotSent;
         self.env.inbox.event_later(Event::AttemptEnded { attempt, end });
     }
 
@@ -265,7 +265,7 @@
             "id" => id.as_deref().unwrap_or("unknown"));
     }
 
-    fn note(&self, note: &Note) {
+    fn note(&self, note: &LogEvent) {
         self.env.metrics.noted(note.event);
         // The logger writes the last pair first, and the subject is to come first.
         info!(self.env.log, "{}", note.event; "detail" => &note.detail, "subject" => &note.subject);
--- a/crates/skylarkshore-host/src/driver/snapshot.rs
+++ b/crates/skylarkshore-host/src/driver/snapshot.rs
@@ -49,7 +49,7 @@
         let members = if is_same { Arc::clone(&before.members) } else { Arc::new(members_of(node)) };
         Self {
             document: Arc::clone(node.document()),
-            store_revision: node.cache().newest(),
+            store_revision: node.cache().latest_revision(),
             members,
             members_version: version,
             ready: node.is_ready(),
@@ -63,7 +63,7 @@
     /// next regular look.
     pub(crate) fn is_outdated(&self, node: &Node) -> bool {
         !Arc::ptr_eq(&self.document, node.document())
-            || self.store_revision != node.cache().newest()
+            || self.store_revision != node.cache().latest_revision()
             || self.members_version != node.cache().members_version()
             || self.ready != node.is_ready()
             || self.leaving != node.is_leaving()
--- a/crates/skylarkshore-host/src/metrics.rs
+++ b/crates/skylarkshore-host/src/metrics.rs
@@ -10,7 +10,7 @@
     Opts, Registry, TextEncoder,
 };
 use skylarkshore_core::dump::Gauge as Reading;
-use skylarkshore_core::event::AttemptEnd;
+use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::store::{StoreFailure, StoreResult};
 
 const NAMESPACE: &str = "skylarkshore";
@@ -194,14 +194,14 @@
         self.requests.with_label_values(&["none", RequestEnd::Invalid.label()]).inc();
     }
 
-    pub(crate) fn attempt_ended(&self, end: &AttemptEnd) {
+    pub(crate) fn attempt_ended(&self, end: &AttemptOutcome) {
         let label = match end {
-            AttemptEnd::Whole { .. } | AttemptEnd::WholeTooLarge => "whole",
-            AttemptEnd::FailedWhole => "failed",
-            AttemptEnd::NotSent => "not_sent",
-            AttemptEnd::Rejected(_) => "rejected",
-            AttemptEnd::Lost { died: true, .. } => "upstream_died",
-            AttemptEnd::Lost { died: false, .. } => "lost",
+            AttemptOutcome::Completed { .. } | AttemptOutcome::CompletedTooLarge => "whole",
+            AttemptOutcome::CompletedWithFailure => "failed",
+            AttemptOutcome::NotSent => "not_sent",
+            AttemptOutcome::Rejected(_) => "rejected",
+            AttemptOutcome::Lost { died: true, .. } => "upstream_died",
+            AttemptOutcome::Lost { died: false, .. } => "lost",
         };
         self.attempts.with_label_values(&[label]).inc();
     }
--- a/crates/skylarkshore-host/src/operators/explain.rs
+++ b/crates/skylarkshore-host/src/operators/explain.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error, From};
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::id::{CallerId, DataCentre, InvalidName};
-use skylarkshore_core::rules::{Facts, InvalidPercent, Percent};
+use skylarkshore_core::rules::{InvalidPercent, Percent, RuleInput};
 use skylarkshore_wire::operator::{Explanation, FactsWire, TriedRule};
 use skylarkshore_wire::percent::{self, InvalidEncoding};
 
@@ -83,7 +83,7 @@
     let target = document.catalogue.resolve(&question.model);
     let target = target.ok_or_else(|| BadQuestion::UnknownModel { name: question.model.clone() })?;
     let at = time_of_day();
-    let facts = Facts {
+    let facts = RuleInput {
         model: Some(&target.model),
         adapter: target.adapter.as_ref(),
         caller: question.caller.as_ref(),
--- a/crates/skylarkshore-host/src/upstreams.rs
+++ b/crates/skylarkshore-host/src/upstreams.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderValue, Request, StatusCode};
 use http_body_util::Full;
 use skylarkshore_core::Time;
-use skylarkshore_core::event::{AttemptEnd, LoadTold, Rejection};
+use skylarkshore_core::event::{AttemptOutcome, Rejection, ReportedLoad};
 use skylarkshore_core::id::{AttemptId, RequestId};
 use skylarkshore_core::rules::ServiceOrder;
 use skylarkshore_core::upstream::Upstream;
@@ -102,7 +102,7 @@
     fn clean_answer(&self, headers: &mut HeaderMap);
 
     /// Reads how much the upstream has to do, where it tells.
-    fn read_load(&self, headers: &HeaderMap) -> Option<LoadTold>;
+    fn read_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
     /// Tells whether an answer without a length may end with its connection.
     fn takes_unframed(&self) -> bool;
@@ -127,19 +127,19 @@
     }
 
     /// Makes the try and returns how it ended.
-    pub(crate) async fn send(&self, dispatch: Dispatch) -> AttemptEnd {
-        let Some(pending) = self.env.requests.get(dispatch.request) else { return AttemptEnd::NotSent };
+    pub(crate) async fn send(&self, dispatch: Dispatch) -> AttemptOutcome {
+        let Some(pending) = self.env.requests.get(dispatch.request) else { return AttemptOutcome::NotSent };
         let deadline = self.env.clock.instant(dispatch.deadline);
         let attempt = Attempt::new(self, &dispatch, &pending);
         let end = match tokio::time::timeout_at(deadline, attempt.run()).await {
             Ok(end) => end,
             // Slow isn't dead: the deadline says nothing about the upstream's health.
-            Err(_elapsed) => AttemptEnd::Lost { passed_on: pending.has_passed_on(), died: false },
+            Err(_elapsed) => AttemptOutcome::Lost { passed_on: pending.has_passed_on(), died: false },
         };
         self.env.metrics.attempt_ended(&end);
         debug!(self.env.log, "attempt_ended";
             "request" => %dispatch.request, "attempt" => %dispatch.attempt,
-            "upstream" => %dispatch.upstream.id, "end" => end.word());
+            "upstream" => %dispatch.upstream.id, "end" => end.label());
         end
     }
 
--- a/crates/skylarkshore-host/src/upstreams/attempt.rs
+++ b/crates/skylarkshore-host/src/upstreams/attempt.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use skylarkshore_core::Event;
-use skylarkshore_core::event::{AttemptEnd, Rejection};
+use skylarkshore_core::event::{AttemptOutcome, Rejection};
 use skylarkshore_core::store::RecordedAnswer;
 use slog::{debug, warn};
 
@@ -69,7 +69,7 @@
         Self { upstreams, dispatch, pending }
     }
 
-    pub(super) async fn run(&self) -> AttemptEnd {
+    pub(super) async fn run(&self) -> AttemptOutcome {
         let delivered = self.pending.begin_attempt(self.dispatch.attempt);
         let call = self.upstreams.call(self.dispatch, self.pending, &delivered);
         let (res, connection) = match self.exchange(&call).await {
@@ -78,7 +78,7 @@
         };
         if let Some(load) = self.upstreams.protocol.read_load(res.headers()) {
             let upstream = self.dispatch.upstream.id.clone();
-            self.upstreams.env.inbox.event_later(Event::LoadTold { upstream, load });
+            self.upstreams.env.inbox.event_later(Event::LoadReported { upstream, load });
         }
         match self.take(&call, res, connection).await {
             Ok(end) => end,
@@ -91,7 +91,7 @@
     /// One that may not be repeated gets a connection of its own. On a reused
     /// one it could arrive just as the upstream closes it, and whether it was
     /// run couldn't be told.
-    async fn exchange(&self, call: &Call<'_>) -> Result<(Response<Incoming>, Connection), AttemptEnd> {
+    async fn exchange(&self, call: &Call<'_>) -> Result<(Response<Incoming>, Connection), AttemptOutcome> {
         let address = self.dispatch.upstream.address;
         let connection = if self.dispatch.once {
             Connection::open(address).await
@@ -104,16 +104,16 @@
         Ok((res, connection))
     }
 
-    fn not_answered(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptEnd {
+    fn not_answered(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptOutcome {
         debug!(self.upstreams.env.log, "upstream_gave_no_answer";
             "upstream" => %self.dispatch.upstream.id, "request" => %self.dispatch.request, "reason" => reason);
         // A cancelled request never left this process's own queue.
-        let Some(cause) = cause.filter(|cause| !cause.is_canceled()) else { return AttemptEnd::NotSent };
+        let Some(cause) = cause.filter(|cause| !cause.is_canceled()) else { return AttemptOutcome::NotSent };
         self.lost(if cause.is_parse() { &Cut::Unusable } else { &Cut::Broken })
     }
 
-    fn lost(&self, cut: &Cut) -> AttemptEnd {
-        AttemptEnd::Lost { passed_on: self.pending.has_passed_on(), died: matches!(cut, Cut::Broken) }
+    fn lost(&self, cut: &Cut) -> AttemptOutcome {
+        AttemptOutcome::Lost { passed_on: self.pending.has_passed_on(), died: matches!(cut, Cut::Broken) }
     }
 
     async fn take(
@@ -121,7 +121,7 @@
         call: &Call<'_>,
         res: Response<Incoming>,
         connection: Connection,
-    ) -> Result<AttemptEnd, Cut> {
+    ) -> Result<AttemptOutcome, Cut> {
         let protocol = &self.upstreams.protocol;
         let verdict = protocol.read_head(call, res.status(), res.headers());
         let keep_for = keep_for(res.headers());
@@ -179,12 +179,12 @@
         body: Incoming,
         connection: Connection,
         keep_for: Option<Duration>,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let rest = Limited::new(body, MAX_NOT_RUN_LEN).collect();
         if let Ok(Ok(_rest)) = tokio::time::timeout(READ_OFF_TIMEOUT, rest).await {
             self.keep(connection, keep_for);
         }
-        AttemptEnd::Rejected(rejection)
+        AttemptOutcome::Rejected(rejection)
     }
 
     /// Reads a short answer that may say that nothing was run.
@@ -193,11 +193,11 @@
         status: StatusCode,
         headers: HeaderMap,
         body: Incoming,
-    ) -> Result<AttemptEnd, Cut> {
+    ) -> Result<AttemptOutcome, Cut> {
         let limited = Limited::new(body, MAX_NOT_RUN_LEN);
         let body = limited.collect().await.map_err(|_cut| Cut::Broken)?.to_bytes();
         if let Some(rejection) = self.upstreams.protocol.read_not_run(&body) {
-            return Ok(AttemptEnd::Rejected(rejection));
+            return Ok(AttemptOutcome::Rejected(rejection));
         }
         if self.dispatch.hold {
             return Ok(whole_held(status, &headers, &body));
@@ -207,11 +207,11 @@
         self.upstreams.protocol.clean_answer(&mut headers);
         headers.remove(CONTENT_LENGTH);
         self.pending.pass_whole(self.dispatch.attempt, status, headers, body)?;
-        Ok(AttemptEnd::Whole { held: None })
+        Ok(AttemptOutcome::Completed { held: None })
     }
 
     /// Passes an answer on, as a whole where it is short enough.
-    async fn pass_body(&self, mut begun: Begun) -> Result<AttemptEnd, Cut> {
+    async fn pass_body(&self, mut begun: Begun) -> Result<AttemptOutcome, Cut> {
         let mut read = BytesMut::new();
         while let Some(data) = next_data(&mut begun.body).await? {
             read.extend_from_slice(&data);
@@ -224,13 +224,13 @@
         self.keep(connection, keep_for);
         if is_failure && self.dispatch.keep_failure {
             self.pending.keep(attempt, head.status, head.headers, read.freeze());
-            return Ok(AttemptEnd::FailedWhole);
+            return Ok(AttemptOutcome::CompletedWithFailure);
         }
         self.pending.pass_whole(attempt, head.status, head.headers, read.freeze())?;
-        Ok(AttemptEnd::Whole { held: None })
+        Ok(AttemptOutcome::Completed { held: None })
     }
 
-    async fn pass_long_body(&self, begun: Begun, read: Bytes) -> Result<AttemptEnd, Cut> {
+    async fn pass_long_body(&self, begun: Begun, read: Bytes) -> Result<AttemptOutcome, Cut> {
         let attempt = self.dispatch.attempt;
         let Begun { head, mut body, connection, keep_for, .. } = begun;
         self.begin_to_pass(head).await?;
@@ -240,11 +240,11 @@
         }
         self.pending.end(attempt).await?;
         self.keep(connection, keep_for);
-        Ok(AttemptEnd::Whole { held: None })
+        Ok(AttemptOutcome::Completed { held: None })
     }
 
     /// Passes whole events on, from the first one, up to the end of the stream.
-    async fn pass_events(&self, begun: Begun) -> Result<AttemptEnd, Cut> {
+    async fn pass_events(&self, begun: Begun) -> Result<AttemptOutcome, Cut> {
         let Begun { head, mut body, connection, keep_for, .. } = begun;
         let ends_with_marker =
             self.upstreams.protocol.stream_end(&self.dispatch.upstream) == StreamEnd::Marker;
@@ -260,7 +260,7 @@
             if events.ends && ends_with_marker {
                 self.pending.end(attempt).await?;
                 tokio::spawn(read_off(body, connection));
-                return Ok(AttemptEnd::Whole { held: None });
+                return Ok(AttemptOutcome::Completed { held: None });
             }
         }
         if ends_with_marker || splitter.is_within_event() {
@@ -271,7 +271,7 @@
         }
         self.pending.end(attempt).await?;
         self.keep(connection, keep_for);
-        Ok(AttemptEnd::Whole { held: None })
+        Ok(AttemptOutcome::Completed { held: None })
     }
 
     async fn begin_to_pass(&self, head: Head) -> Result<(), Cut> {
@@ -290,7 +290,7 @@
     }
 
     /// Holds the answer back to be recorded first; passes it on where it is too large for that.
-    async fn hold(&self, head: Head, mut body: Incoming) -> Result<AttemptEnd, Cut> {
+    async fn hold(&self, head: Head, mut body: Incoming) -> Result<AttemptOutcome, Cut> {
         let mut kept = BytesMut::new();
         while let Some(data) = next_data(&mut body).await? {
             kept.extend_from_slice(&data);
@@ -308,7 +308,12 @@
     ///
     /// It is read to its end even when the caller has gone: the request has run,
     /// and whoever asks under its key has to hear that rather than `unknown`.
-    async fn pass_too_large(&self, head: Head, kept: Bytes, mut body: Incoming) -> Result<AttemptEnd, Cut> {
+    async fn pass_too_large(
+        &self,
+        head: Head,
+        kept: Bytes,
+        mut body: Incoming,
+    ) -> Result<AttemptOutcome, Cut> {
         let attempt = self.dispatch.attempt;
         let events = head.events;
         let mut tail = tail_of(&kept);
@@ -330,7 +335,7 @@
             // A caller that goes away now has missed nothing but the end.
             _ = self.pending.end(attempt).await;
         }
-        Ok(AttemptEnd::WholeTooLarge)
+        Ok(AttemptOutcome::CompletedTooLarge)
     }
 }
 
@@ -362,14 +367,14 @@
     Some(Duration::from_secs(secs).saturating_sub(ON_THE_WAY))
 }
 
-fn whole_held(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> AttemptEnd {
+fn whole_held(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> AttemptOutcome {
     let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let answer = RecordedAnswer {
         status: status.as_u16(),
         content_type: content_type.map(str::to_owned),
         body: body.to_vec(),
     };
-    AttemptEnd::Whole { held: Some(answer) }
+    AttemptOutcome::Completed { held: Some(answer) }
 }
 
 fn is_event_stream(headers: &HeaderMap) -> bool {
--- a/crates/skylarkshore-host/src/upstreams/own.rs
+++ b/crates/skylarkshore-host/src/upstreams/own.rs
@@ -2,7 +2,7 @@
 
 use http::header::{ACCEPT_ENCODING, AUTHORIZATION, CONTENT_LENGTH, EXPECT, HOST, HeaderName};
 use http::{HeaderMap, HeaderValue, StatusCode};
-use skylarkshore_core::event::{LoadTold, Rejection};
+use skylarkshore_core::event::{Rejection, ReportedLoad};
 use skylarkshore_core::id::{HostId, Incarnation};
 use skylarkshore_core::upstream::Upstream;
 use skylarkshore_wire::caller::ACCOUNT_HEADER;
@@ -65,7 +65,7 @@
         headers.remove(REQUEST_ID_HEADER);
     }
 
-    fn read_load(&self, _headers: &HeaderMap) -> Option<LoadTold> {
+    fn read_load(&self, _headers: &HeaderMap) -> Option<ReportedLoad> {
         None
     }
 
--- a/crates/skylarkshore-standins/examples/capacity.rs
+++ b/crates/skylarkshore-standins/examples/capacity.rs
@@ -11,11 +11,11 @@
 use skylarkshore_core::config::{Limits, Timings};
 use skylarkshore_core::event::{Repeat, Target};
 use skylarkshore_core::id::{CatalogueRevision, Digest, Incarnation, RulesRevision};
-use skylarkshore_core::rules::{Outcome, Rules};
+use skylarkshore_core::rules::{RuleOutcome, Rules};
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamKind,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamStatus, WeightCopies,
 };
 use skylarkshore_standins::world::{Ask, HostSetup, Meter, NoFaults, Setup, World};
 
@@ -82,11 +82,11 @@
         data_centre: name(&format!("dc-{}", i % 10)),
         site: name("site"),
         kind: UpstreamKind::Engine(spec),
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
 
@@ -104,7 +104,7 @@
             revision: RulesRevision(1),
             power_caps: [(name("site"), Watts(300 * size.engines as u64))].into(),
             catalogue: Catalogue { models: models.collect(), services: [].into(), ..Catalogue::default() },
-            rules: Rules { list: Vec::new(), otherwise: Outcome::default() },
+            rules: Rules { list: Vec::new(), otherwise: RuleOutcome::default() },
         },
         seed: 1,
         tick: Duration::from_millis(50),
--- a/crates/skylarkshore-standins/src/replay/deployment.rs
+++ b/crates/skylarkshore-standins/src/replay/deployment.rs
@@ -9,7 +9,7 @@
 use skylarkshore_core::id::{DataCentre, HostId, Incarnation, ServiceName, SiteName, UpstreamId};
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamKind,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamStatus, WeightCopies,
 };
 use skylarkshore_wire::document::{DocumentWire, InvalidDocument};
 
@@ -143,10 +143,10 @@
         data_centre,
         site: site.clone(),
         kind,
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
--- a/crates/skylarkshore-standins/src/replay/outcome.rs
+++ b/crates/skylarkshore-standins/src/replay/outcome.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use skylarkshore_core::effect::RefusalOutcome;
 use skylarkshore_core::event::Target;
-use skylarkshore_core::rules::{Facts, Rules};
+use skylarkshore_core::rules::{RuleInput, Rules};
 use skylarkshore_core::units::Watts;
 
 use super::policy::Policy;
@@ -106,7 +106,7 @@
 
 fn cost(rules: &Rules, log: &RequestLog) -> Duration {
     let Target::Model(target) = &log.ask.target else { return Duration::ZERO };
-    let facts = Facts { model: Some(&target.model), ..Facts::default() };
+    let facts = RuleInput { model: Some(&target.model), ..RuleInput::default() };
     let outcome = rules.decide(&facts).outcome;
     wait(log) * outcome.cold_start_weight / outcome.idle_weight.max(1)
 }
--- a/crates/skylarkshore-standins/src/replay/policy.rs
+++ b/crates/skylarkshore-standins/src/replay/policy.rs
@@ -5,7 +5,7 @@
 
 use derive_more::{Display, Error};
 use skylarkshore_core::catalogue::Document;
-use skylarkshore_core::rules::{IdleAfter, Outcome, ServiceOrder};
+use skylarkshore_core::rules::{IdleAfter, RuleOutcome, ServiceOrder};
 
 /// A policy under which a trace is replayed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -54,7 +54,7 @@
         document
     }
 
-    fn change(self, outcome: &mut Outcome) {
+    fn change(self, outcome: &mut RuleOutcome) {
         match self {
             Self::Rules => {}
             Self::Weighted(percent) => {
--- a/crates/skylarkshore-standins/src/world.rs
+++ b/crates/skylarkshore-standins/src/world.rs
@@ -22,13 +22,13 @@
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::collections::{OrderedMap, OrderedSet};
 use skylarkshore_core::config::{Limits, Timings};
-use skylarkshore_core::effect::Note;
+use skylarkshore_core::effect::LogEvent;
 use skylarkshore_core::event::Event;
 use skylarkshore_core::id::{DataCentre, HostId, RulesRevision, StoreRevision, UpstreamId};
 use skylarkshore_core::rules::MinuteOfDay;
 use skylarkshore_core::store::{Expect, Key, Record, StoreAnswer, StoreFailure};
 use skylarkshore_core::time::Time;
-use skylarkshore_core::upstream::{Standing, Upstream};
+use skylarkshore_core::upstream::{Upstream, UpstreamStatus};
 
 use agenda::{Agenda, Item};
 use host::Host;
@@ -113,7 +113,7 @@
     /// Where.
     pub host: HostId,
     /// What.
-    pub note: Note,
+    pub note: LogEvent,
 }
 
 impl World {
@@ -268,7 +268,7 @@
     /// Marks an upstream as leaving on the host list.
     pub fn mark_leaving(&mut self, id: &UpstreamId) {
         for upstream in self.list.iter_mut().filter(|u| u.id == *id) {
-            upstream.standing = Standing::Leaving;
+            upstream.status = UpstreamStatus::Leaving;
         }
         self.checks.marked_leaving(id, self.now);
     }
@@ -328,7 +328,7 @@
     }
 
     /// Tells what a host believes, for a test that failed.
-    pub fn dump(&mut self, h: usize) -> Vec<skylarkshore_core::dump::Belief> {
+    pub fn dump(&mut self, h: usize) -> Vec<skylarkshore_core::dump::DumpEntry> {
         let now = self.now;
         self.hosts[h].node.as_mut().map(|node| node.dump(now)).unwrap_or_default()
     }
--- a/crates/skylarkshore-standins/src/world/callers.rs
+++ b/crates/skylarkshore-standins/src/world/callers.rs
@@ -4,7 +4,7 @@
 
 use skylarkshore_core::collections::OrderedMap;
 use skylarkshore_core::effect::{Refusal, RefusalOutcome};
-use skylarkshore_core::event::{Arrival, Repeat, Target, Terms};
+use skylarkshore_core::event::{Arrival, Repeat, RequestPolicy, Target};
 use skylarkshore_core::id::{CallerId, Digest, RequestId};
 use skylarkshore_core::time::Time;
 
@@ -121,7 +121,7 @@
             digest: ask.digest,
             prefix: ask.prefix,
             deadline,
-            terms: Terms::plain(deadline, matches!(ask.target, Target::Model(_))),
+            policy: RequestPolicy::plain(deadline, matches!(ask.target, Target::Model(_))),
             charge: None,
         };
         let log = RequestLog {
--- a/crates/skylarkshore-standins/src/world/engine.rs
+++ b/crates/skylarkshore-standins/src/world/engine.rs
@@ -9,8 +9,8 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineReport, EngineSpec, FenceCheck, LoadState, Order, OrderAnswer, ReportedAdapter,
-    ReportedModel, Upstream,
+    EngineReport, EngineSpec, FenceCheck, LoadState, Order, OrderAnswer, ReportedAdapter, ReportedModel,
+    Upstream, WeightCopies,
 };
 
 use super::agenda::{RunId, Sender, SentRequest};
@@ -223,10 +223,10 @@
             waiting: 0,
             leaving: false,
             lag: Duration::ZERO,
-            settled: self.settled.clone(),
+            finished_orders: self.settled.clone(),
             busy: false,
             accepted: None,
-            copies: Copies::default(),
+            copies: WeightCopies::default(),
         })
     }
 
--- a/crates/skylarkshore-standins/src/world/meter.rs
+++ b/crates/skylarkshore-standins/src/world/meter.rs
@@ -45,7 +45,7 @@
             }
             Effect::Store { request, .. } => *self.store.entry(request.name()).or_default() += 1,
             Effect::Watch { .. } => *self.store.entry("watch").or_default() += 1,
-            Effect::Order { .. } | Effect::AskReport { .. } => self.engines += 1,
+            Effect::Order { .. } | Effect::RequestReport { .. } => self.engines += 1,
             _ => {}
         }
     }
--- a/crates/skylarkshore-standins/src/world/perform.rs
+++ b/crates/skylarkshore-standins/src/world/perform.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use skylarkshore_core::effect::Effect;
-use skylarkshore_core::event::{AttemptEnd, Event, Rejection, Target};
+use skylarkshore_core::event::{AttemptOutcome, Event, Rejection, Target};
 use skylarkshore_core::id::{AttemptId, CallId, HostId, Incarnation, RequestId, StoreRevision, UpstreamId};
 use skylarkshore_core::peer::Envelope;
 use skylarkshore_core::store::{RecordedAnswer, StoreFailure, StoreResult};
@@ -32,8 +32,8 @@
 const FIRST_TOKEN: Duration = Duration::from_millis(50);
 
 /// How a run ends for its sender when its upstream is lost.
-pub(crate) const fn lost(run: &Run, died: bool) -> AttemptEnd {
-    AttemptEnd::Lost { passed_on: run.started && !run.sent.hold, died }
+pub(crate) const fn lost(run: &Run, died: bool) -> AttemptOutcome {
+    AttemptOutcome::Lost { passed_on: run.started && !run.sent.hold, died }
 }
 
 impl World {
@@ -65,7 +65,7 @@
     }
 
     fn strike(&mut self, h: usize, effect: &Effect) -> Strike {
-        if matches!(effect, Effect::Note(_)) || self.hosts[h].is_frozen() {
+        if matches!(effect, Effect::LogEvent(_)) || self.hosts[h].is_frozen() {
             return Strike::None;
         }
         self.serial += 1;
@@ -102,7 +102,7 @@
                 self.send(strike, Item::Order(sent));
                 self.crash_if_struck(&upstream, strike);
             }
-            Effect::AskReport { upstream } => {
+            Effect::RequestReport { upstream } => {
                 self.send(strike, Item::Ask { from, engine: upstream, asked: self.now });
             }
             Effect::Send { request, attempt, upstream, deadline, hold, .. } => {
@@ -112,7 +112,7 @@
                 self.agenda.add(deadline, Item::AttemptTimeout { from, attempt });
                 self.attempts.insert(AttemptKey::new(from, attempt), OpenAttempt { request, carried: false });
                 if strike == Strike::Lose {
-                    let end = AttemptEnd::Lost { passed_on: false, died: false };
+                    let end = AttemptOutcome::Lost { passed_on: false, died: false };
                     self.attempt_ended(from, attempt, end);
                 } else {
                     self.send(strike, Item::Start(sent));
@@ -132,19 +132,19 @@
             Effect::Abort { request, refusal } => {
                 self.callers.end(&key(from, request), Final::Aborted(refusal), self.now);
             }
-            Effect::Note(note) => {
+            Effect::LogEvent(note) => {
                 let host = self.hosts[h].id.clone();
                 self.notes.push(HostNote { at: self.now, host, note });
             }
             // No upstream of this world answers that it failed, and callers come to hosts that stay.
-            Effect::PassOn { .. }
+            Effect::ForwardHeldAnswer { .. }
             | Effect::CloseIntake
             | Effect::Decision(_)
-            | Effect::TakeNews(_)
-            | Effect::TakeState(_)
-            | Effect::AwaitState
-            | Effect::ReadOn
-            | Effect::TellState { .. }
+            | Effect::ApplyNews(_)
+            | Effect::ApplyStatePart(_)
+            | Effect::ExtendStateWait
+            | Effect::ReadMissedNews
+            | Effect::SendState { .. }
             | Effect::ReadNewsForOthers(_) => {}
             Effect::Exit => {
                 self.hosts[h].exited = true;
@@ -161,7 +161,7 @@
     /// Ends an attempt that has no whole answer by its deadline, as the surroundings of a real process do.
     pub(crate) fn time_out(&mut self, from: Sender, attempt: AttemptId) {
         let passed_on = self.stop_runs(from, attempt).iter().any(|run| run.started && !run.sent.hold);
-        self.attempt_ended(from, attempt, AttemptEnd::Lost { passed_on, died: false });
+        self.attempt_ended(from, attempt, AttemptOutcome::Lost { passed_on, died: false });
     }
 
     fn send(&mut self, strike: Strike, item: Item) {
@@ -218,7 +218,7 @@
         let Some(found) = self.hosts.iter().find(|h| h.id == host) else { return };
         let ended = !found.is_up() || found.incarnation() > incarnation;
         if ended {
-            self.answer(from, Event::PeerRefused { host, incarnation });
+            self.answer(from, Event::PeerConnectionRefused { host, incarnation });
         }
     }
 
@@ -319,21 +319,21 @@
         self.agenda.add(self.now.after(run_time), Item::RunDone { upstream, run: id });
     }
 
-    fn turned_away(&self, sent: &SentRequest, target: &Target) -> Option<AttemptEnd> {
+    fn turned_away(&self, sent: &SentRequest, target: &Target) -> Option<AttemptOutcome> {
         match target {
             Target::Model(target) => {
                 let Some(engine) = self.engines.get(&sent.upstream).filter(|engine| engine.up) else {
-                    return Some(AttemptEnd::NotSent);
+                    return Some(AttemptOutcome::NotSent);
                 };
                 if !engine.holds(&target.model, target.adapter.as_ref()) {
-                    return Some(AttemptEnd::Rejected(Rejection::NotLoaded));
+                    return Some(AttemptOutcome::Rejected(Rejection::NotLoaded));
                 }
                 let most = engine.spec.concurrency as usize * QUEUE_FACTOR;
-                (engine.in_progress() >= most).then_some(AttemptEnd::Rejected(Rejection::Busy))
+                (engine.in_progress() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
             }
             Target::Service(name) => {
                 let known = self.services.get(&sent.upstream).is_some_and(|service| service.service == *name);
-                (!known).then_some(AttemptEnd::NotSent)
+                (!known).then_some(AttemptOutcome::NotSent)
             }
         }
     }
@@ -369,14 +369,14 @@
         let Some(log) = self.callers.requests.get(&request) else { return };
         let body = log.ask.digest.0.to_vec();
         let held = run.sent.hold.then_some(RecordedAnswer { status: 200, content_type: None, body });
-        self.end_run(&run, AttemptEnd::Whole { held });
+        self.end_run(&run, AttemptOutcome::Completed { held });
     }
 
-    pub(crate) fn end_run(&mut self, run: &Run, end: AttemptEnd) {
+    pub(crate) fn end_run(&mut self, run: &Run, end: AttemptOutcome) {
         self.attempt_ended(run.sent.from, run.sent.attempt, end);
     }
 
-    fn attempt_ended(&mut self, from: Sender, attempt: AttemptId, end: AttemptEnd) {
+    fn attempt_ended(&mut self, from: Sender, attempt: AttemptId, end: AttemptOutcome) {
         let Some(OpenAttempt { request, .. }) = self.attempts.remove(&AttemptKey::new(from, attempt)) else {
             return;
         };
@@ -384,7 +384,7 @@
         if !host.is_up() || host.life != from.life {
             return;
         }
-        if matches!(end, AttemptEnd::Whole { held: None }) {
+        if matches!(end, AttemptOutcome::Completed { held: None }) {
             self.callers.end(&key(from, request), Final::Answered, self.now);
         }
         self.answer(from, Event::AttemptEnded { attempt, end });
--- a/crates/skylarkshore-standins/tests/world/support.rs
+++ b/crates/skylarkshore-standins/tests/world/support.rs
@@ -6,11 +6,11 @@
 use skylarkshore_core::config::{Limits, Timings};
 use skylarkshore_core::event::{Repeat, Target};
 use skylarkshore_core::id::{CatalogueRevision, Digest, Incarnation, RulesRevision};
-use skylarkshore_core::rules::{Outcome, Rules};
+use skylarkshore_core::rules::{RuleOutcome, Rules};
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamKind,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamStatus, WeightCopies,
 };
 use skylarkshore_standins::world::{Ask, Faults, HostSetup, Setup, World};
 
@@ -58,7 +58,7 @@
         revision: RulesRevision(1),
         power_caps: [(name("lagerraum"), Watts(cap))].into(),
         catalogue: Catalogue { models, services: [(name("market"), service)].into(), ..Catalogue::default() },
-        rules: Rules { list: Vec::new(), otherwise: Outcome::default() },
+        rules: Rules { list: Vec::new(), otherwise: RuleOutcome::default() },
     }
 }
 
@@ -83,11 +83,11 @@
         data_centre: name(DATA_CENTRES[i % 3]),
         site: name("lagerraum"),
         kind,
-        standing: Standing::Live,
+        status: UpstreamStatus::Live,
         incarnation: Incarnation::default(),
         concurrency: None,
         holds: Vec::new(),
-        copies: Copies::default(),
+        copies: WeightCopies::default(),
     }
 }
 
--- a/crates/skylarkshore-wire/src/accounts.rs
+++ b/crates/skylarkshore-wire/src/accounts.rs
@@ -4,7 +4,7 @@
 
 use derive_more::{Display, Error, From};
 use serde::{Deserialize, Serialize};
-use skylarkshore_core::accounts::{Account, AccountLimit, Accounts, AmbiguousAccount, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, AccountLimit, Accounts, AmbiguousAccount, KeyDigest, LimitUnit};
 use skylarkshore_core::id::{AccountName, InvalidDigest};
 use skylarkshore_core::units::{CreditRate, Credits};
 
@@ -52,9 +52,9 @@
         Self {
             key_digests: account.keys.iter().map(|key| key.0.to_hex()).collect(),
             priority: account.priority,
-            plain_tokens: match account.measure {
-                Measure::Requests => None,
-                Measure::Tokens { plain } => Some(plain.0),
+            plain_tokens: match account.unit {
+                LimitUnit::Requests => None,
+                LimitUnit::Tokens { default_cost } => Some(default_cost.0),
             },
             limit: account.limit.map(Into::into),
         }
@@ -69,9 +69,9 @@
         Ok(Self {
             keys: keys.collect::<Result<_, Self::Error>>()?,
             priority: wire.priority,
-            measure: wire
-                .plain_tokens
-                .map_or(Measure::Requests, |plain| Measure::Tokens { plain: Credits(plain) }),
+            unit: wire.plain_tokens.map_or(LimitUnit::Requests, |default_cost| LimitUnit::Tokens {
+                default_cost: Credits(default_cost),
+            }),
             limit: wire.limit.map(Into::into),
         })
     }
--- a/crates/skylarkshore-wire/src/document.rs
+++ b/crates/skylarkshore-wire/src/document.rs
@@ -15,7 +15,7 @@
     RulesRevision, ServiceName, SiteName,
 };
 use skylarkshore_core::rules::{
-    Condition, Hours, IdleAfter, InvalidMinuteOfDay, InvalidPercent, Outcome, Rule, Rules, ServiceOrder,
+    Condition, Hours, IdleAfter, InvalidMinuteOfDay, InvalidPercent, Rule, RuleOutcome, Rules, ServiceOrder,
 };
 use skylarkshore_core::units::{Mebibytes, Watts};
 
@@ -455,7 +455,7 @@
     }
 }
 
-impl From<OutcomeWire> for Outcome {
+impl From<OutcomeWire> for RuleOutcome {
     fn from(wire: OutcomeWire) -> Self {
         let default = Self::default();
         let replicas_min = wire.replicas_min.unwrap_or(default.replicas_min);
@@ -471,8 +471,8 @@
     }
 }
 
-impl From<&Outcome> for OutcomeWire {
-    fn from(outcome: &Outcome) -> Self {
+impl From<&RuleOutcome> for OutcomeWire {
+    fn from(outcome: &RuleOutcome) -> Self {
         Self {
             replicas_min: Some(outcome.replicas_min),
             replicas_max: Some(outcome.replicas_max),
--- a/crates/skylarkshore-wire/src/document/check.rs
+++ b/crates/skylarkshore-wire/src/document/check.rs
@@ -127,7 +127,7 @@
 
 fn check_reach(earlier: &[Rule], rule: &Rule, findings: &mut Vec<Finding>) {
     let place = format!("rule '{}'", rule.name);
-    if rule.when.is_impossible() {
+    if rule.when.is_unsatisfiable() {
         let problem = "it can never match, since nothing fulfils all of its conditions".to_owned();
         findings.push(Finding::warning(&place, problem, "remove a condition or the rule"));
         return;
--- a/crates/skylarkshore-wire/src/engine.rs
+++ b/crates/skylarkshore-wire/src/engine.rs
@@ -8,7 +8,7 @@
 use skylarkshore_core::id::{AdapterName, Digest, Fence, Incarnation, ModelName, ModelVersion, OrderId};
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineReport, LoadState, Order, OrderAnswer, ReportedAdapter, ReportedModel,
+    EngineReport, LoadState, Order, OrderAnswer, ReportedAdapter, ReportedModel, WeightCopies,
 };
 
 /// Where orders are posted.
@@ -282,10 +282,10 @@
             waiting: report.waiting,
             leaving: report.leaving,
             lag: Duration::from_millis(report.lag_ms),
-            settled: report.settled,
+            finished_orders: report.settled,
             busy: false,
             accepted: None,
-            copies: Copies::default(),
+            copies: WeightCopies::default(),
         }
     }
 }
--- a/crates/skylarkshore-wire/src/hostlist.rs
+++ b/crates/skylarkshore-wire/src/hostlist.rs
@@ -7,7 +7,7 @@
 use skylarkshore_core::id::{DataCentre, Incarnation, ServiceName, SiteName, UpstreamId};
 use skylarkshore_core::units::{Mebibytes, Watts};
 use skylarkshore_core::upstream::{
-    Copies, EngineSpec, FenceCheck, OrderMode, Standing, Upstream, UpstreamKind,
+    EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamStatus, WeightCopies,
 };
 
 /// Where the list is read.
@@ -126,11 +126,11 @@
             data_centre: entry.data_centre,
             site: entry.site,
             kind: entry.kind.into(),
-            standing: entry.state.into(),
+            status: entry.state.into(),
             incarnation: Incarnation::default(),
             concurrency: None,
             holds: Vec::new(),
-            copies: Copies::default(),
+            copies: WeightCopies::default(),
         }
     }
 }
@@ -156,7 +156,7 @@
     }
 }
 
-impl From<HostState> for Standing {
+impl From<HostState> for UpstreamStatus {
     fn from(state: HostState) -> Self {
         match state {
             HostState::Live => Self::Live,
--- a/crates/skylarkshore-wire/src/keys/value.rs
+++ b/crates/skylarkshore-wire/src/keys/value.rs
@@ -282,13 +282,13 @@
 
 impl From<&HomesRecord> for HomesWire {
     fn from(record: &HomesRecord) -> Self {
-        Self { engines: record.engines.clone(), left: record.left.clone() }
+        Self { engines: record.engines.clone(), left: record.evicted_from.clone() }
     }
 }
 
 impl From<HomesWire> for Record {
     fn from(wire: HomesWire) -> Self {
-        Self::Homes(HomesRecord { engines: wire.engines, left: wire.left })
+        Self::Homes(HomesRecord { engines: wire.engines, evicted_from: wire.left })
     }
 }
 
--- a/crates/skylarkshore-wire/src/operator.rs
+++ b/crates/skylarkshore-wire/src/operator.rs
@@ -1,7 +1,7 @@
 //! What operators get from a process.
 
 use serde::{Deserialize, Serialize};
-use skylarkshore_core::dump::Belief;
+use skylarkshore_core::dump::DumpEntry;
 use skylarkshore_core::id::{HostId, Incarnation, RulesRevision, StoreRevision};
 use skylarkshore_core::time::Time;
 
@@ -96,7 +96,7 @@
 
 impl BeliefWire {
     /// Turns a belief into what operators get at `now`.
-    pub fn new(belief: Belief, now: Time) -> Self {
+    pub fn new(belief: DumpEntry, now: Time) -> Self {
         let millis = |since: Time| u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX);
         Self {
             kind: belief.kind.to_owned(),
--- a/crates/skylarkshore-wire/src/peer.rs
+++ b/crates/skylarkshore-wire/src/peer.rs
@@ -325,18 +325,18 @@
                 upto: batch.upto,
                 records: batch.records.iter().map(RecordWire::from).collect(),
             },
-            M::Wanted { target, waiting, order, patience, aim } => Self::Wanted {
+            M::Wanted { target, waiting, order, max_wait, soft_deadline } => Self::Wanted {
                 target: target.into(),
                 waiting: *waiting,
                 order: order.0,
-                patience_ms: millis(*patience),
-                aim_ms: aim.map(millis),
+                patience_ms: millis(*max_wait),
+                aim_ms: soft_deadline.map(millis),
             },
-            M::Used { target, arrived, late, worked, waited_for } => Self::Used {
+            M::Used { target, arrived, late, run_time, waited_for } => Self::Used {
                 target: target.into(),
                 arrived: *arrived,
                 late: *late,
-                worked_ms: millis(*worked),
+                worked_ms: millis(*run_time),
                 waited_for: *waited_for,
             },
             M::View(view) => Self::View(view.into()),
@@ -345,11 +345,11 @@
                 reason: reason.into(),
                 retry_after_ms: millis(*retry_after),
             },
-            M::LoadSlotWanted { upstream, model, order, patience } => Self::LoadSlotWanted {
+            M::LoadSlotWanted { upstream, model, order, max_wait } => Self::LoadSlotWanted {
                 upstream: upstream.clone(),
                 model: model.clone(),
                 order: order.0,
-                patience_ms: millis(*patience),
+                patience_ms: millis(*max_wait),
             },
             M::LoadSlotQueued { upstream, model, wait } => Self::LoadSlotQueued {
                 upstream: upstream.clone(),
@@ -373,8 +373,8 @@
             },
             M::SuspectsNoted { requests } => Self::SuspectsNoted { requests: requests.clone() },
             M::Cleared { request } => Self::Cleared { request: *request },
-            M::ReservationWanted { upstream, patience } => {
-                Self::ReservationWanted { upstream: upstream.clone(), patience_ms: millis(*patience) }
+            M::ReservationWanted { upstream, max_wait } => {
+                Self::ReservationWanted { upstream: upstream.clone(), patience_ms: millis(*max_wait) }
             }
             M::ReservationReturned { upstream } => Self::ReservationReturned { upstream: upstream.clone() },
             M::UpstreamLeaving { upstream } => Self::UpstreamLeaving { upstream: upstream.clone() },
@@ -417,14 +417,14 @@
                 target: target.into(),
                 waiting,
                 order: ServiceOrder(order),
-                patience: Duration::from_millis(patience_ms),
-                aim: aim_ms.map(Duration::from_millis),
+                max_wait: Duration::from_millis(patience_ms),
+                soft_deadline: aim_ms.map(Duration::from_millis),
             },
             W::Used { target, arrived, late, worked_ms, waited_for } => Self::Used {
                 target: target.into(),
                 arrived,
                 late,
-                worked: Duration::from_millis(worked_ms),
+                run_time: Duration::from_millis(worked_ms),
                 waited_for,
             },
             W::View(view) => Self::View(view.into()),
@@ -437,7 +437,7 @@
                 upstream,
                 model,
                 order: ServiceOrder(order),
-                patience: Duration::from_millis(patience_ms),
+                max_wait: Duration::from_millis(patience_ms),
             },
             W::LoadSlotQueued { upstream, model, wait_ms } => {
                 Self::LoadSlotQueued { upstream, model, wait: Duration::from_millis(wait_ms) }
@@ -453,7 +453,7 @@
             W::SuspectsNoted { requests } => Self::SuspectsNoted { requests },
             W::Cleared { request } => Self::Cleared { request },
             W::ReservationWanted { upstream, patience_ms } => {
-                Self::ReservationWanted { upstream, patience: Duration::from_millis(patience_ms) }
+                Self::ReservationWanted { upstream, max_wait: Duration::from_millis(patience_ms) }
             }
             W::ReservationReturned { upstream } => Self::ReservationReturned { upstream },
             W::UpstreamLeaving { upstream } => Self::UpstreamLeaving { upstream },
--- a/crates/skylarkshore-wire/tests/formats.rs
+++ b/crates/skylarkshore-wire/tests/formats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use skylarkshore_core::accounts::{Account, AccountLimit, KeyDigest, Measure};
+use skylarkshore_core::accounts::{Account, AccountLimit, KeyDigest, LimitUnit};
 use skylarkshore_core::catalogue::{ConfiguredCatalogue, Document, ModelTarget};
 use skylarkshore_core::id::{
     AccountName, CallId, CatalogueRevision, Digest, Fence, Incarnation, RulesRevision, StoreRevision,
@@ -39,7 +39,7 @@
         OwnerRecord { host: "entry-1".parse().unwrap(), incarnation: Incarnation(7), fence: Fence(4) };
     let homes = HomesRecord {
         engines: vec!["engine-2".parse().unwrap(), "engine-5".parse().unwrap()],
-        left: Vec::new(),
+        evicted_from: Vec::new(),
     };
     let power = PowerRecord { grants: [("engine-1".parse().unwrap(), Watts(700))].into() };
     let answer =
@@ -161,14 +161,14 @@
             target,
             waiting: 3,
             order: ServiceOrder(10),
-            patience: Duration::from_secs(5),
-            aim: Some(Duration::from_millis(900)),
+            max_wait: Duration::from_secs(5),
+            soft_deadline: Some(Duration::from_millis(900)),
         },
         PeerMessage::Used {
             target: ModelTarget { model: "maize".parse().unwrap(), adapter: None },
             arrived: 4,
             late: 1,
-            worked: Duration::from_millis(900),
+            run_time: Duration::from_millis(900),
             waited_for: true,
         },
         PeerMessage::View(view),
@@ -202,7 +202,7 @@
     let account = Account {
         keys: [KeyDigest(Digest([0xab; 32]))].into(),
         priority: Some(1),
-        measure: Measure::Tokens { plain: Credits(200) },
+        unit: LimitUnit::Tokens { default_cost: Credits(200) },
         limit: Some(AccountLimit { rate: CreditRate(34_647_000), burst: Credits(34_647) }),
     };
     let mut configured = ConfiguredCatalogue { revision: CatalogueRevision(4), ..Default::default() };
