--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -200,8 +200,8 @@
         }
         self.resolve_unconfirmed(cx);
         self.expire_backoffs(cx.now);
-        let wishes = engines.home_requests();
-        let mut models = self.urgent_models(&wishes);
+        let requests = engines.home_requests();
+        let mut models = self.urgent_models(&requests);
         if is_full {
             models.extend(self.affected_models(cx, context, ownership));
             self.lacking_since.retain(|model, _| models.contains(model));
@@ -214,8 +214,14 @@
             if is_skipped || self.pending.contains_key(&model) || self.pending.len() >= MAX_PENDING_WRITES {
                 continue;
             }
-            let review =
-                ModelReview { context, ownership, engines, wishes: &wishes, hosts: &hosts, model: &model };
+            let review = ModelReview {
+                context,
+                ownership,
+                engines,
+                requests: &requests,
+                hosts: &hosts,
+                model: &model,
+            };
             let plan = self.plan(cx, &review, &mut placement);
             if plan.changed {
                 self.write(cx, &model, plan);
@@ -271,9 +277,9 @@
     }
 
     /// Returns the models that are reviewed before the next full review.
-    fn urgent_models(&mut self, wishes: &[HomeRequest]) -> OrderedSet<ModelName> {
+    fn urgent_models(&mut self, requests: &[HomeRequest]) -> OrderedSet<ModelName> {
         let mut models = std::mem::take(&mut self.changed_models);
-        models.extend(wishes.iter().map(|wish| wish.model.clone()));
+        models.extend(requests.iter().map(|request| request.model.clone()));
         models
     }
 
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -15,14 +15,14 @@
 
 /// Number of a model's adapters for which one home is sufficient.
 const ADAPTERS_PER_HOME: usize = 4;
-/// How many engines that a model left for lack of memory are remembered.
-const MAX_LEFT_ENGINES: usize = 16;
+/// How many engines that evicted a model for lack of memory are remembered.
+const MAX_EVICTED_FROM: usize = 16;
 
 /// The desired content of a model's record.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     pub(super) engines: Vec<UpstreamId>,
-    /// The engines that the model left for lack of memory.
+    /// The engines that the model was moved away from for lack of memory.
     pub(super) evicted_from: Vec<UpstreamId>,
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
@@ -34,7 +34,7 @@
     pub(super) context: &'a ReviewContext<'a>,
     pub(super) ownership: &'a Ownership,
     pub(super) engines: &'a dyn EngineUse,
-    pub(super) wishes: &'a [HomeRequest],
+    pub(super) requests: &'a [HomeRequest],
     /// The members among which the work is distributed.
     pub(super) hosts: &'a HashedHosts<'a>,
     pub(super) model: &'a ModelName,
@@ -63,7 +63,9 @@
     }
 
     fn has_move_request(&self, engine: &UpstreamId) -> bool {
-        self.wishes.iter().any(|wish| wish.model == *self.model && wish.move_from.as_ref() == Some(engine))
+        self.requests
+            .iter()
+            .any(|request| request.model == *self.model && request.move_from.as_ref() == Some(engine))
     }
 }
 
@@ -139,8 +141,10 @@
         placement: &mut Placement<'_>,
         limits: &Limits,
     ) {
-        let is_requested =
-            review.wishes.iter().any(|wish| wish.model == *review.model && wish.move_from.is_none());
+        let is_requested = review
+            .requests
+            .iter()
+            .any(|request| request.model == *review.model && request.move_from.is_none());
         let owns_home = plan.engines.iter().any(|home| review.ownership.held(home).is_some());
         let too_few = plan.engines.len() < limits.min_homes;
         let needs_home =
@@ -279,7 +283,7 @@
         }
         if is_move_requested {
             plan.evicted_from.push(home.clone());
-            let surplus = plan.evicted_from.len().saturating_sub(MAX_LEFT_ENGINES);
+            let surplus = plan.evicted_from.len().saturating_sub(MAX_EVICTED_FROM);
             plan.evicted_from.drain(..surplus);
         }
         let next = placement.place(review.model, &plan.engines, &plan.evicted_from);
--- a/crates/skylarkshore-core/src/control/introspection.rs
+++ b/crates/skylarkshore-core/src/control/introspection.rs
@@ -8,12 +8,12 @@
 
 /// Returns the entries on members, ownership, homes and power.
 pub(super) fn dump_entries(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
-    let mut beliefs = vec![own_membership(control, cx), store_sync(control, cx)];
-    beliefs.extend(members(control, cx));
-    beliefs.extend(owners(control, cx));
-    beliefs.extend(homes(control, cx));
-    beliefs.extend(power(control, cx));
-    beliefs
+    let mut entries = vec![own_membership(control, cx), store_sync(control, cx)];
+    entries.extend(members(control, cx));
+    entries.extend(owners(control, cx));
+    entries.extend(homes(control, cx));
+    entries.extend(power(control, cx));
+    entries
 }
 
 /// Returns the gauges for the metrics.
@@ -112,21 +112,21 @@
 }
 
 fn power(control: &Control, cx: &Cx<'_>) -> Vec<DumpEntry> {
-    let mut beliefs = Vec::new();
+    let mut entries = Vec::new();
     for (site, since) in control.power.sites() {
         let entry = cx.cache.get(&Key::Power(site.clone()));
         let revision = entry.map_or(StoreRevision(0), |entry| entry.revision);
         let granted: crate::units::Watts =
             cx.cache.power(site).map(|(_, record)| record.grants.values().copied().sum()).unwrap_or_default();
         let state = format!("{granted} granted at revision {revision}");
-        beliefs.push(DumpEntry { kind: "power", subject: site.to_string(), state, since: Some(since) });
+        entries.push(DumpEntry { kind: "power", subject: site.to_string(), state, since: Some(since) });
     }
     let revoked = control.power.revoked();
-    beliefs.extend(revoked.map(|engine| DumpEntry {
+    entries.extend(revoked.map(|engine| DumpEntry {
         kind: "power",
         subject: engine.to_string(),
         state: "grant taken back, record not yet changed".to_owned(),
         since: None,
     }));
-    beliefs
+    entries
 }
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -46,15 +46,15 @@
 
     /// Chooses an engine that is not a home of the model yet, and adds the model's footprint to it.
     ///
-    /// An owner knows only the memory of its own engines. Without `left`, two owners of
-    /// full engines would move a model back and forth while other engines are empty,
-    /// and its callers would be refused all that time. Engines that the model left for
-    /// lack of memory therefore come last, the least recent one first.
+    /// An owner knows only the memory of its own engines. Without `evicted_from`, two
+    /// owners of full engines would move a model back and forth while other engines are
+    /// empty, and its callers would be refused all that time. Engines that evicted the
+    /// model for lack of memory therefore come last, the least recent one first.
     pub(super) fn place(
         &mut self,
         model: &ModelName,
         homes: &[UpstreamId],
-        left: &[UpstreamId],
+        evicted_from: &[UpstreamId],
     ) -> Option<UpstreamId> {
         let known = self.document.catalogue.models.get(model)?;
         let footprint = known.footprint();
@@ -72,7 +72,7 @@
             Some(Candidate {
                 index,
                 residency,
-                left: left.iter().rposition(|known| known == live.id),
+                evicted_from: evicted_from.iter().rposition(|known| known == live.id),
                 shares_data_centre: other_homes.iter().any(|home| home.data_centre == engine.data_centre),
                 weight: Reverse(pair_weight(key, live.hash)),
             })
@@ -95,7 +95,8 @@
             }
         }
         let load = |c: &Candidate| table.engines[c.index].load_with(footprint);
-        let chosen = best.into_iter().min_by_key(|c| (c.residency, c.left, c.shares_data_centre, load(c)))?;
+        let chosen =
+            best.into_iter().min_by_key(|c| (c.residency, c.evicted_from, c.shares_data_centre, load(c)))?;
         let live = &mut table.engines[chosen.index];
         live.load += footprint;
         Some(live.id.clone())
@@ -203,8 +204,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     residency: Residency,
-    /// Its position in `left`.
-    left: Option<usize>,
+    /// Its position in `evicted_from`.
+    evicted_from: Option<usize>,
     shares_data_centre: bool,
     weight: Reverse<u64>,
     index: usize,
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -190,7 +190,7 @@
 struct Underpowered<'a> {
     id: &'a UpstreamId,
     engine: &'a KnownEngine,
-    lacks: Option<(Watts, ServiceOrder)>,
+    shortfall: Option<(Watts, ServiceOrder)>,
 }
 
 impl SiteReview<'_> {
@@ -216,10 +216,10 @@
             .filter(|id| self.ownership.held(id).is_some())
             .filter_map(|id| self.engine(id).map(|engine| (id, engine)))
             .filter(|(id, engine)| engine.is_live() && budget.grant(id) < engine.active_watts)
-            .map(|(id, engine)| Underpowered { id, engine, lacks: self.engines.power_shortfall(id) })
+            .map(|(id, engine)| Underpowered { id, engine, shortfall: self.engines.power_shortfall(id) })
             .collect();
         underpowered.sort_by_key(|underpowered| {
-            (Reverse(underpowered.lacks.is_some()), underpowered.lacks.map(|(_, order)| order))
+            (Reverse(underpowered.shortfall.is_some()), underpowered.shortfall.map(|(_, order)| order))
         });
         underpowered
     }
@@ -303,13 +303,13 @@
         let before = budget.clone();
         for underpowered in review.underpowered(&before) {
             if self.revoked.contains(underpowered.id)
-                || (underpowered.lacks.is_none() && !is_surplus_available)
+                || (underpowered.shortfall.is_none() && !is_surplus_available)
             {
                 continue;
             }
             if budget.raise(underpowered.id, underpowered.engine.active_watts) {
                 changed = true;
-            } else if let Some((_, order)) = underpowered.lacks {
+            } else if let Some((_, order)) = underpowered.shortfall {
                 let missing = underpowered.engine.active_watts.saturating_sub(budget.grant(underpowered.id));
                 self.request_power(cx, review, missing, order);
             }
--- a/crates/skylarkshore-core/tests/control/homes.rs
+++ b/crates/skylarkshore-core/tests/control/homes.rs
@@ -26,8 +26,8 @@
     cluster.process(&host)
 }
 
-fn home_request(model: &str, leave: Option<&UpstreamId>) -> HomeRequest {
-    HomeRequest { model: name(model), move_from: leave.cloned() }
+fn request_for(model: &str, move_from: Option<&UpstreamId>) -> HomeRequest {
+    HomeRequest { model: name(model), move_from: move_from.cloned() }
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut cluster = cluster_with_owners(22, &["a", "b", "c"], 6, FenceCheck::Refuses);
     cluster.run_until("a first home", secs(10), |cluster| homes(cluster, "model-0").len() == 1);
     for process in cluster.processes.values_mut() {
-        process.engines.home_requests = vec![home_request("model-0", None)];
+        process.engines.home_requests = vec![request_for("model-0", None)];
     }
     cluster
         .run_until("a second home", secs(5), |cluster| allowed_engines(cluster, &name("model-0")).len() == 2);
@@ -78,7 +78,7 @@
             cluster.faults.delayed_writes = 100;
             cluster.faults.write_delay = Some(secs(20));
         }
-        owner(&mut cluster, &old_home).engines.home_requests = vec![home_request("model-0", Some(&old_home))];
+        owner(&mut cluster, &old_home).engines.home_requests = vec![request_for("model-0", Some(&old_home))];
         cluster.run_until("the move begins", secs(5), |cluster| {
             !owner(cluster, &old_home).control.is_home(&old_home, &name("model-0"))
         });
@@ -105,7 +105,7 @@
 fn a_surplus_home_is_removed_after_its_replica_is_unloaded() {
     let mut cluster = cluster_with_owners(24, &["a", "b"], 6, FenceCheck::Refuses);
     for process in cluster.processes.values_mut() {
-        process.engines.home_requests = vec![home_request("model-1", None)];
+        process.engines.home_requests = vec![request_for("model-1", None)];
     }
     cluster.run_until("a second home", secs(10), |cluster| {
         allowed_engines(cluster, &name("model-1")).len() == 2
--- a/crates/skylarkshore-core/tests/control/storm.rs
+++ b/crates/skylarkshore-core/tests/control/storm.rs
@@ -114,8 +114,8 @@
                     process.engines.short_of_power.insert(engine.clone());
                 }
             }
-            let leave = engines.choose(&mut self.rng).filter(|_| self.rng.random_bool(0.5)).cloned();
-            process.engines.home_requests = vec![HomeRequest { model: model.clone(), move_from: leave }];
+            let move_from = engines.choose(&mut self.rng).filter(|_| self.rng.random_bool(0.5)).cloned();
+            process.engines.home_requests = vec![HomeRequest { model: model.clone(), move_from }];
         }
         for process in self.cluster.processes.values_mut() {
             process.engines.loaded.clone_from(&self.loaded);
