--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -4,7 +4,7 @@
 //! the relay, the root of a data centre's tree reads the changes and each process
 //! forwards them to its children. A process that receives nothing for a while reads the
 //! store itself and forwards the result, so that a failed parent delays its children
-//! only for that time.
+//! only for that time. Open [`Relay`] first.
 
 use std::time::Duration;
 
--- a/crates/skylarkshore-core/src/control/relay_tree.rs
+++ b/crates/skylarkshore-core/src/control/relay_tree.rs
@@ -3,7 +3,7 @@
 //! Members are ordered by capacity, the largest first, and each has as many children as
 //! its capacity allows. The load of one process does not grow with the cluster, and
 //! news takes as many hops as the tree is deep. All processes that know the same
-//! members compute the same tree.
+//! members compute the same tree. Open [`RelayTree`] first.
 
 use super::hashing::ranking_by_capacity;
 use crate::cx::Cx;
