--- a/crates/skylarkshore-core/tests/control/power.rs
+++ b/crates/skylarkshore-core/tests/control/power.rs
@@ -26,7 +26,7 @@
 }
 
 fn assert_within_cap(cluster: &mut Cluster, cap: Watts) {
-    assert!(granted(cluster) <= cap, "{} believed at {}", granted(cluster), cluster.now);
+    assert!(granted(cluster) <= cap, "{} granted at {}", granted(cluster), cluster.now);
     assert!(recorded(cluster) <= cap, "{} recorded at {}", recorded(cluster), cluster.now);
 }
 
