--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -1,37 +1,40 @@
-//! Which process is alive, which owns which engine, where models may be loaded, who gets the power.
+//! Control plane of one process: membership, engine ownership, model homes and power grants.
+//!
+//! Open [`Control`] first. It receives events from the node and runs a periodic review
+//! that lets each part decide on the same snapshot of state.
 
+mod assignment;
 mod backoff;
-mod budget;
-mod catch_up;
-mod feed;
+mod bootstrap;
+mod context;
 pub(crate) mod hashing;
-mod holdings;
 mod homes;
-mod knowledge;
+mod introspection;
+mod inventory;
 mod membership;
+mod owned_engine;
 mod ownership;
 mod peers;
 mod placement;
 mod power;
+mod power_budget;
 pub(crate) mod relay;
-mod report;
-mod roster;
-mod shares;
-mod tree;
+mod relay_tree;
+mod store_sync;
 mod vacancy;
 
 use std::time::Duration;
 
-use catch_up::CatchUp;
-use feed::Feed;
+use bootstrap::Bootstrap;
+use context::ReviewContext;
 use homes::Homes;
-use knowledge::Knowledge;
+use inventory::EngineInventory;
 use membership::Membership;
 use ownership::Ownership;
-use peers::{OwnState, Peers};
+use peers::{LocalStatus, Peers};
 use power::Power;
 use relay::Relay;
-use roster::Roster;
+use store_sync::StoreSync;
 
 use crate::authority::{Authority, EngineUse, OwnershipChange, Permit};
 use crate::collections::OrderedSet;
@@ -45,12 +48,12 @@
 use crate::time::Time;
 use crate::units::Watts;
 
-/// How often everything is looked at again.
-const REVIEW_EVERY: Duration = Duration::from_secs(1);
-/// How soon it is looked at again after a change.
-const REVIEW_SOON: Duration = Duration::from_millis(100);
-/// How often it is looked at again while an engine lacks power or a model a home.
-const REVIEW_PRESSING: Duration = Duration::from_millis(250);
+/// Interval between two reviews when nothing has changed.
+const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay of the next review after a change.
+const REVIEW_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(100);
+/// Interval between two reviews while an engine lacks power or a model needs another home.
+const REVIEW_INTERVAL_URGENT: Duration = Duration::from_millis(250);
 
 /// Membership, ownership, homes and power of one process.
 #[derive(Debug)]
@@ -58,35 +61,35 @@
     cfg: NodeConfig,
     membership: Membership,
     peers: Peers,
-    feed: Feed,
-    catch_up: CatchUp,
+    store_sync: StoreSync,
+    bootstrap: Bootstrap,
     relay: Relay,
-    roster: Roster,
+    inventory: EngineInventory,
     ownership: Ownership,
     homes: Homes,
     power: Power,
-    /// The live members that may own something and keep it.
+    /// The live members that may become owners.
     eligible: Vec<HostId>,
     members_changed: bool,
-    /// When the live members last changed.
+    /// When `eligible` last changed.
     eligible_since: Time,
     last_review: Time,
-    next_roster_review: Time,
-    /// Whether something has changed since the last review.
+    next_inventory_review: Time,
+    /// Whether anything has changed since the last review.
     changed: bool,
 }
 
 impl Control {
-    /// Makes the state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(cfg: &NodeConfig) -> Self {
         Self {
             cfg: cfg.clone(),
             membership: Membership::new(),
             peers: Peers::default(),
-            feed: Feed::default(),
-            catch_up: CatchUp::default(),
+            store_sync: StoreSync::default(),
+            bootstrap: Bootstrap::default(),
             relay: Relay::default(),
-            roster: Roster::default(),
+            inventory: EngineInventory::default(),
             ownership: Ownership::default(),
             homes: Homes::default(),
             power: Power::default(),
@@ -94,152 +97,154 @@
             members_changed: true,
             eligible_since: Time::START,
             last_review: Time::START,
-            next_roster_review: Time::START,
+            next_inventory_review: Time::START,
             changed: false,
         }
     }
 
-    /// Takes new settings over.
+    /// Replaces the configuration.
     pub fn configure(&mut self, cfg: &NodeConfig) {
         self.cfg = cfg.clone();
     }
 
-    /// Begins the lease and the first read of the shared keys.
+    /// Requests a lease and starts the first read of the shared keys.
     pub fn start(&mut self, cx: &mut Cx<'_>) {
-        self.catch_up.start(cx, &mut self.feed);
+        self.bootstrap.start(cx, &mut self.store_sync);
         self.membership.on_tick(cx);
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, engines: &dyn EngineUse) {
         self.membership.on_tick(cx);
-        self.peers.on_tick(cx, self.own_state());
-        self.feed.on_tick(cx);
-        self.catch_up.on_tick(cx, &mut self.feed);
+        self.peers.on_tick(cx, self.local_status());
+        self.store_sync.on_tick(cx);
+        self.bootstrap.on_tick(cx, &mut self.store_sync);
         self.relay.on_tick(cx);
-        if self.last_review.after(self.review_every(engines)).is_due(cx.now) {
+        if self.last_review.after(self.review_interval(engines)).is_due(cx.now) {
             self.review(cx, engines);
         }
     }
 
-    fn own_state(&self) -> OwnState {
-        OwnState {
-            frontier: self.feed.frontier(),
-            is_store_reachable: self.membership.is_store_reachable() && self.feed.is_store_reachable(),
-            is_watching: self.feed.watching_since().is_some(),
+    fn local_status(&self) -> LocalStatus {
+        LocalStatus {
+            frontier: self.store_sync.frontier(),
+            is_store_reachable: self.membership.is_store_reachable() && self.store_sync.is_store_reachable(),
+            is_watching: self.store_sync.watching_since().is_some(),
             is_leaving: self.membership.is_leaving(),
         }
     }
 
-    fn review_every(&self, engines: &dyn EngineUse) -> Duration {
+    fn review_interval(&self, engines: &dyn EngineUse) -> Duration {
         if self.changed {
-            return REVIEW_SOON;
+            return REVIEW_INTERVAL_AFTER_CHANGE;
         }
-        let lacking =
-            self.ownership.holdings().keys().any(|engine| engines.power_shortfall(engine).is_some());
-        let pressing = lacking || !engines.home_requests().is_empty();
-        if pressing { REVIEW_PRESSING } else { REVIEW_EVERY }
+        let is_underpowered =
+            self.ownership.owned_engines().keys().any(|engine| engines.power_shortfall(engine).is_some());
+        let urgent = is_underpowered || !engines.home_requests().is_empty();
+        if urgent { REVIEW_INTERVAL_URGENT } else { REVIEW_INTERVAL }
     }
 
-    /// Takes news that this process has read itself.
+    /// Handles changes that this process has read from the store itself.
     pub fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.feed.note_watch(true);
-        self.relay.on_read(cx, news);
+        self.store_sync.set_watch_answered(true);
+        self.relay.on_news_read(cx, news);
     }
 
-    /// Begins to leave.
+    /// Starts an orderly shutdown.
     pub fn on_shutdown(&mut self, _cx: &mut Cx<'_>) {
         self.membership.leave();
         self.on_members_changed();
     }
 
-    /// Ends the lease, now that nothing is in progress any more.
+    /// Revokes the lease, if every engine is handed over or the lease is no longer valid.
     pub fn on_drained(&mut self, cx: &mut Cx<'_>) {
-        if self.ownership.has_given_up(&self.eligible) || !self.membership.is_certain(cx.cfg, cx.now) {
-            self.feed.stop(cx);
-            self.membership.revoke(cx);
+        if self.ownership.has_released_all(&self.eligible) || !self.membership.is_lease_valid(cx.cfg, cx.now)
+        {
+            self.store_sync.stop(cx);
+            self.membership.revoke_lease(cx);
         }
     }
 
-    /// Tells whether nothing is left to be given up.
+    /// Reports whether this process is deregistered and may exit.
     pub fn has_deregistered(&self) -> bool {
-        self.membership.is_gone()
+        self.membership.is_deregistered()
     }
 
-    /// Takes note that upstreams of the host list have changed.
-    pub fn on_host_list(&mut self, cx: &mut Cx<'_>, touched: &[UpstreamId]) {
-        self.roster.on_host_list(cx, touched);
+    /// Handles upstreams that were added to, changed on or removed from the host list.
+    pub fn on_host_list(&mut self, cx: &mut Cx<'_>, changed_upstreams: &[UpstreamId]) {
+        self.inventory.on_host_list(cx, changed_upstreams);
         self.changed = true;
     }
 
-    /// Takes the result of a call that isn't a write.
+    /// Handles the result of a store call other than a write.
     pub fn on_store_result(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         self.membership.on_store(cx, call, result);
-        self.feed.on_store(cx, call, result);
-        self.catch_up.on_store(cx, &mut self.feed, call, result);
-        self.catch_up.on_synced(cx, &self.feed);
+        self.store_sync.on_store(cx, call, result);
+        self.bootstrap.on_store(cx, &mut self.store_sync, call, result);
+        self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
-    /// Takes the outcome of a write of a member, owner, homes or power key.
+    /// Handles the outcome of a write of a member, owner, homes or power key.
     pub fn on_write_outcome(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         self.changed = true;
         match key {
             Key::Member(_) => self.membership.on_write(cx, outcome),
-            Key::Owner(engine) => self.ownership.on_write(cx, &self.roster, engine, outcome),
-            Key::Homes(model) => self.homes.on_write(cx, &self.roster, model, outcome),
+            Key::Owner(engine) => self.ownership.on_write(cx, &self.inventory, engine, outcome),
+            Key::Homes(model) => self.homes.on_write(cx, &self.inventory, model, outcome),
             Key::Power(site) => self.power.on_write(cx, site, outcome),
             Key::Document | Key::Catalogue | Key::Once(_) => {}
         }
     }
 
-    /// Takes note that a shared key has changed in the cache.
+    /// Handles a change of a shared key in the cache.
     pub fn on_key_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         self.changed = true;
         match key {
             Key::Member(host) => self.on_member(cx, host),
-            Key::Owner(engine) => self.ownership.refresh(cx, &self.roster, engine),
-            Key::Homes(model) => self.homes.on_change(cx, &self.roster, model),
+            Key::Owner(engine) => self.ownership.reconcile(cx, &self.inventory, engine),
+            Key::Homes(model) => self.homes.on_change(cx, &self.inventory, model),
             Key::Power(site) => self.power.on_change(cx, site),
-            Key::Document | Key::Catalogue => self.homes.update_all(cx, &self.roster),
+            Key::Document | Key::Catalogue => self.homes.update_all(cx, &self.inventory),
             Key::Once(_) => {}
         }
     }
 
-    /// Takes note that a peer has told every shared key.
+    /// Records that a peer has sent all shared keys up to `upto`.
     pub fn on_snapshot(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
-        self.feed.on_state(cx, upto);
-        self.catch_up.on_synced(cx, &self.feed);
+        self.store_sync.on_peer_state(cx, upto);
+        self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
-    /// Decides where to learn what news from peers have left out.
+    /// Chooses a source for changes that news from peers have left out.
     ///
-    /// Where members are few the service is read, which takes a moment; were all
-    /// of many to do so, its link would be busy for longer than a parent takes.
-    pub fn on_news_gap(&self, cx: &mut Cx<'_>, lasts: bool) {
-        if !relay::are_members_many(cx) {
+    /// In a small cluster the process reads the store. In a large one it asks its
+    /// parent in the relay tree, since reads by every process at once would keep the
+    /// store's link busy for longer than a parent takes to answer.
+    pub fn on_news_gap(&self, cx: &mut Cx<'_>, persists: bool) {
+        if !relay::has_many_members(cx) {
             cx.push(Effect::ReadMissedNews);
-        } else if lasts && self.feed.is_synced() {
-            self.relay.ask_parent(cx);
+        } else if persists && self.store_sync.is_synced() {
+            self.relay.request_state_from_parent(cx);
         }
     }
 
-    /// Takes note that the service didn't answer a watch.
+    /// Records that the store did not answer a watch.
     pub fn on_watch_timed_out(&mut self) {
-        self.feed.note_watch(false);
+        self.store_sync.set_watch_answered(false);
     }
 
-    /// Takes note that the watch may have missed changes.
+    /// Records that the watch may have missed changes.
     pub fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
-        self.feed.note_watch(false);
-        self.feed.on_watch_broken(cx);
+        self.store_sync.set_watch_answered(false);
+        self.store_sync.on_watch_broken(cx);
     }
 
-    /// Takes note of changes that the watch saw, and of the revision up to which it missed none.
+    /// Handles changes reported by the watch, which is complete up to `upto`.
     pub fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
-        self.feed.on_watched(cx, changes, upto);
+        self.store_sync.on_watched(cx, changes, upto);
     }
 
-    /// Takes note of what a batch from a peer covers, after its records went into the cache.
+    /// Records the range that a peer's batch covers, after its records were applied to the cache.
     pub fn on_records(
         &mut self,
         cx: &mut Cx<'_>,
@@ -247,55 +252,55 @@
         after: Option<StoreRevision>,
         upto: StoreRevision,
     ) {
-        self.feed.on_records(cx, from, after, upto);
+        self.store_sync.on_records(cx, from, after, upto);
     }
 
-    /// Takes note of whether an engine of this process answered.
+    /// Records whether an engine of this process answered a report request.
     pub fn on_report(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId, reached: bool) {
-        self.roster.on_report(cx, engine, reached);
+        self.inventory.on_report(cx, engine, reached);
     }
 
-    /// Takes a peer's message, where it concerns this part.
+    /// Handles a peer message.
     pub fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         self.peers.on_peer(cx, from, message);
-        self.feed.on_peer(cx, from, message);
-        self.catch_up.on_peer(cx, &self.feed, from, message);
+        self.store_sync.on_peer(cx, from, message);
+        self.bootstrap.on_peer(cx, &self.store_sync, from, message);
         match message {
             PeerMessage::News(news) => self.relay.on_news(cx, from, news),
-            PeerMessage::StateWanted => self.relay.note_asked(cx.now, from),
-            PeerMessage::Spread { .. } => self.relay.on_spread(cx, from, message),
+            PeerMessage::StateWanted => self.relay.add_temporary_child(cx.now, from),
+            PeerMessage::Spread { .. } => self.relay.relay_spread(cx, from, message),
             _ => {}
         }
         if let PeerMessage::PowerWanted { site, watts, .. } = message {
-            self.power.on_wanted(cx, site, *watts);
+            self.power.on_power_request(cx, site, *watts);
             self.changed = true;
         }
     }
 
-    /// Takes note that a process has connected whose certificate no known member has published.
+    /// Handles a connection from a process whose certificate no known member has published.
     pub fn on_unknown_peer(&mut self, cx: &mut Cx<'_>) {
-        self.catch_up.on_unknown_peer(cx);
+        self.bootstrap.on_unknown_peer(cx);
     }
 
-    /// Takes note that a process has ended for certain.
+    /// Records that this incarnation of a process has definitely ended.
     pub fn on_peer_connection_refused(&mut self, cx: &mut Cx<'_>, host: &HostId, incarnation: Incarnation) {
-        self.peers.on_refused(cx, host, incarnation);
+        self.peers.on_connection_refused(cx, host, incarnation);
         self.on_members_changed();
     }
 
-    /// Returns the changes of ownership since the last call.
+    /// Returns the ownership changes since the last call.
     pub fn take_changes(&mut self) -> Vec<OwnershipChange> {
         self.ownership.take_changes()
     }
 
-    /// Tells what is believed.
+    /// Returns the entries for a state dump.
     pub fn dump(&self, cx: &Cx<'_>) -> Vec<DumpEntry> {
-        report::dump_entries(self, cx)
+        introspection::dump_entries(self, cx)
     }
 
-    /// Returns the numbers for the metrics.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self, cx: &Cx<'_>) -> Vec<Gauge> {
-        report::gauges(self, cx)
+        introspection::gauges(self, cx)
     }
 
     fn on_member(&mut self, cx: &mut Cx<'_>, host: &HostId) {
@@ -305,12 +310,11 @@
         }
         if self.membership.is_superseded() {
             self.ownership.retire();
-            self.feed.stop(cx);
+            self.store_sync.stop(cx);
         }
         self.on_members_changed();
     }
 
-    /// Takes note of a change of who lives.
     const fn on_members_changed(&mut self) {
         self.members_changed = true;
         self.changed = true;
@@ -320,25 +324,25 @@
         let has_changed = std::mem::take(&mut self.changed);
         self.last_review = cx.now;
         self.review_members(cx);
-        if !self.membership.is_gone() {
-            self.feed.review(cx, &self.peers, &self.eligible);
+        if !self.membership.is_deregistered() {
+            self.store_sync.review(cx, &self.peers, &self.eligible);
         }
-        if self.next_roster_review.is_due(cx.now) {
-            self.next_roster_review = cx.now.after(REVIEW_EVERY);
-            self.roster.review(cx, &named_engines(cx));
+        if self.next_inventory_review.is_due(cx.now) {
+            self.next_inventory_review = cx.now.after(REVIEW_INTERVAL);
+            self.inventory.review(cx, &recorded_engines(cx));
         }
-        let knowledge = Knowledge {
+        let context = ReviewContext {
             membership: &self.membership,
             peers: &self.peers,
-            feed: &self.feed,
-            roster: &self.roster,
+            store_sync: &self.store_sync,
+            inventory: &self.inventory,
             eligible: &self.eligible,
             eligible_since: self.eligible_since,
             has_changed,
         };
-        self.ownership.review(cx, &knowledge, engines);
-        self.homes.review(cx, &knowledge, &self.ownership, engines);
-        self.power.review(cx, &knowledge, &self.ownership, engines);
+        self.ownership.review(cx, &context, engines);
+        self.homes.review(cx, &context, &self.ownership, engines);
+        self.power.review(cx, &context, &self.ownership, engines);
         for (host, incarnation) in self.ownership.take_probes() {
             self.peers.probe(cx, &host, incarnation);
         }
@@ -355,41 +359,42 @@
         }
     }
 
-    /// Tells whether the shared keys are known as of when the engine was acquired.
-    fn knows_engine(&self, acquired: StoreRevision) -> bool {
-        self.feed.is_synced() && self.feed.frontier() >= acquired
+    /// Reports whether the shared keys are known up to the revision at which the engine was acquired.
+    fn is_synced_past(&self, acquired_revision: StoreRevision) -> bool {
+        self.store_sync.is_synced() && self.store_sync.frontier() >= acquired_revision
     }
 }
 
 impl Authority for Control {
     fn permit(&self, now: Time, engine: &UpstreamId) -> Option<Permit> {
-        self.ownership.permit(&self.cfg, &self.membership, &self.roster, now, engine)
+        self.ownership.permit(&self.cfg, &self.membership, &self.inventory, now, engine)
     }
 
     fn is_home(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        let Some(holding) = self.ownership.held(engine) else { return false };
-        let goes = self.roster.get(engine).is_some_and(|known| known.is_listed() && !known.is_live());
-        !goes && self.homes.is_home(engine, model, holding.acquired)
+        let Some(owned) = self.ownership.held(engine) else { return false };
+        let is_departing =
+            self.inventory.get(engine).is_some_and(|known| known.is_listed() && !known.is_live());
+        !is_departing && self.homes.is_home(engine, model, owned.acquired_revision)
     }
 
     fn must_unload(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        let Some(holding) = self.ownership.held(engine) else { return false };
-        let Some(known) = self.roster.get(engine) else { return false };
-        let goes = known.is_listed() && !known.is_live();
-        let excluded = self.knows_engine(holding.acquired) && self.homes.is_excluded(engine, model);
-        goes || excluded || self.power.has_to_stop(engine, known)
+        let Some(owned) = self.ownership.held(engine) else { return false };
+        let Some(known) = self.inventory.get(engine) else { return false };
+        let is_departing = known.is_listed() && !known.is_live();
+        let excluded = self.is_synced_past(owned.acquired_revision) && self.homes.is_excluded(engine, model);
+        is_departing || excluded || self.power.has_to_stop(engine, known)
     }
 
     fn granted_power(&self, engine: &UpstreamId) -> Watts {
-        let holding = self.ownership.holdings().get(engine);
-        let known = self.roster.get(engine);
-        let Some((holding, known)) = holding.zip(known) else { return Watts(0) };
-        self.power.granted(engine, known, holding.acquired)
+        let owned = self.ownership.owned_engines().get(engine);
+        let known = self.inventory.get(engine);
+        let Some((owned, known)) = owned.zip(known) else { return Watts(0) };
+        self.power.granted(engine, known, owned.acquired_revision)
     }
 }
 
-/// Returns every engine that a record names.
-fn named_engines(cx: &Cx<'_>) -> OrderedSet<UpstreamId> {
+/// Returns every engine named by an owner or homes record.
+fn recorded_engines(cx: &Cx<'_>) -> OrderedSet<UpstreamId> {
     let owned = cx.cache.owners().map(|(engine, _)| engine);
     let homes = cx.cache.all_homes().flat_map(|(_, homes)| &homes.engines);
     owned.chain(homes).cloned().collect()
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -1,67 +1,71 @@
-//! What should stand in a model's homes record.
+//! Planning of one model's homes record.
+//!
+//! Open [`Plan`] first.
 
 use super::{Homes, is_own_turn};
 use crate::authority::{EngineUse, HomeRequest};
+use crate::control::context::ReviewContext;
 use crate::control::hashing::HashedHosts;
-use crate::control::knowledge::Knowledge;
+use crate::control::inventory::EngineInventory;
 use crate::control::ownership::Ownership;
 use crate::control::placement::Placement;
-use crate::control::roster::Roster;
 use crate::cx::Cx;
 use crate::id::{ModelName, StoreRevision, UpstreamId};
 use crate::rules::RuleInput;
 
-/// For how many of a model's adapters one home is enough.
+/// Number of a model's adapters for which one home is sufficient.
 const ADAPTERS_PER_HOME: usize = 4;
-/// How many of the engines that a model left for want of memory are remembered.
-const LEFT_KEPT: usize = 16;
+/// How many engines that evicted a model for lack of memory are remembered.
+const MAX_EVICTED_FROM: usize = 16;
 
-/// What is to stand in a model's record.
+/// The desired content of a model's record.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     pub(super) engines: Vec<UpstreamId>,
-    /// The engines that the model left for want of memory.
+    /// The engines that the model was moved away from for lack of memory.
     pub(super) evicted_from: Vec<UpstreamId>,
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
 }
 
-/// What the plan for one model looks at.
+/// Input of the plan for one model.
 #[derive(Clone, Copy)]
-pub(super) struct Review<'a> {
-    pub(super) knowledge: &'a Knowledge<'a>,
+pub(super) struct ModelReview<'a> {
+    pub(super) context: &'a ReviewContext<'a>,
     pub(super) ownership: &'a Ownership,
     pub(super) engines: &'a dyn EngineUse,
-    pub(super) wishes: &'a [HomeRequest],
-    /// The members that share the work out among themselves.
+    pub(super) requests: &'a [HomeRequest],
+    /// The members among which the work is distributed.
     pub(super) hosts: &'a HashedHosts<'a>,
     pub(super) model: &'a ModelName,
 }
 
-impl Review<'_> {
-    /// Tells whether this process may take the home from the engine.
+impl ModelReview<'_> {
+    /// Reports whether this process may remove the home from the engine.
     fn may_close(&self, engine: &UpstreamId) -> bool {
         self.ownership.held(engine).is_some() && self.engines.is_unused_by(engine, self.model)
     }
 
-    /// Tells whether the engine is gone for good, and it is up to this process to say so.
+    /// Reports whether the engine is gone and it is this process's turn to remove it.
     fn is_gone(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
-        if let Some(holding) = self.ownership.held(engine) {
-            return self.knowledge.roster.is_gone(cx, engine, Some(holding.since));
+        if let Some(owned) = self.ownership.held(engine) {
+            return self.context.inventory.is_gone(cx, engine, Some(owned.since));
         }
         let unowned = cx.cache.owner(engine).is_none();
         unowned
-            && self.knowledge.roster.is_gone(cx, engine, None)
+            && self.context.inventory.is_gone(cx, engine, None)
             && is_own_turn(cx, self.hosts, self.model, cx.now)
     }
 
-    /// Tells whether the record is older than this process's ownership of the engine.
+    /// Reports whether the record is older than this process's ownership of the engine.
     fn is_unconfirmed(&self, engine: &UpstreamId, record: StoreRevision) -> bool {
-        self.ownership.held(engine).is_some_and(|holding| holding.acquired > record)
+        self.ownership.held(engine).is_some_and(|owned| owned.acquired_revision > record)
     }
 
-    fn wants_to_leave(&self, engine: &UpstreamId) -> bool {
-        self.wishes.iter().any(|wish| wish.model == *self.model && wish.move_from.as_ref() == Some(engine))
+    fn has_move_request(&self, engine: &UpstreamId) -> bool {
+        self.requests
+            .iter()
+            .any(|request| request.model == *self.model && request.move_from.as_ref() == Some(engine))
     }
 }
 
@@ -69,15 +73,15 @@
     pub(super) fn plan(
         &mut self,
         cx: &mut Cx<'_>,
-        review: &Review<'_>,
+        review: &ModelReview<'_>,
         placement: &mut Placement<'_>,
     ) -> Plan {
         let Some((revision, homes)) = cx.cache.homes(review.model) else {
-            return self.first_home(cx, review, placement);
+            return self.first_homes(cx, review, placement);
         };
-        if revision > review.knowledge.feed.frontier() {
-            // A process that lost an engine without knowing it yet must not write on
-            // the new owner's record. It knows of every loss up to its frontier.
+        if revision > review.context.store_sync.frontier() {
+            // A process that lost an engine without noticing must not overwrite the new
+            // owner's record. It knows of every loss up to its frontier.
             return Plan::default();
         }
         let mut plan = Plan {
@@ -85,30 +89,35 @@
             evicted_from: homes.evicted_from.clone(),
             ..Plan::default()
         };
-        let Some(limits) = limits(cx, review.knowledge.roster, review.model, &plan.engines) else {
+        let Some(limits) = limits(cx, review.context.inventory, review.model, &plan.engines) else {
             drop_removed_model(cx, review, &mut plan);
             return plan;
         };
-        drop_surplus(review, &mut plan, limits.homes_most);
-        replace_left(cx, review, &mut plan, placement, limits.homes_most);
-        join_holders(cx, review, &mut plan, &limits);
-        self.add_lacking(cx, review, &mut plan, placement, &limits);
+        drop_surplus(review, &mut plan, limits.max_homes);
+        replace_departing(cx, review, &mut plan, placement, limits.max_homes);
+        adopt_holders(cx, review, &mut plan, &limits);
+        self.add_missing_home(cx, review, &mut plan, placement, &limits);
         plan.changed |= plan.engines.iter().any(|home| review.is_unconfirmed(home, revision));
         plan
     }
 
-    fn first_home(&mut self, cx: &mut Cx<'_>, review: &Review<'_>, placement: &mut Placement<'_>) -> Plan {
-        // Every process works out every first home in the same order and from the
-        // same knowledge, and writes only its own part. Were each to look at its own
-        // part alone, all would choose the same empty engines.
-        let limits = limits(cx, review.knowledge.roster, review.model, &[]);
-        let (least, most) = limits.map_or((1, 1), |limits| (limits.homes_least, limits.homes_most));
-        // Replicas that are there already are all kept; were only the least number
-        // of homes written, the others would be unloaded while callers need them.
-        let most = most.min(first_homes_most(cx, review)).max(least);
-        let wanted = placement.holders(review.model).clamp(least, most);
+    fn first_homes(
+        &mut self,
+        cx: &mut Cx<'_>,
+        review: &ModelReview<'_>,
+        placement: &mut Placement<'_>,
+    ) -> Plan {
+        // Every process computes all first homes in the same order and from the same
+        // state, and writes only its own part. If each computed only its own part, all
+        // would choose the same empty engines.
+        let limits = limits(cx, review.context.inventory, review.model, &[]);
+        let (min_homes, max_homes) = limits.map_or((1, 1), |limits| (limits.min_homes, limits.max_homes));
+        // All existing replicas are kept. If only the minimum number of homes were
+        // written, the others would be unloaded while callers need them.
+        let max_homes = max_homes.min(max_first_homes(cx, review)).max(min_homes);
+        let target_count = placement.holders(review.model).clamp(min_homes, max_homes);
         let mut homes: Vec<UpstreamId> = Vec::new();
-        while homes.len() < wanted
+        while homes.len() < target_count
             && let Some(home) = placement.place(review.model, &homes, &[])
         {
             homes.push(home);
@@ -117,29 +126,33 @@
             return Plan::default();
         }
         if homes.is_empty() {
-            self.note_unplaceable(cx, review);
+            self.report_unplaceable(cx, review);
             return Plan::default();
         }
         self.unplaceable.remove(review.model);
         Plan { engines: homes, changed: true, ..Plan::default() }
     }
 
-    fn add_lacking(
+    fn add_missing_home(
         &mut self,
         cx: &mut Cx<'_>,
-        review: &Review<'_>,
+        review: &ModelReview<'_>,
         plan: &mut Plan,
         placement: &mut Placement<'_>,
         limits: &Limits,
     ) {
-        let wished = review.wishes.iter().any(|wish| wish.model == *review.model && wish.move_from.is_none());
+        let is_requested = review
+            .requests
+            .iter()
+            .any(|request| request.model == *review.model && request.move_from.is_none());
         let owns_home = plan.engines.iter().any(|home| review.ownership.held(home).is_some());
-        let too_few = plan.engines.len() < limits.homes_least;
-        let wanted = (wished && owns_home) || (too_few && self.is_own_turn(cx, review.hosts, review.model));
+        let too_few = plan.engines.len() < limits.min_homes;
+        let needs_home =
+            (is_requested && owns_home) || (too_few && self.is_own_turn(cx, review.hosts, review.model));
         if !too_few {
-            self.lacking.remove(review.model);
+            self.lacking_since.remove(review.model);
         }
-        if !wanted || plan.engines.len() >= limits.homes_most {
+        if !needs_home || plan.engines.len() >= limits.max_homes {
             return;
         }
         if let Some(home) = placement.place(review.model, &plan.engines, &plan.evicted_from) {
@@ -148,70 +161,70 @@
         }
     }
 
-    /// Tells whether it is up to this process to give the model a home that it lacks.
+    /// Reports whether it is this process's turn to add a home that the model lacks.
     pub(super) fn is_own_turn(&mut self, cx: &Cx<'_>, hosts: &HashedHosts<'_>, model: &ModelName) -> bool {
-        let since = *self.lacking.entry(model.clone()).or_insert(cx.now);
+        let since = *self.lacking_since.entry(model.clone()).or_insert(cx.now);
         is_own_turn(cx, hosts, model, since)
     }
 
-    fn note_unplaceable(&mut self, cx: &mut Cx<'_>, review: &Review<'_>) {
-        let any = review.knowledge.roster.iter().any(|(_, engine)| engine.is_live());
+    fn report_unplaceable(&mut self, cx: &mut Cx<'_>, review: &ModelReview<'_>) {
+        let any = review.context.inventory.iter().any(|(_, engine)| engine.is_live());
         if any && self.unplaceable.insert(review.model.clone()) {
-            cx.log_event("model_fits_nowhere", review.model.clone(), "no live engine has as much memory");
+            cx.log_event("model_fits_nowhere", review.model.clone(), "no live engine has enough memory");
         }
     }
 }
 
-/// Returns how many homes a model gets at first at most.
+/// Returns the maximum number of first homes of a model.
 ///
-/// A home makes its engine one that somebody looks after. Where there are many
-/// more engines than that is worth for, a model gets its part of those that are
-/// looked after, and room for its adapters; the others that hold it serve as well.
-fn first_homes_most(cx: &Cx<'_>, review: &Review<'_>) -> usize {
-    if !review.knowledge.has_spare_engines(cx) {
+/// Each home gives its engine an owner. If there are many more engines than the hosts
+/// can own, a model gets its share of the ownership capacity, and enough homes for its
+/// adapters. Other engines that hold the model serve requests as well.
+fn max_first_homes(cx: &Cx<'_>, review: &ModelReview<'_>) -> usize {
+    if !review.context.has_spare_engines(cx) {
         return usize::MAX;
     }
     let models = &cx.document.catalogue.models;
-    let part = review.knowledge.engines_looked_after() / models.len().max(1);
+    let part = review.context.ownership_capacity() / models.len().max(1);
     let adapters = models.get(review.model).map_or(0, |model| model.adapters.len());
     part.max(adapters.div_ceil(ADAPTERS_PER_HOME))
 }
 
-/// How many homes a model may and should have.
+/// The allowed numbers of homes and replicas of a model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// How many replicas the rules allow.
-    pub(super) most: usize,
-    /// How many homes are kept at least; one stays even where no replica is allowed.
-    pub(super) homes_least: usize,
-    /// How many homes are kept at most.
-    homes_most: usize,
+    /// Maximum number of replicas.
+    pub(super) max_replicas: usize,
+    /// Minimum number of homes; one remains even if no replica is allowed.
+    pub(super) min_homes: usize,
+    /// Maximum number of homes.
+    max_homes: usize,
 }
 
-/// Decides by the rules; none where the document doesn't name the model.
+/// Evaluates the rules; returns `None` for a model that the document does not contain.
 ///
-/// Every process has to come to the same result, or one would add the homes that
-/// another takes away. So the data centre is that of the first home, not that of
-/// the process, and what only some processes know counts as unknown.
+/// All processes must reach the same result, or one would add the homes that another
+/// removes. Therefore the data centre is that of the first home and not that of the
+/// process, and conditions on local information are evaluated as unknown.
 pub(super) fn limits(
     cx: &Cx<'_>,
-    roster: &Roster,
+    inventory: &EngineInventory,
     model: &ModelName,
     homes: &[UpstreamId],
 ) -> Option<Limits> {
     cx.document.catalogue.models.get(model)?;
-    let first = homes.first().and_then(|home| roster.get(home));
+    let first = homes.first().and_then(|home| inventory.get(home));
     let data_centre = first.map(|engine| &engine.data_centre);
     let facts = RuleInput { model: Some(model), data_centre, at: Some(cx.at), ..RuleInput::default() };
     let outcome = cx.document.rules.decide(&facts).outcome;
-    let most = usize::try_from(outcome.replicas_max).unwrap_or(usize::MAX);
-    let least = usize::try_from(outcome.replicas_min).unwrap_or(usize::MAX);
-    let homes_most = most.max(1);
-    let homes_least = least.max(cx.cfg.limits.homes_ahead).clamp(1, homes_most);
-    Some(Limits { most, homes_least, homes_most })
+    let max_replicas = usize::try_from(outcome.replicas_max).unwrap_or(usize::MAX);
+    let min_replicas = usize::try_from(outcome.replicas_min).unwrap_or(usize::MAX);
+    let max_homes = max_replicas.max(1);
+    let min_homes = min_replicas.max(cx.cfg.limits.homes_ahead).clamp(1, max_homes);
+    Some(Limits { max_replicas, min_homes, max_homes })
 }
 
-fn drop_removed_model(cx: &Cx<'_>, review: &Review<'_>, plan: &mut Plan) {
+fn drop_removed_model(cx: &Cx<'_>, review: &ModelReview<'_>, plan: &mut Plan) {
     let (closing, kept): (Vec<UpstreamId>, Vec<UpstreamId>) = std::mem::take(&mut plan.engines)
         .into_iter()
         .partition(|home| review.may_close(home) || review.is_gone(cx, home));
@@ -220,9 +233,9 @@
     plan.engines = kept;
 }
 
-fn drop_surplus(review: &Review<'_>, plan: &mut Plan, most: usize) {
+fn drop_surplus(review: &ModelReview<'_>, plan: &mut Plan, max_homes: usize) {
     let mut rank = plan.engines.len();
-    while rank > most {
+    while rank > max_homes {
         rank -= 1;
         if review.may_close(&plan.engines[rank]) {
             plan.closing.push(plan.engines.remove(rank));
@@ -231,51 +244,51 @@
     }
 }
 
-/// Makes engines of this process homes that hold the model already.
+/// Adds engines of this process that already hold the model as homes.
 ///
-/// In a large fleet some engines are listed after the first homes were given
-/// out. Were what they hold taken for surplus, it would be unloaded, and may be
-/// nowhere else.
-fn join_holders(cx: &Cx<'_>, review: &Review<'_>, plan: &mut Plan, limits: &Limits) {
-    if review.knowledge.has_spare_engines(cx) {
+/// In a large cluster some engines are listed only after the first homes were
+/// assigned. If their models counted as surplus, they would be unloaded although no
+/// other engine may hold them.
+fn adopt_holders(cx: &Cx<'_>, review: &ModelReview<'_>, plan: &mut Plan, limits: &Limits) {
+    if review.context.has_spare_engines(cx) {
         return;
     }
-    for engine in review.ownership.holdings().keys() {
+    for engine in review.ownership.owned_engines().keys() {
         let holds = cx.upstreams.get(engine).is_some_and(|listed| listed.is_live_holder(review.model));
         let is_new = !plan.engines.contains(engine) && !plan.evicted_from.contains(engine);
         let is_held = review.ownership.held(engine).is_some();
-        if holds && is_new && is_held && plan.engines.len() < limits.most {
+        if holds && is_new && is_held && plan.engines.len() < limits.max_replicas {
             plan.engines.push(engine.clone());
             plan.changed = true;
         }
     }
 }
 
-/// Takes the home from engines that are gone, about to go, or crowded.
-fn replace_left(
+/// Moves homes away from engines that are gone, leaving or short of memory.
+fn replace_departing(
     cx: &Cx<'_>,
-    review: &Review<'_>,
+    review: &ModelReview<'_>,
     plan: &mut Plan,
     placement: &mut Placement<'_>,
-    most: usize,
+    max_homes: usize,
 ) {
     for rank in (0..plan.engines.len()).rev() {
         let home = plan.engines[rank].clone();
-        let known = review.knowledge.roster.get(&home);
+        let known = review.context.inventory.get(&home);
         let leaving = known.is_some_and(|engine| engine.is_listed() && !engine.is_live());
-        let crowded = review.wants_to_leave(&home);
-        let leaves = (leaving || crowded) && review.may_close(&home);
-        if !leaves && !review.is_gone(cx, &home) {
+        let is_move_requested = review.has_move_request(&home);
+        let may_leave = (leaving || is_move_requested) && review.may_close(&home);
+        if !may_leave && !review.is_gone(cx, &home) {
             continue;
         }
-        if crowded {
+        if is_move_requested {
             plan.evicted_from.push(home.clone());
-            let surplus = plan.evicted_from.len().saturating_sub(LEFT_KEPT);
+            let surplus = plan.evicted_from.len().saturating_sub(MAX_EVICTED_FROM);
             plan.evicted_from.drain(..surplus);
         }
         let next = placement.place(review.model, &plan.engines, &plan.evicted_from);
         match next {
-            Some(next) if plan.engines.len() <= most => plan.engines[rank] = next,
+            Some(next) if plan.engines.len() <= max_homes => plan.engines[rank] = next,
             None if plan.engines.len() == 1 => continue,
             _ => drop(plan.engines.remove(rank)),
         }
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -1,9 +1,11 @@
-//! On which engine a model gets its next home.
+//! Choice of the engine for a model's next home.
+//!
+//! Open [`Placement`] first.
 
 use std::cmp::Reverse;
 
 use super::hashing::{name_hash, pair_weight};
-use super::roster::{KnownEngine, Roster};
+use super::inventory::{EngineInventory, KnownEngine};
 use crate::catalogue::Document;
 use crate::collections::HashMap;
 use crate::cx::Cx;
@@ -12,56 +14,55 @@
 use crate::units::Mebibytes;
 use crate::upstream::{Upstream, UpstreamList};
 
-/// From how many engines that the hash prefers the least loaded one is taken.
+/// Number of candidates, by hash weight, from which the least loaded engine is chosen.
 ///
-/// Processes that place different models at the same moment don't see each
-/// other's choices. If all took the least loaded engine, all would take the
-/// same one.
-const CHOICES: usize = 3;
+/// Processes that place different models at the same time do not see each other's
+/// choices. If all took the least loaded engine, all would choose the same one.
+const CANDIDATE_COUNT: usize = 3;
 
-/// Load shares are compared in these parts of an engine's memory.
-const LOAD_PARTS: u64 = 1000;
+/// Resolution of the memory load of an engine; loads that differ by less compare as equal.
+const LOAD_RESOLUTION: u64 = 1000;
 
-/// How the models' homes lie on the engines' memory.
+/// The memory that homes take on each engine, including those placed in this review.
 #[derive(Debug)]
 pub(super) struct Placement<'a> {
     document: &'a Document,
     cache: &'a StoreCache,
     upstreams: &'a UpstreamList,
-    roster: &'a Roster,
-    /// Made for the first model that needs it; most reviews place none.
-    table: Option<Table<'a>>,
+    inventory: &'a EngineInventory,
+    /// Built for the first model that needs it; most reviews place none.
+    table: Option<PlacementTable<'a>>,
 }
 
 impl<'a> Placement<'a> {
-    pub(super) fn new(cx: &Cx<'a>, roster: &'a Roster) -> Self {
-        Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, roster, table: None }
+    pub(super) fn new(cx: &Cx<'a>, inventory: &'a EngineInventory) -> Self {
+        Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, inventory, table: None }
     }
 
-    /// Returns how many live engines hold a model.
+    /// Returns how many live engines hold the model.
     pub(super) fn holders(&mut self, model: &ModelName) -> usize {
-        self.table().near_to(model).iter().filter(|near| near.nearness == Nearness::Held).count()
+        self.table().engines_with(model).iter().filter(|entry| entry.residency == Residency::Held).count()
     }
 
-    /// Chooses an engine that isn't a home of the model yet, and counts the model there.
+    /// Chooses an engine that is not a home of the model yet, and adds the model's footprint to it.
     ///
-    /// An owner knows the memory of its own engines alone. Without `left`, two
-    /// owners of full engines would hand a model to and fro while others stand
-    /// empty, and its callers would be refused for as long; so the engines that
-    /// it left for want of memory come last, the one left longest ago first.
+    /// An owner knows only the memory of its own engines. Without `evicted_from`, two
+    /// owners of full engines would move a model back and forth while other engines are
+    /// empty, and its callers would be refused all that time. Engines that evicted the
+    /// model for lack of memory therefore come last, the least recent one first.
     pub(super) fn place(
         &mut self,
         model: &ModelName,
         homes: &[UpstreamId],
-        left: &[UpstreamId],
+        evicted_from: &[UpstreamId],
     ) -> Option<UpstreamId> {
         let known = self.document.catalogue.models.get(model)?;
         let footprint = known.footprint();
-        let roster = self.roster;
-        let near: Vec<&KnownEngine> = homes.iter().filter_map(|home| roster.get(home)).collect();
+        let inventory = self.inventory;
+        let other_homes: Vec<&KnownEngine> = homes.iter().filter_map(|home| inventory.get(home)).collect();
         let key = name_hash(model.as_str());
         let table = self.table();
-        let candidate = |index: usize, nearness: Nearness| {
+        let candidate = |index: usize, residency: Residency| {
             let live = &table.engines[index];
             let engine = live.known;
             let fits = engine.memory >= footprint && (known.pool.is_none() || engine.pool == known.pool);
@@ -70,42 +71,45 @@
             }
             Some(Candidate {
                 index,
-                nearness,
-                left: left.iter().rposition(|known| known == live.id),
-                shares_data_centre: near.iter().any(|home| home.data_centre == engine.data_centre),
+                residency,
+                evicted_from: evicted_from.iter().rposition(|known| known == live.id),
+                shares_data_centre: other_homes.iter().any(|home| home.data_centre == engine.data_centre),
                 weight: Reverse(pair_weight(key, live.hash)),
             })
         };
         let mut best = BestCandidates::default();
-        let close = table.near_to(model);
-        for near in close {
-            if let Some(found) = candidate(near.index, near.nearness) {
+        let with_model = table.engines_with(model);
+        for entry in with_model {
+            if let Some(found) = candidate(entry.index, entry.residency) {
                 best.offer(found);
             }
         }
-        // Whatever has something of the model is preferred to what has nothing.
+        // Engines that hold the model or a copy are preferred to all others.
         if !best.is_full() {
-            let is_close = |index: &usize| close.binary_search_by_key(index, |near| near.index).is_ok();
-            for index in (0..table.engines.len()).filter(|index| !is_close(index)) {
-                if let Some(found) = candidate(index, Nearness::Nothing) {
+            let is_with_model =
+                |index: &usize| with_model.binary_search_by_key(index, |entry| entry.index).is_ok();
+            for index in (0..table.engines.len()).filter(|index| !is_with_model(index)) {
+                if let Some(found) = candidate(index, Residency::Absent) {
                     best.offer(found);
                 }
             }
         }
         let load = |c: &Candidate| table.engines[c.index].load_with(footprint);
-        let chosen = best.into_iter().min_by_key(|c| (c.nearness, c.left, c.shares_data_centre, load(c)))?;
+        let chosen =
+            best.into_iter().min_by_key(|c| (c.residency, c.evicted_from, c.shares_data_centre, load(c)))?;
         let live = &mut table.engines[chosen.index];
         live.load += footprint;
         Some(live.id.clone())
     }
 
-    fn table(&mut self) -> &mut Table<'a> {
-        let (document, cache, upstreams, roster) = (self.document, self.cache, self.upstreams, self.roster);
-        self.table.get_or_insert_with(|| Table::new(document, cache, upstreams, roster))
+    fn table(&mut self) -> &mut PlacementTable<'a> {
+        let (document, cache, upstreams, inventory) =
+            (self.document, self.cache, self.upstreams, self.inventory);
+        self.table.get_or_insert_with(|| PlacementTable::new(document, cache, upstreams, inventory))
     }
 }
 
-/// A live engine, with what all its homes take of it.
+/// A live engine with the footprint of all its homes.
 #[derive(Debug)]
 struct LiveEngine<'a> {
     id: &'a UpstreamId,
@@ -115,61 +119,66 @@
 }
 
 impl LiveEngine<'_> {
-    /// Returns which part of the memory is taken once a footprint is added.
+    /// Returns the fraction of the memory that is taken with `footprint` added.
     fn load_with(&self, footprint: Mebibytes) -> u64 {
         let load = self.load + footprint;
-        load.0.saturating_mul(LOAD_PARTS) / self.known.memory.0.max(1)
+        load.0.saturating_mul(LOAD_RESOLUTION) / self.known.memory.0.max(1)
     }
 }
 
-/// An engine that has something of a model already.
+/// An engine that holds a model or has a copy of its weights.
 #[derive(Clone, Copy, Debug)]
-struct Near {
+struct EngineWithModel {
     index: usize,
-    nearness: Nearness,
+    residency: Residency,
 }
 
-/// The live engines, and which models they have, looked up by model.
+/// The live engines, indexed by the models that they have.
 #[derive(Debug)]
-struct Table<'a> {
+struct PlacementTable<'a> {
     engines: Vec<LiveEngine<'a>>,
-    /// By model, the indexes of the engines that have it, in ascending order.
-    near: HashMap<&'a ModelName, Vec<Near>>,
+    /// For each model, the engines that have it, in ascending order of their indexes.
+    by_model: HashMap<&'a ModelName, Vec<EngineWithModel>>,
 }
 
-impl<'a> Table<'a> {
-    fn new(document: &Document, cache: &StoreCache, upstreams: &'a UpstreamList, roster: &'a Roster) -> Self {
+impl<'a> PlacementTable<'a> {
+    fn new(
+        document: &Document,
+        cache: &StoreCache,
+        upstreams: &'a UpstreamList,
+        inventory: &'a EngineInventory,
+    ) -> Self {
         let loads = loads(document, cache);
-        let mut table = Self { engines: Vec::new(), near: HashMap::default() };
-        for (id, known) in roster.iter().filter(|(_, known)| known.is_live()) {
+        let mut table = Self { engines: Vec::new(), by_model: HashMap::default() };
+        for (id, known) in inventory.iter().filter(|(_, known)| known.is_live()) {
             let index = table.engines.len();
             let load = loads.get(id).copied().unwrap_or_default();
             table.engines.push(LiveEngine { id, known, hash: name_hash(id.as_str()), load });
             if let Some(upstream) = upstreams.get(id) {
-                table.note_models(index, upstream);
+                table.index_models(index, upstream);
             }
         }
         table
     }
 
-    fn note_models(&mut self, index: usize, upstream: &'a Upstream) {
-        let held = upstream.holds.iter().map(|model| (model, Nearness::Held));
+    fn index_models(&mut self, index: usize, upstream: &'a Upstream) {
+        let held = upstream.holds.iter().map(|model| (model, Residency::Held));
         let copies = upstream.copies.in_memory.iter().chain(&upstream.copies.on_disk);
-        for (model, nearness) in held.chain(copies.map(|model| (model, Nearness::Copied))) {
-            let near = self.near.entry(model).or_default();
-            // What it holds comes first, so that a copy beside it tells nothing new.
-            if near.last().is_none_or(|last| last.index != index) {
-                near.push(Near { index, nearness });
+        for (model, residency) in held.chain(copies.map(|model| (model, Residency::Copied))) {
+            let entries = self.by_model.entry(model).or_default();
+            // Loaded models come first, so a copy on the same engine adds no entry.
+            if entries.last().is_none_or(|last| last.index != index) {
+                entries.push(EngineWithModel { index, residency });
             }
         }
     }
 
-    fn near_to(&self, model: &ModelName) -> &[Near] {
-        self.near.get(model).map_or(&[], Vec::as_slice)
+    fn engines_with(&self, model: &ModelName) -> &[EngineWithModel] {
+        self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Adds up the footprints of all homes, by engine.
+/// Returns the total footprint of the homes on each engine.
 fn loads<'a>(document: &Document, cache: &'a StoreCache) -> HashMap<&'a UpstreamId, Mebibytes> {
     let mut loads: HashMap<&UpstreamId, Mebibytes> = HashMap::default();
     for (model, homes) in cache.all_homes() {
@@ -181,36 +190,35 @@
     loads
 }
 
-/// How far an engine has come with a model already; the first is the best.
+/// How much of a model an engine already has, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Nearness {
-    /// It holds it.
+enum Residency {
+    /// The model is loaded.
     Held,
-    /// It keeps a copy of the weights.
+    /// A copy of the weights is in memory or on disk.
     Copied,
-    /// It has nothing of it.
-    Nothing,
+    Absent,
 }
 
-/// An engine that could be chosen; the least is preferred.
+/// A possible choice; the lowest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    nearness: Nearness,
-    /// Its place among the engines that the model left.
-    left: Option<usize>,
+    residency: Residency,
+    /// Its position in `evicted_from`.
+    evicted_from: Option<usize>,
     shares_data_centre: bool,
     weight: Reverse<u64>,
     index: usize,
 }
 
-/// The few candidates that are preferred, the first before the others.
+/// The preferred candidates in ascending order.
 #[derive(Debug, Default)]
 struct BestCandidates {
-    candidates: [Option<Candidate>; CHOICES],
+    candidates: [Option<Candidate>; CANDIDATE_COUNT],
 }
 
 impl BestCandidates {
-    /// Takes a candidate in where it is preferred to one of those so far.
+    /// Inserts a candidate if it is among the preferred ones.
     fn offer(&mut self, candidate: Candidate) {
         let mut offered = candidate;
         for kept in &mut self.candidates {
@@ -225,7 +233,6 @@
         }
     }
 
-    /// Tells whether there are as many as are chosen from.
     fn is_full(&self) -> bool {
         self.candidates.iter().all(Option::is_some)
     }
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -1,14 +1,14 @@
-//! News of the key-value service that one process of a data centre reads and passes on to the others.
+//! Forwarding of store changes and broadcasts along the relay tree.
 //!
-//! Where every process looks for news itself, each change costs as many calls
-//! as there are processes. With the relay the root of a tree reads, and each
-//! process passes on what it hears to its children; whoever hears nothing for a
-//! while reads for itself and passes that on, so that nobody depends on another
-//! one for longer than that.
+//! If every process polled the store, each change would cost one call per process. With
+//! the relay, the root of a data centre's tree reads the changes and each process
+//! forwards them to its children. A process that receives nothing for a while reads the
+//! store itself and forwards the result, so that a failed parent delays its children
+//! only for that time. Open [`Relay`] first.
 
 use std::time::Duration;
 
-use super::tree::{Tree, roots};
+use super::relay_tree::{RelayTree, roots};
 use crate::collections::OrderedMap;
 use crate::config::Watchers;
 use crate::cx::Cx;
@@ -17,71 +17,71 @@
 use crate::peer::{News, PeerMessage};
 use crate::time::Time;
 
-/// How often the tree is worked out anew.
-const REVIEW_EVERY: Duration = Duration::from_secs(1);
-/// How often a process that has just started does so, which learns of most members then.
-const REVIEW_EARLY: Duration = Duration::from_millis(200);
-/// For how long a process has just started.
-const EARLY: Duration = Duration::from_secs(5);
-/// Up to how many members are few.
-const FEW_MEMBERS: usize = 64;
+/// Interval between two computations of the tree.
+const TREE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval for a process that has just started, which learns of most members in that time.
+const TREE_UPDATE_INTERVAL_AT_START: Duration = Duration::from_millis(200);
+/// How long a process counts as just started.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of members that contact each other and the store directly.
+const MAX_DIRECT_MEMBERS: usize = 64;
 
-/// For how long a process that asked for everything is told news beside the children.
+/// How long a process that requested the state receives news in addition to the children.
 ///
-/// It takes this process for its parent, which other members may not do yet.
-const GUEST_FOR: Duration = Duration::from_secs(5);
+/// It regards this process as its parent, although other members may not know it yet.
+const TEMPORARY_CHILD_TTL: Duration = Duration::from_secs(5);
 
-/// This process's part in passing news on.
+/// This process's position in the relay tree and its forwarding state.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    tree: Tree,
-    started: Option<Time>,
-    due: Time,
-    /// Up to where news has been passed on.
-    passed: StoreRevision,
-    /// Who has asked for everything lately, and until when each is told news.
-    guests: OrderedMap<HostId, Time>,
+    tree: RelayTree,
+    started_at: Option<Time>,
+    next_tree_update: Time,
+    /// The revision up to which news was forwarded.
+    relayed_upto: StoreRevision,
+    /// Processes that recently requested the state, and until when each receives news.
+    temporary_children: OrderedMap<HostId, Time>,
 }
 
 impl Relay {
-    /// Finds out now and then which place this process has.
+    /// Recomputes the position in the tree when that is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        if cx.cfg.watchers != Watchers::Relayed || !self.due.is_due(cx.now) {
+        if cx.cfg.watchers != Watchers::Relayed || !self.next_tree_update.is_due(cx.now) {
             return;
         }
-        let started = *self.started.get_or_insert(cx.now);
-        let is_early = !started.after(EARLY).is_due(cx.now);
-        self.due = cx.now.after(if is_early { REVIEW_EARLY } else { REVIEW_EVERY });
+        let started_at = *self.started_at.get_or_insert(cx.now);
+        let is_starting = !started_at.after(STARTUP_PERIOD).is_due(cx.now);
+        self.next_tree_update =
+            cx.now.after(if is_starting { TREE_UPDATE_INTERVAL_AT_START } else { TREE_UPDATE_INTERVAL });
         let was_root = self.tree.is_root;
-        self.tree = Tree::of(cx);
+        self.tree = RelayTree::of(cx);
         if self.tree.is_root != was_root {
             cx.push(Effect::ReadNewsForOthers(self.tree.is_root));
         }
     }
 
-    /// Passes on what this process has read.
-    pub(super) fn on_read(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.tell_children(cx, news);
+    /// Forwards news that this process has read itself.
+    pub(super) fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
+        self.send_to_children(cx, news);
     }
 
-    /// Passes on what a peer has told.
+    /// Forwards news from a peer.
     ///
-    /// While two processes know different members, each may take itself for the
-    /// other's parent. So nothing is passed on twice, unless it comes from the
-    /// parent: then it shows the children that nothing has changed.
+    /// While two processes know different members, each may regard itself as the
+    /// other's parent. News is therefore forwarded only once, except from the parent,
+    /// where it also shows the children that nothing has changed.
     pub(super) fn on_news(&mut self, cx: &mut Cx<'_>, from: &HostId, news: &News) {
-        if news.upto > self.passed || self.is_parent(from) {
-            self.tell_children(cx, news);
+        if news.upto > self.relayed_upto || self.is_parent(from) {
+            self.send_to_children(cx, news);
         }
     }
 
-    /// Takes note that a process has asked for everything.
-    pub(super) fn note_asked(&mut self, now: Time, from: &HostId) {
-        self.guests.insert(from.clone(), now.after(GUEST_FOR));
+    pub(super) fn add_temporary_child(&mut self, now: Time, from: &HostId) {
+        self.temporary_children.insert(from.clone(), now.after(TEMPORARY_CHILD_TTL));
     }
 
-    /// Passes on what all processes are to hear.
-    pub(super) fn on_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
+    /// Forwards a broadcast to the children.
+    pub(super) fn relay_spread(&self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
         if self.tree.is_root || self.is_parent(from) {
             for child in &self.tree.children {
                 cx.send(child, message.clone());
@@ -89,8 +89,7 @@
         }
     }
 
-    /// Asks the parent for everything.
-    pub(super) fn ask_parent(&self, cx: &mut Cx<'_>) {
+    pub(super) fn request_state_from_parent(&self, cx: &mut Cx<'_>) {
         if let Some(parent) = &self.tree.parent {
             cx.send(parent, PeerMessage::StateWanted);
         }
@@ -100,24 +99,25 @@
         self.tree.parent.as_ref() == Some(host)
     }
 
-    fn tell_children(&mut self, cx: &mut Cx<'_>, news: &News) {
-        self.passed = self.passed.max(news.upto);
-        self.guests.retain(|_, until| !until.is_due(cx.now));
-        let guests = self.guests.keys().filter(|guest| !self.tree.children.contains(guest));
-        for host in self.tree.children.iter().chain(guests) {
+    fn send_to_children(&mut self, cx: &mut Cx<'_>, news: &News) {
+        self.relayed_upto = self.relayed_upto.max(news.upto);
+        self.temporary_children.retain(|_, until| !until.is_due(cx.now));
+        let temporary_children =
+            self.temporary_children.keys().filter(|child| !self.tree.children.contains(child));
+        for host in self.tree.children.iter().chain(temporary_children) {
             cx.send(host, PeerMessage::News(news.clone()));
         }
     }
 }
 
-/// Tells whether the members are so many that what all of them do at once is too much for anyone.
-pub(super) fn are_members_many(cx: &Cx<'_>) -> bool {
-    cx.cache.members().nth(FEW_MEMBERS).is_some()
+/// Reports whether there are too many members for all of them to act on a peer or the store at once.
+pub(super) fn has_many_members(cx: &Cx<'_>) -> bool {
+    cx.cache.members().nth(MAX_DIRECT_MEMBERS).is_some()
 }
 
-/// Sends a message to every other live member, by way of the trees where there are many.
+/// Sends a message to every other live member, through the relay trees in a large cluster.
 pub(crate) fn broadcast_via_relay(cx: &mut Cx<'_>, message: &PeerMessage) {
-    if cx.cfg.watchers != Watchers::Relayed || !are_members_many(cx) {
+    if cx.cfg.watchers != Watchers::Relayed || !has_many_members(cx) {
         return cx.broadcast(message);
     }
     let spread = PeerMessage::Spread { origin: cx.cfg.host.clone(), message: Box::new(message.clone()) };
--- /dev/null
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -0,0 +1,325 @@
+//! Synchronisation of the shared keys: reads and watches of the key-value store, and
+//! anti-entropy between peers.
+//!
+//! By default one process per data centre watches the store and forwards changes.
+//! Heartbeats carry each process's frontier, so that a process that lags behind or cannot
+//! reach the store asks a peer for the missing records. Open [`StoreSync`] first.
+
+use std::time::Duration;
+
+use super::backoff::Backoff;
+use super::hashing;
+use super::peers::{Peers, data_centre_peers};
+use super::relay_tree::RelayTree;
+use crate::config::Watchers;
+use crate::cx::Cx;
+use crate::effect::Effect;
+use crate::id::{CallId, HostId, StoreRevision};
+use crate::peer::PeerMessage;
+use crate::store::{RecordBatch, StoreAnswer, StoreCall, StoreResult, Versioned};
+use crate::time::Time;
+
+/// Additional delay per rank before a process takes over from a silent watcher.
+const WATCHER_FAILOVER_STEP: Duration = Duration::from_millis(1500);
+/// How long a process must have watched before it forwards changes.
+///
+/// When a whole data centre starts, each process considers itself the watcher until it
+/// receives heartbeats from the others. If all of them forwarded changes, the number of
+/// messages would grow with the cube of the hosts.
+const WATCH_WARM_UP: Duration = Duration::from_secs(1);
+/// Minimum interval between two requests for missing records.
+const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// How long a peer may lag behind before it is sent the missing records unasked.
+const TOLERATED_LAG: Duration = Duration::from_millis(1500);
+/// Minimum interval between two requests for the full state by a process that the store does not answer.
+const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of the read of all shared keys, as a multiple of the store timeout.
+const READ_TIMEOUT_FACTOR: u32 = 3;
+
+#[derive(Clone, Copy, Debug)]
+struct Read {
+    call: CallId,
+    timeout_at: Time,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Watch {
+    /// The revision up to which the watch is complete.
+    upto: StoreRevision,
+    since: Time,
+}
+
+/// The synchronisation state of this process.
+#[derive(Debug, Default)]
+pub(super) struct StoreSync {
+    /// The revision up to which no change is missing.
+    frontier: StoreRevision,
+    /// The revision of the first complete snapshot; deletions before it are unknown here.
+    first_snapshot: Option<StoreRevision>,
+    /// An earlier value of `frontier` that peers should have reached by now.
+    expected: StoreRevision,
+    next_expected_update: Time,
+    watch: Option<Watch>,
+    read: Option<Read>,
+    read_backoff: Backoff,
+    is_read_pending: bool,
+    last_snapshot: Option<StoreRevision>,
+    synced_at: Time,
+    next_records_request: Time,
+    /// Whether the store left the last watch unanswered.
+    is_watch_unanswered: bool,
+    next_state_request: Time,
+}
+
+impl StoreSync {
+    /// Returns the revision up to which no change is missing.
+    pub(super) const fn frontier(&self) -> StoreRevision {
+        self.frontier
+    }
+
+    /// Reports whether this process has received a complete snapshot of the shared keys.
+    pub(super) const fn is_synced(&self) -> bool {
+        self.first_snapshot.is_some()
+    }
+
+    pub(super) const fn last_snapshot(&self) -> Option<StoreRevision> {
+        self.last_snapshot
+    }
+
+    /// Reports whether no read of the shared keys is pending.
+    pub(super) const fn is_store_reachable(&self) -> bool {
+        !self.is_read_pending
+    }
+
+    /// Returns since when this process has watched the store.
+    pub(super) fn watching_since(&self) -> Option<Time> {
+        self.watch.map(|watch| watch.since)
+    }
+
+    /// Reads all shared keys from the store instead of waiting for a peer to send them.
+    pub(super) fn read(&mut self, cx: &mut Cx<'_>) {
+        if !self.is_synced() {
+            self.stop(cx);
+        }
+        self.is_read_pending = true;
+        self.read_when_due(cx);
+    }
+
+    /// Waits for a peer to send all shared keys, and for news after that.
+    pub(super) fn await_peer_state(&mut self, cx: &mut Cx<'_>) {
+        self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
+        cx.push(Effect::ExtendStateWait);
+        cx.push(Effect::Watch { from: StoreRevision(0) });
+    }
+
+    /// Records that a peer has sent all shared keys up to `upto`.
+    pub(super) fn on_peer_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
+        if let Some(watch) = &mut self.watch {
+            watch.upto = watch.upto.max(upto);
+        }
+        self.is_read_pending = false;
+        self.record_snapshot(cx, upto);
+    }
+
+    /// Runs what is due.
+    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
+        if self.next_expected_update.is_due(cx.now) {
+            self.expected = self.frontier;
+            self.next_expected_update = cx.now.after(TOLERATED_LAG);
+        }
+        if self.read.take_if(|read| read.timeout_at.is_due(cx.now)).is_some() {
+            self.read_backoff.record_failure(cx);
+        }
+        self.read_when_due(cx);
+    }
+
+    /// Handles the result of a store call.
+    pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
+        if self.read.take_if(|read| read.call == call).is_none() {
+            // The store answers again, so the remaining backoff is skipped.
+            if result.is_ok() {
+                self.read_backoff.reset();
+                self.read_when_due(cx);
+            }
+            return;
+        }
+        let Ok(StoreAnswer::Shared { revision, .. }) = result else {
+            self.read_backoff.record_failure(cx);
+            return;
+        };
+        self.read_backoff.reset();
+        self.is_read_pending = false;
+        self.record_snapshot(cx, *revision);
+    }
+
+    /// Records whether the store answered a watch.
+    pub(super) const fn set_watch_answered(&mut self, is_answered: bool) {
+        self.is_watch_unanswered = !is_answered;
+    }
+
+    /// Advances the frontier and forwards the changes to the members of this data centre.
+    pub(super) fn on_watched(&mut self, cx: &mut Cx<'_>, changes: Vec<Versioned>, upto: StoreRevision) {
+        let Some(watch) = &mut self.watch else { return };
+        let after = watch.upto;
+        watch.upto = watch.upto.max(upto);
+        let is_warmed_up =
+            cx.cfg.watchers == Watchers::OnePerDataCentre && watch.since.after(WATCH_WARM_UP).is_due(cx.now);
+        if self.is_synced() && upto > self.frontier {
+            self.frontier = upto;
+        }
+        if changes.is_empty() || !is_warmed_up {
+            return;
+        }
+        let message = PeerMessage::Records(RecordBatch { after: Some(after), upto, records: changes });
+        let receivers: Vec<HostId> = data_centre_peers(cx).collect();
+        for host in receivers {
+            cx.send(&host, message.clone());
+        }
+    }
+
+    /// Ends the watch and schedules a read of all shared keys, since changes may be missing.
+    pub(super) fn on_watch_broken(&mut self, cx: &mut Cx<'_>) {
+        if self.watch.take().is_none() {
+            return;
+        }
+        self.is_read_pending = true;
+        self.read_backoff.record_failure(cx);
+        cx.log_event("watch_broken", cx.cfg.host.clone(), "reading all shared keys again");
+    }
+
+    /// Records the range that a peer's batch covers.
+    pub(super) fn on_records(
+        &mut self,
+        cx: &mut Cx<'_>,
+        from: &HostId,
+        after: Option<StoreRevision>,
+        upto: StoreRevision,
+    ) {
+        let Some(after) = after else {
+            self.record_snapshot(cx, upto);
+            return;
+        };
+        if self.is_synced() && after <= self.frontier {
+            self.frontier = self.frontier.max(upto);
+            return;
+        }
+        self.request_records(cx, from);
+    }
+
+    /// Sends records to a peer that lags behind, and requests them from one that is ahead.
+    pub(super) fn on_peer(&mut self, cx: &mut Cx<'_>, from: &HostId, message: &PeerMessage) {
+        match message {
+            PeerMessage::Heartbeat { store, .. } if cx.cfg.watchers == Watchers::Relayed => {
+                self.request_state_if_cut_off(cx, from, *store);
+            }
+            PeerMessage::Heartbeat { store, .. } if *store > self.frontier => self.request_records(cx, from),
+            PeerMessage::Heartbeat { store, .. } if *store < self.expected => self.reply(cx, from, *store),
+            PeerMessage::RecordsWanted { after } => self.reply(cx, from, *after),
+            _ => {}
+        }
+    }
+
+    /// Ends the watch.
+    pub(super) fn stop(&mut self, cx: &mut Cx<'_>) {
+        if self.watch.take().is_some() {
+            cx.push(Effect::Unwatch);
+        }
+    }
+
+    fn record_snapshot(&mut self, cx: &Cx<'_>, revision: StoreRevision) {
+        self.frontier = self.frontier.max(revision);
+        self.last_snapshot = self.last_snapshot.max(Some(revision));
+        if self.first_snapshot.is_none() {
+            self.first_snapshot = Some(revision);
+            self.synced_at = cx.now;
+        }
+    }
+
+    /// Requests the full state from a peer that is ahead, if the store does not answer.
+    fn request_state_if_cut_off(&mut self, cx: &mut Cx<'_>, from: &HostId, store: StoreRevision) {
+        if store <= self.frontier || !self.is_synced() {
+            return;
+        }
+        if self.is_watch_unanswered && self.next_state_request.is_due(cx.now) {
+            self.next_state_request = cx.now.after(STATE_REQUEST_INTERVAL);
+            cx.send(from, PeerMessage::StateWanted);
+        }
+    }
+
+    fn request_records(&mut self, cx: &mut Cx<'_>, from: &HostId) {
+        if !self.next_records_request.is_due(cx.now) {
+            return;
+        }
+        self.next_records_request = cx.now.after(RECORDS_REQUEST_INTERVAL);
+        cx.send(from, PeerMessage::RecordsWanted { after: self.frontier });
+    }
+
+    /// Sends the records that a peer is missing.
+    ///
+    /// A process does not know the keys that were deleted before its first snapshot. A
+    /// peer that is behind that revision receives the full state, since a list of
+    /// changes would leave deleted members and owners in its cache.
+    fn reply(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
+        let Some(first_snapshot) = self.first_snapshot.filter(|_| after < self.frontier) else { return };
+        let is_full = after < first_snapshot;
+        let from = if is_full { StoreRevision(0) } else { after };
+        let records: Vec<Versioned> = cx
+            .cache
+            .changes_after(from)
+            .filter(|entry| !is_full || entry.record.is_some())
+            .cloned()
+            .collect();
+        let after = (!is_full).then_some(after);
+        cx.send(to, PeerMessage::Records(RecordBatch { after, upto: self.frontier, records }));
+    }
+
+    fn read_when_due(&mut self, cx: &mut Cx<'_>) {
+        if !self.is_read_pending || self.read.is_some() || !self.read_backoff.is_ready(cx.now) {
+            return;
+        }
+        let call = cx.next_call();
+        let timeout_at = cx.now.after(cx.cfg.timings.store_timeout * READ_TIMEOUT_FACTOR);
+        self.read = Some(Read { call, timeout_at });
+        cx.push(Effect::Store { call, request: StoreCall::ReadShared });
+    }
+
+    /// Starts or ends the watch.
+    pub(super) fn review(&mut self, cx: &mut Cx<'_>, peers: &Peers, eligible: &[HostId]) {
+        let should_watch = self.is_watcher(cx, peers, eligible);
+        match self.watch {
+            Some(_) if !should_watch => self.stop(cx),
+            None if should_watch && self.is_synced() && !self.is_read_pending => {
+                self.watch = Some(Watch { upto: self.frontier, since: cx.now });
+                if cx.cfg.watchers == Watchers::Relayed && RelayTree::of(cx).parent.is_some() {
+                    cx.push(Effect::ExtendStateWait);
+                }
+                cx.push(Effect::Watch { from: self.frontier.next() });
+            }
+            _ => {}
+        }
+    }
+
+    /// Reports whether this process watches the store for its data centre.
+    ///
+    /// The watcher is the first process of a ranking that reaches the store. If it died
+    /// unnoticed, its data centre would receive no more changes, including the deletion
+    /// of its member key. It therefore sends heartbeats to the whole data centre, and
+    /// the next process of the ranking takes over when they stop.
+    fn is_watcher(&self, cx: &Cx<'_>, peers: &Peers, eligible: &[HostId]) -> bool {
+        if cx.cfg.watchers != Watchers::OnePerDataCentre {
+            return true;
+        }
+        let own = &cx.cfg.host;
+        let in_data_centre = |host: &&HostId| {
+            cx.cache.member(host).is_some_and(|member| member.data_centre == cx.cfg.data_centre)
+        };
+        let key = format!("watch/{}", cx.cfg.data_centre);
+        let ranked = hashing::ranking(&key, eligible.iter().filter(in_data_centre));
+        let Some(rank) = ranked.iter().position(|host| *host == own) else { return false };
+        let before = &ranked[..rank];
+        let Some(last) = before.iter().map(|host| peers.store_reached_at(host)).max() else { return true };
+        let step_delay = WATCHER_FAILOVER_STEP.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
+        let failover_delay = cx.cfg.timings.peer_timeout + step_delay;
+        last.max(self.synced_at).after(failover_delay).is_due(cx.now)
+    }
+}
