--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -17,10 +17,10 @@
 mod history;
 mod inter_arrival;
 mod load;
+mod load_abilities;
 mod load_metrics;
 mod load_slots;
 mod load_times;
-mod owned_engines;
 mod peers;
 mod pending_orders;
 mod pipelining;
@@ -48,10 +48,10 @@
 use crate::loading::engine_state::ReportStatus;
 use crate::loading::gate::LoadKey;
 use crate::loading::history::History;
+use crate::loading::load_abilities::LoadAbilities;
 use crate::loading::load_metrics::LoadMetrics;
 use crate::loading::load_slots::LoadSlots;
 use crate::loading::load_times::LoadTimes;
-use crate::loading::owned_engines::OwnedEngines;
 use crate::loading::pending_orders::Answered;
 use crate::loading::power_shortage::PowerShortages;
 use crate::loading::unserved::UnservedTargets;
@@ -71,7 +71,7 @@
     demand: Demand,
     usage: Usage,
     history: History,
-    owned_engines: OwnedEngines,
+    load_abilities: LoadAbilities,
     power_shortages: PowerShortages,
     load_slots: LoadSlots,
     load_times: LoadTimes,
@@ -85,7 +85,7 @@
     demand: &'a Demand,
     usage: &'a Usage,
     history: &'a mut History,
-    owned_engines: &'a OwnedEngines,
+    load_abilities: &'a LoadAbilities,
     power_shortages: &'a PowerShortages,
     load_slots: &'a mut LoadSlots,
     load_times: &'a mut LoadTimes,
@@ -110,7 +110,7 @@
             OwnershipChange::Lost { engine } => {
                 self.load_slots.release_engine(cx, engine);
                 self.engines.remove(engine);
-                self.owned_engines.remove(engine);
+                self.load_abilities.remove(engine);
             }
         }
     }
@@ -119,14 +119,14 @@
     pub fn on_tick(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority) {
         self.demand.expire(cx.now);
         for engine in self.engines.values() {
-            for model in load::loading_from_store(engine) {
+            for model in load::running_store_loads(engine) {
                 self.load_slots
-                    .record_running(cx.now, &LoadKey { engine: engine.id.clone(), model: model.clone() });
+                    .restore_running(cx.now, &LoadKey { engine: engine.id.clone(), model: model.clone() });
             }
         }
         let engines = &self.engines;
         self.load_slots.on_tick(cx, |key| {
-            engines.get(&key.engine).is_some_and(|engine| load::uses_store(engine, &key.model))
+            engines.get(&key.engine).is_some_and(|engine| load::is_load_running(engine, &key.model))
         });
         let ids: Vec<UpstreamId> = self.engines.keys().cloned().collect();
         let mut newly_ready = Vec::new();
@@ -135,11 +135,11 @@
                 engine.refresh(cx);
                 engine.reservation.expire(cx);
                 engine.expire_orders(cx);
-                if pipelining::complete_due_loads(cx, engine) {
-                    newly_ready.append(&mut load::record_ended(cx, engine, context));
+                if pipelining::assume_due_loads_ended(cx, engine) {
+                    newly_ready.append(&mut load::record_ended_loads(cx, engine, context));
                 }
-                engine.is_in_use = is_in_use(engine, context);
-                engine.poll(cx, context.authority.permit(cx.now, &engine.id));
+                engine.has_subscribers = has_subscribers(engine, context);
+                engine.raise_fence_or_poll(cx, context.authority.permit(cx.now, &engine.id));
                 decide(cx, engine, context);
                 engine.count_idle(cx.now, context.load_metrics);
                 publishing::publish_changes(cx, engine, context.demand);
@@ -168,19 +168,19 @@
         if engine.on_fence_answer(cx, order, answer) {
             return;
         }
-        let ended = engine.pending_orders.answer(order, answer, cx.now);
-        if let Some((action, _)) = &ended
-            && pipelining::handle_early_load(engine, cx.now, action, answer)
+        let outcome = engine.pending_orders.answer(order, answer, cx.now);
+        if let Some((action, _)) = &outcome
+            && pipelining::schedule_retry_if_early(engine, cx.now, action, answer)
         {
             return;
         }
         engine.count_answer(cx.now, answer);
-        let Some((action, answered)) = ended else { return };
+        let Some((action, answered)) = outcome else { return };
         match answered {
             Answered::Accepted => self.on_accepted(cx, authority, id, &action),
             Answered::Done => engine.record_done(cx.now, &action),
             Answered::InDoubt => cx.log_event("order_lost", id, format!("order={order}")),
-            Answered::NotDone => handle_not_executed(cx, engine, &mut self.load_metrics, &action, answer),
+            Answered::NotDone => handle_not_done(cx, engine, &mut self.load_metrics, &action, answer),
         }
     }
 
@@ -189,7 +189,7 @@
         self.with_engine(cx, authority, id, |cx, engine, context| match action {
             Order::Load { model, .. } => {
                 load::on_accepted(cx, engine, model);
-                if pipelining::complete_unloads(engine, cx.now, context.load_times) {
+                if pipelining::record_ended_unloads(engine, cx.now, context.load_times) {
                     cx.log_event("load_started", format!("{model}@{}", engine.id), "copy=here behind=unload");
                 }
             }
@@ -218,14 +218,14 @@
             if is_first {
                 log_survey(cx, engine, report);
             }
-            pipelining::verify_assumed_end(engine, requested_at, report, context.load_times);
+            pipelining::verify_assumed_load_end(engine, requested_at, report, context.load_times);
             let resolved = engine.pending_orders.resolve(report, requested_at, cx.cfg.timings.order_settle);
             engine.log_unexpected_models(cx, &resolved);
             engine.log_missing_adapters(cx, &resolved);
             for reported in report.models.iter().filter(|reported| reported.running > 0) {
                 context.history.record_use(cx.now, &reported.model);
             }
-            newly_ready = load::record_ended(cx, engine, context);
+            newly_ready = load::record_ended_loads(cx, engine, context);
             if status == ReportStatus::Restarted {
                 cx.log_event("engine_restarted", &engine.id, format!("incarnation={}", report.incarnation));
                 engine.on_restart(cx.now);
@@ -251,14 +251,14 @@
             demand: &self.demand,
             usage: &self.usage,
             history: &mut self.history,
-            owned_engines: &self.owned_engines,
+            load_abilities: &self.load_abilities,
             power_shortages: &self.power_shortages,
             load_slots: &mut self.load_slots,
             load_times: &mut self.load_times,
             load_metrics: &mut self.load_metrics,
         };
         f(cx, engine, &mut context);
-        self.owned_engines.update(cx, engine);
+        self.load_abilities.update(cx, engine);
     }
 
     /// Returns the state dump.
@@ -273,7 +273,7 @@
 }
 
 /// Reports whether any host subscribes to a model on the engine.
-fn is_in_use(engine: &Engine, context: &DecisionContext<'_>) -> bool {
+fn has_subscribers(engine: &Engine, context: &DecisionContext<'_>) -> bool {
     let report = engine.report();
     let mut held = report.into_iter().flat_map(|report| &report.models);
     held.any(|reported| context.demand.subscribers(&reported.model).next().is_some())
@@ -292,7 +292,7 @@
         desired_loads::review_missing_copies(cx, engine, context);
     }
     let desired_loads = desired_loads::collect(cx, engine, context);
-    engine.power_shortfall = desired_loads::missing_power(engine, context, &desired_loads);
+    engine.power_shortfall = desired_loads::power_shortfall(engine, context, &desired_loads);
     let Some(permit) = context.authority.permit(cx.now, &engine.id) else {
         engine.planned.clear();
         return;
@@ -317,7 +317,7 @@
     cx.log_event("engine_surveyed", &engine.id, detail);
 }
 
-fn handle_not_executed(
+fn handle_not_done(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
     load_metrics: &mut LoadMetrics,
@@ -342,7 +342,7 @@
 
 impl EngineUse for Loading {
     fn is_unused_by(&self, engine: &UpstreamId, model: &ModelName) -> bool {
-        self.engines.get(engine).is_some_and(|engine| engine.is_unused_by(model))
+        self.engines.get(engine).is_some_and(|engine| engine.is_certainly_without(model))
     }
 
     fn has_no_open_orders(&self, engine: &UpstreamId) -> bool {
--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HostDemand {
     count: u32,
-    order: ServiceOrder,
+    service_order: ServiceOrder,
     /// The latest deadline among them.
     deadline: Time,
     /// The earliest soft deadline among them: after it, an answer loses value.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ModelDemand {
     /// The most urgent service order.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// The latest deadline of the waiting requests.
     pub deadline: Time,
     /// When the first answer loses value; never if no request has a soft deadline.
@@ -49,7 +49,7 @@
 impl ModelDemand {
     fn with(self, other: &HostDemand) -> Self {
         Self {
-            order: self.order.min(other.order),
+            service_order: self.service_order.min(other.service_order),
             deadline: self.deadline.max(other.deadline),
             soft_deadline: self.soft_deadline.min(other.soft_deadline),
             waiting: self.waiting + other.count,
@@ -67,7 +67,7 @@
     /// Number of waiting requests.
     pub waiting: u32,
     /// The most urgent service order among them.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// The longest remaining wait among them.
     pub max_wait: Duration,
     /// The shortest remaining time in which an answer keeps its full value.
@@ -90,7 +90,7 @@
         }
         let waiting = HostDemand {
             count: wanted.waiting,
-            order: wanted.order,
+            service_order: wanted.service_order,
             deadline: now.after(wanted.max_wait),
             soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             expires: now.after(timings.wanted_every * MAX_MISSED_MESSAGES),
@@ -160,14 +160,14 @@
     /// Returns the demand for a model including a router's new report.
     pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
         let reported = ModelDemand {
-            order: wanted.order,
+            service_order: wanted.service_order,
             deadline: now.after(wanted.max_wait),
             soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             waiting: wanted.waiting,
         };
         let Some(others) = self.of_model(&wanted.target.model) else { return reported };
         ModelDemand {
-            order: reported.order.min(others.order),
+            service_order: reported.service_order.min(others.service_order),
             deadline: reported.deadline.max(others.deadline),
             soft_deadline: reported.soft_deadline.min(others.soft_deadline),
             waiting: reported.waiting.saturating_add(others.waiting),
@@ -199,7 +199,7 @@
 fn sum<'a>(mut all: impl Iterator<Item = &'a HostDemand>) -> Option<ModelDemand> {
     let first = all.next()?;
     let need = ModelDemand {
-        order: first.order,
+        service_order: first.service_order,
         deadline: first.deadline,
         soft_deadline: first.soft_deadline,
         waiting: first.count,
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -15,7 +15,7 @@
 use crate::units::Watts;
 
 /// Waiting requests per slot of a replica above which one more replica is loaded.
-const WAITING_PER_SLOT: u32 = 2;
+const WAITING_PER_REQUEST_SLOT: u32 = 2;
 
 /// Number of waiting requests from which a model is loaded before models with fewer.
 const MANY_WAITING: u32 = 4;
@@ -23,8 +23,8 @@
 /// The first sort key of a load: whether few requests wait, then the service order.
 type Precedence = (bool, ServiceOrder);
 
-fn precedence(waiting: u32, order: ServiceOrder) -> Precedence {
-    (waiting < MANY_WAITING, order)
+fn precedence(waiting: u32, service_order: ServiceOrder) -> Precedence {
+    (waiting < MANY_WAITING, service_order)
 }
 
 /// Why a model should be loaded, in order of priority.
@@ -51,9 +51,9 @@
 }
 
 /// The service order of loads without waiting requests.
-const LAST_ORDER: ServiceOrder = ServiceOrder(u16::MAX);
+const LAST_SERVICE_ORDER: ServiceOrder = ServiceOrder(u16::MAX);
 /// The service order of loads whose absence would make many requests wait.
-const FIRST_ORDER: ServiceOrder = ServiceOrder(0);
+const FIRST_SERVICE_ORDER: ServiceOrder = ServiceOrder(0);
 
 /// A model that should be loaded on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     /// The model.
     pub model: ModelName,
     /// The service order of the waiting requests, or of the matching rule.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// The latest deadline of the waiting requests; never if none wait.
     pub deadline: Time,
     /// The earliest soft deadline, if the load can end before it.
@@ -82,16 +82,16 @@
     ///
     /// Requests that can still be answered at full value go before those that
     /// cannot, which lose nothing by waiting longer.
-    pub(crate) fn rank(&self) -> (LoadCause, Rank) {
-        (self.cause, rank(self.waiting, self.order, self.soft_deadline, self.deadline))
+    pub(crate) fn sort_key(&self) -> (LoadCause, Rank) {
+        (self.cause, rank(self.waiting, self.service_order, self.soft_deadline, self.deadline))
     }
 }
 
 /// Sort key of a model among those that requests wait for.
 pub(crate) type Rank = (Precedence, bool, Time);
 
-fn rank(waiting: u32, order: ServiceOrder, soft_deadline: Option<Time>, deadline: Time) -> Rank {
-    (precedence(waiting, order), soft_deadline.is_none(), soft_deadline.unwrap_or(deadline))
+fn rank(waiting: u32, service_order: ServiceOrder, soft_deadline: Option<Time>, deadline: Time) -> Rank {
+    (precedence(waiting, service_order), soft_deadline.is_none(), soft_deadline.unwrap_or(deadline))
 }
 
 /// Returns the rank on an engine of a model that requests wait for.
@@ -102,7 +102,12 @@
     model: &ModelName,
     need: &ModelDemand,
 ) -> Rank {
-    rank(need.waiting, need.order, attainable(cx, engine, context, model, need.soft_deadline), need.deadline)
+    rank(
+        need.waiting,
+        need.service_order,
+        attainable(cx, engine, context, model, need.soft_deadline),
+        need.deadline,
+    )
 }
 
 /// Returns `soft_deadline` if a load started now would end by then.
@@ -126,7 +131,7 @@
     models.extend(engine.missing_copies.iter().cloned());
     let mut desired_loads: Vec<DesiredLoad> =
         models.into_iter().filter_map(|model| desired_load(cx, engine, context, model)).collect();
-    desired_loads.sort_by_key(DesiredLoad::rank);
+    desired_loads.sort_by_key(DesiredLoad::sort_key);
     desired_loads
 }
 
@@ -143,33 +148,34 @@
     }
     let outcome = rule_outcome(cx, engine, context, &model);
     if let Some(need) = context.demand.of_model(&model)
-        && context.owned_engines.position(&engine.id, &model, homes) < replicas_needed(engine, &need, outcome)
+        && context.load_abilities.homes_before(&engine.id, &model, homes)
+            < replicas_needed(engine, &need, outcome)
     {
         let soft_deadline = attainable(cx, engine, context, &model, need.soft_deadline);
-        let ModelDemand { order, deadline, waiting, .. } = need;
+        let ModelDemand { service_order, deadline, waiting, .. } = need;
         return Some(DesiredLoad {
             cause: LoadCause::Waiting,
             model,
-            order,
+            service_order,
             deadline,
             soft_deadline,
             waiting,
         });
     }
-    let (cause, order) = if engine.under_replicated.contains(&model) {
-        (LoadCause::UnderReplicated, FIRST_ORDER)
+    let (cause, service_order) = if engine.under_replicated.contains(&model) {
+        (LoadCause::UnderReplicated, FIRST_SERVICE_ORDER)
     } else if engine.pinned.contains(&model) {
         (LoadCause::Pinned, outcome.order)
     } else if engine.hot.contains(&model) {
         (LoadCause::Spread, outcome.order)
     } else if engine.prewarm.contains(&model) {
-        (LoadCause::Prewarm, LAST_ORDER)
+        (LoadCause::Prewarm, LAST_SERVICE_ORDER)
     } else if engine.missing_copies.contains(&model) {
-        (LoadCause::Copy, LAST_ORDER)
+        (LoadCause::Copy, LAST_SERVICE_ORDER)
     } else {
         return None;
     };
-    Some(DesiredLoad { cause, model, order, deadline: Time::NEVER, soft_deadline: None, waiting: 0 })
+    Some(DesiredLoad { cause, model, service_order, deadline: Time::NEVER, soft_deadline: None, waiting: 0 })
 }
 
 /// Updates the models that the rules keep loaded on the engine regardless of requests.
@@ -178,7 +184,7 @@
     let pinned = homes.filter(|(model, homes)| {
         let min_replicas = rule_outcome(cx, engine, context, model).replicas_min;
         min_replicas > 0
-            && replicas::position(cx, engine, homes).is_some_and(|position| position < min_replicas)
+            && replicas::usable_homes_before(cx, engine, homes).is_some_and(|before| before < min_replicas)
     });
     engine.pinned = pinned.map(|(model, _)| model.clone()).collect();
 }
@@ -243,12 +249,12 @@
 
 /// Returns the number of replicas that the waiting requests justify.
 fn replicas_needed(engine: &Engine, need: &ModelDemand, outcome: &RuleOutcome) -> u32 {
-    let justified = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_SLOT);
+    let justified = need.waiting.div_ceil(engine.concurrency() * WAITING_PER_REQUEST_SLOT);
     justified.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
 
 /// Returns the missing power for the most urgent load, and the service order of that load.
-pub(crate) fn missing_power(
+pub(crate) fn power_shortfall(
     engine: &Engine,
     context: &DecisionContext<'_>,
     desired_loads: &[DesiredLoad],
@@ -258,7 +264,8 @@
     // Prewarming does not justify putting another engine to sleep.
     let candidates = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
     let unmet = candidates.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
-    (granted < required && !engine.is_leaving()).then(|| (required.saturating_sub(granted), unmet.order))
+    (granted < required && !engine.is_leaving())
+        .then(|| (required.saturating_sub(granted), unmet.service_order))
 }
 
 /// Returns the rules' outcome for a model on an engine.
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -70,7 +70,7 @@
     /// Prewarmed models, with their last use before the prewarm.
     pub prewarmed: OrderedMap<ModelName, Time>,
     /// Whether any host subscribes to a model on this engine.
-    pub is_in_use: bool,
+    pub has_subscribers: bool,
     /// When the oldest unanswered report request was sent.
     pub unanswered_since: Option<Time>,
     /// When the policy is evaluated next.
@@ -141,7 +141,7 @@
             missing_copies: OrderedSet::new(),
             prewarmed: OrderedMap::new(),
             next_review: now,
-            is_in_use: false,
+            has_subscribers: false,
             unanswered_since: None,
             planned: OrderedMap::new(),
             memory_blocked: OrderedSet::new(),
@@ -187,7 +187,7 @@
 
     /// Reports whether the model is certainly absent: not loaded, not loading, and
     /// with no pending order.
-    pub(crate) fn is_unused_by(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_certainly_without(&self, model: &ModelName) -> bool {
         self.report().is_some()
             && self.late_orders == LateOrders::None
             && self.model(model).is_none()
--- a/crates/skylarkshore-core/src/loading/engine/orders.rs
+++ b/crates/skylarkshore-core/src/loading/engine/orders.rs
@@ -32,7 +32,7 @@
     }
 
     /// Raises the fence and requests a report when either is due.
-    pub(crate) fn poll(&mut self, cx: &mut Cx<'_>, permit: Option<Permit>) {
+    pub(crate) fn raise_fence_or_poll(&mut self, cx: &mut Cx<'_>, permit: Option<Permit>) {
         if !self.is_quiescent() {
             self.next_poll = self.next_poll.min(cx.now.after(cx.cfg.timings.report_every));
         }
@@ -74,7 +74,7 @@
         let is_quiet =
             self.report().is_some_and(|report| !report.busy && report.running == 0 && report.waiting == 0);
         let is_done = self.pending_orders.is_empty() && self.loads.is_empty() && self.closing.is_empty();
-        self.is_sequential() && !self.is_in_use && is_quiet && is_done && self.accepted_count.is_some()
+        self.is_sequential() && !self.has_subscribers && is_quiet && is_done && self.accepted_count.is_some()
     }
 
     /// Reports whether progress depends on a new report.
--- a/crates/skylarkshore-core/src/loading/engine_state.rs
+++ b/crates/skylarkshore-core/src/loading/engine_state.rs
@@ -122,7 +122,7 @@
     /// Why the model is unloaded.
     pub reason: CloseReason,
     /// The service order of the load that needs the memory.
-    pub for_order: Option<ServiceOrder>,
+    pub for_service_order: Option<ServiceOrder>,
     /// When the memory was last needed.
     pub last_needed: Time,
 }
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -22,7 +22,7 @@
 /// Upper estimate of the time until an engine's first report.
 const SURVEY_TIME: Duration = Duration::from_secs(1);
 /// Estimated time until memory or power becomes available.
-const EVICTION_TIME: Duration = Duration::from_secs(10);
+const BLOCKED_DELAY: Duration = Duration::from_secs(10);
 /// Retry delay while memory, power or ownership is unavailable.
 const SHORT_RETRY: Duration = Duration::from_secs(5);
 /// Minimum remaining time of an overdue load, as a fraction of its load time.
@@ -179,7 +179,7 @@
         return SURVEY_TIME;
     }
     if !load::has_power(engine, context) || engine.memory_blocked.contains(model) {
-        return EVICTION_TIME;
+        return BLOCKED_DELAY;
     }
     // Routers get a grace period before the evicted model is unloaded.
     if engine.closing.is_empty() { Duration::ZERO } else { cx.cfg.timings.close_grace }
@@ -203,13 +203,13 @@
         }
         let takes = if engine.is_sequential() {
             let soft_deadline = desired.soft_deadline.unwrap_or(Time::NEVER);
-            let DesiredLoad { order, deadline, waiting, .. } = *desired;
+            let DesiredLoad { service_order, deadline, waiting, .. } = *desired;
             time_to_ready(
                 cx,
                 engine,
                 context,
                 model,
-                &ModelDemand { order, deadline, soft_deadline, waiting },
+                &ModelDemand { service_order, deadline, soft_deadline, waiting },
             )
         } else {
             context.load_times.expected_on(cx, engine, model)
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Urgency {
     /// Their service order.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// Their longest remaining wait.
     pub max_wait: Duration,
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 struct QueuedLoad {
     from: HostId,
-    order: ServiceOrder,
+    service_order: ServiceOrder,
     deadline: Time,
     since: Time,
     expires: Time,
@@ -109,7 +109,7 @@
         let since = self.queue.get(key).map_or(cx.now, |queued| queued.since);
         let queued = QueuedLoad {
             from: from.clone(),
-            order: urgency.order,
+            service_order: urgency.service_order,
             deadline: cx.now.after(urgency.max_wait),
             since,
             expires: cx.now.after(QUEUE_TTL),
@@ -166,7 +166,7 @@
     }
 
     /// Updates the concurrency limit from loads in progress.
-    pub(crate) fn learn_from_running(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn update_concurrency_limit(&mut self, cx: &mut Cx<'_>) {
         self.detect_own_pause(cx.now);
         for (key, granted) in &self.granted {
             let Some(model) = cx.document.catalogue.models.get(&key.model) else { continue };
@@ -259,7 +259,7 @@
 
 /// Returns the sort key of a queued load: service order, then deadline, then age.
 const fn rank(queued: &QueuedLoad) -> (ServiceOrder, Time, Time) {
-    (queued.order, queued.deadline, queued.since)
+    (queued.service_order, queued.deadline, queued.since)
 }
 
 fn send_granted(cx: &mut Cx<'_>, to: &HostId, key: &LoadKey) {
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -71,7 +71,7 @@
             context
                 .load_slots
                 .release_unstarted(cx, &LoadKey { engine: engine.id.clone(), model: desired.model.clone() });
-        } else if needs_room && !has_store_slot(cx, engine, context, desired) {
+        } else if needs_room && !ensure_load_slot(cx, engine, context, desired) {
             // Loaded models stay in use until the load has its slot.
             continue;
         }
@@ -171,22 +171,23 @@
 }
 
 /// Reports whether a load of the model needs a load slot.
-fn needs_store_slot(engine: &Engine, desired: &DesiredLoad) -> bool {
+fn needs_load_slot(engine: &Engine, desired: &DesiredLoad) -> bool {
     !engine.is_sequential() || !engine.has_copy(&desired.model)
 }
 
 /// Reports whether a load has its load slot or needs none, and requests the slot otherwise.
-fn has_store_slot(
+fn ensure_load_slot(
     cx: &mut Cx<'_>,
     engine: &Engine,
     context: &mut DecisionContext<'_>,
     desired: &DesiredLoad,
 ) -> bool {
-    if !needs_store_slot(engine, desired) {
+    if !needs_load_slot(engine, desired) {
         return true;
     }
     let key = LoadKey { engine: engine.id.clone(), model: desired.model.clone() };
-    let urgency = Urgency { order: desired.order, max_wait: desired.deadline.remaining(cx.now) };
+    let urgency =
+        Urgency { service_order: desired.service_order, max_wait: desired.deadline.remaining(cx.now) };
     context.load_slots.request(cx, &key, urgency) == SlotStatus::Granted
 }
 
@@ -206,9 +207,9 @@
     if engine.pending_orders.has_unanswered_load() || !is_free {
         return Started::No;
     }
-    let uses_store_slot =
-        !engine.is_sequential() || matches!(load, Order::Load { .. }) && needs_store_slot(engine, desired);
-    if uses_store_slot && !has_store_slot(cx, engine, context, desired) {
+    let uses_load_slot =
+        !engine.is_sequential() || matches!(load, Order::Load { .. }) && needs_load_slot(engine, desired);
+    if uses_load_slot && !ensure_load_slot(cx, engine, context, desired) {
         return Started::No;
     }
     let begins = cx.now.after(pipelining::unload_remaining(engine, cx.now, context.load_times));
@@ -227,7 +228,7 @@
                 begins,
                 expected_end,
                 last_checked: cx.now,
-                is_from_store: uses_store_slot,
+                is_from_store: uses_load_slot,
             },
         );
     }
@@ -235,7 +236,7 @@
         log_started(cx, engine, desired, &load);
     }
     engine.send(cx, permit, None, load);
-    if uses_store_slot {
+    if uses_load_slot {
         context
             .load_slots
             .record_started(&LoadKey { engine: engine.id.clone(), model: desired.model.clone() });
@@ -253,7 +254,10 @@
     cx.log_event(
         "load_started",
         format!("{what}@{}", engine.id),
-        format!("cause={} order={} waiting={} copy={copy}", desired.cause, desired.order, desired.waiting),
+        format!(
+            "cause={} order={} waiting={} copy={copy}",
+            desired.cause, desired.service_order, desired.waiting
+        ),
     );
 }
 
@@ -267,7 +271,7 @@
 /// Records loads that have ended according to the engine's report.
 ///
 /// Returns the models of a sequential engine that have become ready.
-pub(crate) fn record_ended(
+pub(crate) fn record_ended_loads(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
     context: &mut DecisionContext<'_>,
@@ -344,16 +348,16 @@
 /// never have arrived, and stays in doubt while the engine is unreachable or nobody
 /// requests the model. If it kept its slot on a store that runs one load at a time,
 /// no host could fetch a model although every engine is idle.
-pub(crate) fn uses_store(engine: &Engine, model: &ModelName) -> bool {
+pub(crate) fn is_load_running(engine: &Engine, model: &ModelName) -> bool {
     let may_be_loading =
         || engine.report().is_some_and(|report| report.busy) && is_load_pending(engine, model);
     is_shown_loading(engine, model) || engine.pending_orders.is_loading(model) || may_be_loading()
 }
 
 /// Returns the models that the engine is loading from the weight store.
-pub(crate) fn loading_from_store(engine: &Engine) -> impl Iterator<Item = &ModelName> {
+pub(crate) fn running_store_loads(engine: &Engine) -> impl Iterator<Item = &ModelName> {
     let loads = engine.loads.iter().filter(|(_, load)| load.is_from_store);
-    loads.map(|(model, _)| model).filter(|model| uses_store(engine, model))
+    loads.map(|(model, _)| model).filter(|model| is_load_running(engine, model))
 }
 
 fn is_shown_loading(engine: &Engine, model: &ModelName) -> bool {
--- a/crates/skylarkshore-core/src/loading/owned_engines.rs
+++ b/crates/skylarkshore-core/src/loading/load_abilities.rs
@@ -15,11 +15,11 @@
 
 /// Load ability of all owned engines, for decisions on any one of them.
 #[derive(Debug, Default)]
-pub(crate) struct OwnedEngines {
+pub(crate) struct LoadAbilities {
     engines: OrderedMap<UpstreamId, LoadAbility>,
 }
 
-impl OwnedEngines {
+impl LoadAbilities {
     /// Updates the load ability of an engine.
     pub(crate) fn update(&mut self, cx: &Cx<'_>, engine: &Engine) {
         let is_able = engine.report().is_some()
@@ -39,7 +39,7 @@
     ///
     /// Homes of other owners do not count, because routers ask one owner after the
     /// other. An owner of several homes starts with one of them.
-    pub(crate) fn position(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
+    pub(crate) fn homes_before(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
         let before = homes.engines.iter().take_while(|home| *home != engine);
         let able = before.filter(|home| {
             self.engines.get(*home).is_some_and(|home| home.is_able && !home.memory_blocked.contains(model))
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct SlotRequest {
     /// When the caller last wanted the slot.
-    last_wanted: Time,
+    last_requested: Time,
     next_message: Time,
     /// The gate that was last asked or granted the slot.
     gate: Option<HostId>,
@@ -81,7 +81,7 @@
 impl SlotRequest {
     const fn new(now: Time, urgency: Urgency) -> Self {
         Self {
-            last_wanted: now,
+            last_requested: now,
             next_message: now,
             gate: None,
             last_asked: None,
@@ -100,7 +100,7 @@
     requests: OrderedMap<LoadKey, SlotRequest>,
     last_local_grant: Option<Time>,
     /// Until when the weight store is busy, according to the gate.
-    store_busy_until: Time,
+    latest_expected_grant: Time,
     /// Until when that estimate applies.
     estimate_valid_until: Time,
     /// Gates that did not answer, and until when they are not asked.
@@ -113,20 +113,20 @@
     pub(crate) fn request(&mut self, cx: &mut Cx<'_>, key: &LoadKey, urgency: Urgency) -> SlotStatus {
         let now = cx.now;
         let request = self.requests.entry(key.clone()).or_insert_with(|| SlotRequest::new(now, urgency));
-        request.last_wanted = now;
+        request.last_requested = now;
         request.urgency = urgency;
         if request.source != SlotSource::None {
             return SlotStatus::Granted;
         }
         self.request_from_gate(cx, key);
-        if self.has_no_gate(cx, key) && self.grant_local(cx, key) {
+        if self.fail_over(cx, key) && self.grant_local(cx, key) {
             return SlotStatus::Granted;
         }
         SlotStatus::Waiting
     }
 
     /// Reports whether no gate answers. A gate that timed out is replaced by the next one first.
-    fn has_no_gate(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
+    fn fail_over(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
         let Some(request) = self.requests.get_mut(key) else { return false };
         if request.unanswered_since.is_some_and(|since| since.after(GATE_TIMEOUT).is_due(now)) {
@@ -138,8 +138,8 @@
             }
             self.request_from_gate(cx, key);
         }
-        let is_gate_available = self.silent_gates.is_empty() && cx.cache.members().next().is_some();
-        !is_gate_available && self.gate_host(cx).is_none()
+        let are_gates_responsive = self.silent_gates.is_empty() && cx.cache.members().next().is_some();
+        !are_gates_responsive && self.gate_host(cx).is_none()
     }
 
     /// Records that a load has started.
@@ -152,11 +152,11 @@
     /// Records that a load is in progress, even if its slot was released.
     ///
     /// A resent order of unknown outcome may be accepted after its slot was released.
-    pub(crate) fn record_running(&mut self, now: Time, key: &LoadKey) {
+    pub(crate) fn restore_running(&mut self, now: Time, key: &LoadKey) {
         if self.requests.contains_key(key) {
             return;
         }
-        let urgency = Urgency { order: ServiceOrder::default(), max_wait: Duration::ZERO };
+        let urgency = Urgency { service_order: ServiceOrder::default(), max_wait: Duration::ZERO };
         let request =
             SlotRequest { source: SlotSource::Gate, started: true, ..SlotRequest::new(now, urgency) };
         self.requests.insert(key.clone(), request);
@@ -223,7 +223,7 @@
         let wanted = PeerMessage::LoadSlotWanted {
             upstream: key.engine.clone(),
             model: key.model.clone(),
-            order: request.urgency.order,
+            order: request.urgency.service_order,
             max_wait: request.urgency.max_wait,
         };
         cx.send(&gate, wanted);
@@ -278,26 +278,26 @@
             Some(request) if request.source == SlotSource::None => request.expected_grant.remaining(cx.now),
             Some(_) => Duration::ZERO,
             None if self.estimate_valid_until.is_due(cx.now) => Duration::ZERO,
-            None => self.store_busy_until.remaining(cx.now),
+            None => self.latest_expected_grant.remaining(cx.now),
         }
     }
 
     /// Renews slots, drops requests that are no longer wanted and grants slots that are free.
     ///
     /// `running` reports whether a started load is still in progress.
-    pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>, running: impl Fn(&LoadKey) -> bool) {
+    pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>, is_running: impl Fn(&LoadKey) -> bool) {
         let keys: Vec<LoadKey> = self.requests.keys().cloned().collect();
         for key in keys {
             let Some(request) = self.requests.get(&key) else { continue };
-            let stale = request.last_wanted.after(QUEUE_TTL).is_due(cx.now);
-            match (request.started, running(&key)) {
+            let stale = request.last_requested.after(QUEUE_TTL).is_due(cx.now);
+            match (request.started, is_running(&key)) {
                 (true, true) => self.renew(cx, &key),
                 (true, false) => self.release(cx, &key),
                 (false, _) if stale => self.release(cx, &key),
                 (false, _) => {}
             }
         }
-        self.gate.learn_from_running(cx);
+        self.gate.update_concurrency_limit(cx);
         self.gate.grant_due(cx);
     }
 
@@ -325,7 +325,7 @@
         match message {
             PeerMessage::LoadSlotWanted { upstream, model, order, max_wait } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.gate.request(cx, from, &key, Urgency { order: *order, max_wait: *max_wait });
+                self.gate.request(cx, from, &key, Urgency { service_order: *order, max_wait: *max_wait });
             }
             PeerMessage::LoadSlotReturned { upstream, model } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
@@ -341,7 +341,7 @@
             }
             PeerMessage::LoadSlotQueued { upstream, model, wait } => {
                 let key = LoadKey { engine: upstream.clone(), model: model.clone() };
-                self.store_busy_until = cx.now.after(*wait);
+                self.latest_expected_grant = cx.now.after(*wait);
                 self.estimate_valid_until = cx.now.after(ESTIMATE_TTL);
                 if let Some(request) = self.requests.get_mut(&key) {
                     request.unanswered_since = None;
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -46,7 +46,7 @@
                     from,
                     target,
                     waiting: *waiting,
-                    order: *order,
+                    service_order: *order,
                     max_wait: *max_wait,
                     soft_deadline: *soft_deadline,
                 };
--- a/crates/skylarkshore-core/src/loading/pipelining.rs
+++ b/crates/skylarkshore-core/src/loading/pipelining.rs
@@ -45,7 +45,7 @@
 
 /// Schedules a retry if a load was refused because the engine is still unloading.
 /// Reports whether it was.
-pub(crate) fn handle_early_load(
+pub(crate) fn schedule_retry_if_early(
     engine: &mut Engine,
     now: Time,
     action: &Order,
@@ -62,7 +62,7 @@
 
 /// Marks unloads as completed because the engine accepted a load after them. Reports
 /// whether there were any.
-pub(crate) fn complete_unloads(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
+pub(crate) fn record_ended_unloads(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
     if !engine.is_sequential() {
         return false;
     }
@@ -79,7 +79,7 @@
 /// whether there were any.
 ///
 /// Waiting for a report would add 0.15 s to a swap of 0.65 s, in which the engine would be idle.
-pub(crate) fn complete_due_loads(cx: &Cx<'_>, engine: &mut Engine) -> bool {
+pub(crate) fn assume_due_loads_ended(cx: &Cx<'_>, engine: &mut Engine) -> bool {
     if !engine.is_sequential() {
         return false;
     }
@@ -107,7 +107,7 @@
 }
 
 /// Compares a report with the assumed end of the last load, and adjusts the margin.
-pub(crate) fn verify_assumed_end(
+pub(crate) fn verify_assumed_load_end(
     engine: &mut Engine,
     requested_at: Time,
     report: &EngineReport,
--- a/crates/skylarkshore-core/src/loading/publishing.rs
+++ b/crates/skylarkshore-core/src/loading/publishing.rs
@@ -16,7 +16,7 @@
 use crate::view::{EngineView, ModelView, Readiness, ViewVersion};
 
 /// Minimum interval between updates that only change load figures.
-const LOAD_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+const RUNNING_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// Increase of a load's remaining time above which subscribers are updated.
 const MIN_DELAY_INCREASE: Duration = Duration::from_secs(1);
 /// Limit on load updates sent for one engine in a second.
@@ -24,7 +24,7 @@
 /// Every host subscribes to a model that is in use everywhere. Updating each of 350
 /// hosts once a second would take several times the resources planned for control
 /// traffic.
-const MAX_LOAD_UPDATES_PER_SECOND: u32 = 20;
+const MAX_RUNNING_UPDATES_PER_SECOND: u32 = 20;
 
 /// Sends the engine's view to the subscribers that a change concerns.
 pub(crate) fn publish_changes(cx: &mut Cx<'_>, engine: &mut Engine, demand: &Demand) {
@@ -46,7 +46,7 @@
                 subscribers(last, &view, demand)
             };
             if hosts.is_empty()
-                || !engine.published.changed_at.after(load_update_interval(&hosts)).is_due(cx.now)
+                || !engine.published.changed_at.after(running_update_interval(&hosts)).is_due(cx.now)
             {
                 return;
             }
@@ -101,9 +101,10 @@
 }
 
 /// Returns the interval between updates that only change load figures.
-fn load_update_interval(hosts: &OrderedSet<HostId>) -> Duration {
+fn running_update_interval(hosts: &OrderedSet<HostId>) -> Duration {
     let subscribers = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
-    LOAD_UPDATE_INTERVAL.max(LOAD_UPDATE_INTERVAL.saturating_mul(subscribers) / MAX_LOAD_UPDATES_PER_SECOND)
+    RUNNING_UPDATE_INTERVAL
+        .max(RUNNING_UPDATE_INTERVAL.saturating_mul(subscribers) / MAX_RUNNING_UPDATES_PER_SECOND)
 }
 
 /// Sends the engine's view to one router unless it has just received the same version.
@@ -154,13 +155,13 @@
 }
 
 /// Reports whether two views are equal, including load figures if `with_load` is set.
-fn is_same(a: &EngineView, b: &EngineView, with_load: bool) -> bool {
+fn is_same(a: &EngineView, b: &EngineView, with_running: bool) -> bool {
     let structure = a.leaving == b.leaving
         && a.concurrency == b.concurrency
         && a.reserved_for == b.reserved_for
         && a.models.len() == b.models.len()
         && a.models.iter().zip(&b.models).all(|(a, b)| is_same_model(a, b));
-    if !with_load {
+    if !with_running {
         return structure;
     }
     structure && a.running == b.running && a.models.iter().zip(&b.models).all(|(a, b)| a.running == b.running)
--- a/crates/skylarkshore-core/src/loading/rehoming.rs
+++ b/crates/skylarkshore-core/src/loading/rehoming.rs
@@ -57,11 +57,11 @@
 fn is_saturated(cx: &Cx<'_>, engine: &Engine, desired: &DesiredLoad) -> bool {
     let is_last =
         cx.cache.homes(&desired.model).is_some_and(|(_, homes)| homes.engines.last() == Some(&engine.id));
-    let slots = engine.concurrency();
+    let request_slots = engine.concurrency();
     is_last
         && engine.is_ready(&desired.model)
-        && desired.waiting >= slots
-        && engine.report().is_some_and(|report| report.running >= slots)
+        && desired.waiting >= request_slots
+        && engine.report().is_some_and(|report| report.running >= request_slots)
 }
 
 /// Reports whether this is a model's last home and its demand exceeds its homes.
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -53,7 +53,7 @@
         let Some(known) = cx.document.catalogue.models.get(&model) else { continue };
         let Some((_, homes)) = cx.cache.homes(&model) else { continue };
         let wanted = replicas_for(cx, engine, context, &model, homes);
-        let is_within_wanted = position(cx, engine, homes).is_some_and(|position| position < wanted);
+        let is_within_wanted = usable_homes_before(cx, engine, homes).is_some_and(|before| before < wanted);
         let fits = engine.hot.is_empty() || known.footprint() <= room;
         if homes.engines.contains(&engine.id) && is_within_wanted && fits {
             room = room.saturating_sub(known.footprint());
@@ -164,8 +164,8 @@
 }
 
 /// Returns the engine's position among the homes that can load the model.
-pub(crate) fn position(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
-    usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, position)| position)
+pub(crate) fn usable_homes_before(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
+    usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, before)| before)
 }
 
 fn usable<'a>(
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -59,10 +59,12 @@
     engine: &mut Engine,
     model: &ModelName,
     reason: CloseReason,
-    for_order: Option<ServiceOrder>,
+    for_service_order: Option<ServiceOrder>,
 ) {
     cx.log_event("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
-    engine.closing.insert(model.clone(), Closing { since: cx.now, reason, for_order, last_needed: cx.now });
+    engine
+        .closing
+        .insert(model.clone(), Closing { since: cx.now, reason, for_service_order, last_needed: cx.now });
 }
 
 /// Returns why a ready model has to leave, other than for memory.
@@ -201,9 +203,9 @@
         return false;
     }
     let need = context.demand.of_model(model);
-    match (closing.reason, closing.for_order) {
-        (CloseReason::Memory, Some(order)) => {
-            need.is_some_and(|need| need.order <= order)
+    match (closing.reason, closing.for_service_order) {
+        (CloseReason::Memory, Some(service_order)) => {
+            need.is_some_and(|need| need.service_order <= service_order)
                 || closing.last_needed.after(ROOM_REQUEST_TTL).is_due(cx.now)
         }
         _ => true,
@@ -248,7 +250,7 @@
             break;
         }
         missing = missing.saturating_sub(memory);
-        start_closing(cx, engine, &victim.model, CloseReason::Memory, Some(desired.order));
+        start_closing(cx, engine, &victim.model, CloseReason::Memory, Some(desired.service_order));
     }
     true
 }
@@ -267,7 +269,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
     /// Models with the last service order come first.
-    order: Reverse<ServiceOrder>,
+    service_order: Reverse<ServiceOrder>,
     /// Saving per gibibyte if the model stays, in milliseconds of idle accelerator time.
     value: u64,
     last_use: Time,
@@ -289,7 +291,7 @@
     });
     idle.filter_map(|reported| {
         let outcome = desired_loads::rule_outcome(cx, engine, context, &reported.model);
-        let order = outcome.order;
+        let service_order = outcome.order;
         let waiting = context.demand.of_model(&reported.model);
         let pinned = engine.pinned.contains(&reported.model);
         let is_evictable = match waiting {
@@ -305,14 +307,15 @@
             }
             _ if engine.hot.contains(&reported.model) => false,
             _ if replicas::is_needed_more(cx, engine, context, &reported.model, desired.waiting) => false,
-            Some(need) => desired.waiting > 0 && desired.order < need.order,
-            None if pinned => desired.waiting > 0 && desired.order < order,
+            Some(need) => desired.waiting > 0 && desired.service_order < need.service_order,
+            None if pinned => desired.waiting > 0 && desired.service_order < service_order,
             None => true,
         };
         let last_use = last_use(engine, context, &reported.model);
         let memory = memory_of(reported);
         let value = value_per_gibibyte(&idle_model(cx, engine, context, &reported.model, outcome), memory);
-        let victim = Victim { order: Reverse(order), value, last_use, model: reported.model.clone() };
+        let victim =
+            Victim { service_order: Reverse(service_order), value, last_use, model: reported.model.clone() };
         is_evictable.then_some((victim, memory))
     })
     .collect()
