--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -4,6 +4,24 @@
 //! and demand, and sends load and unload orders. `desired_loads` decides what to
 //! load, `load` and `unload` carry it out, and `publishing` sends the resulting
 //! views to the routers.
+//!
+//! Terms used in all submodules:
+//!
+//! - *Owner*: the one process that may send orders to an engine. Its fence is a
+//!   number that rises with every new ownership; the engine refuses lower ones.
+//! - *Home* of a model: an engine on which it may be loaded. The homes record lists
+//!   them, the preferred one first. [`Authority::is_home`] is stricter, and only homes
+//!   that it admits are loaded: it excludes homes beyond the permitted number of
+//!   replicas, homes that are being given up, and all homes in a record that was not
+//!   written since this process acquired the engine.
+//! - *Weight store*: the shared store of all models' weights. A *copy* is a model's
+//!   weights in the memory or on the disk of an engine's host, from which a load is
+//!   several times as fast; a model that is loaded and can serve is a *replica*.
+//! - *Load slot*: permission for one load from the weight store, see `load_slots`. A
+//!   *request slot* is room for one concurrent request on a replica.
+//! - *Service order*: priority of requests when capacity is short; lower goes first.
+//! - *Sequential engine*: executes one order at a time and counts the orders that it
+//!   has accepted. An order that expects an earlier count is refused as a conflict.
 
 mod adapters;
 mod concurrency_limit;
@@ -61,7 +79,7 @@
 use crate::units::{Mebibytes, Watts};
 use crate::upstream::{EngineReport, Order, OrderAnswer};
 
-/// How often idle models and replica counts are reviewed.
+/// How often pinned, hot and idle models, missing copies and prewarming are reviewed.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Load state of all engines that this process owns.
@@ -71,6 +89,7 @@
     demand: Demand,
     usage: Usage,
     history: History,
+    /// Which of `engines` can load, for decisions on any other of them.
     load_abilities: LoadAbilities,
     power_shortages: PowerShortages,
     load_slots: LoadSlots,
@@ -102,6 +121,7 @@
     pub fn on_ownership(&mut self, cx: &mut Cx<'_>, change: &OwnershipChange) {
         match change {
             OwnershipChange::Acquired { engine, fence, late_orders_until } => {
+                // Slots from an earlier ownership of the engine are void.
                 self.load_slots.release_engine(cx, engine);
                 let mut acquired = Engine::new(engine.clone(), *fence, *late_orders_until, cx.now);
                 acquired.refresh(cx);
@@ -149,6 +169,7 @@
             self.demand.mark_served(cx.now, &model);
         }
         let (cache, engines) = (cx.cache, &self.engines);
+        // Only the owner of a model's first home logs that the model is unserved.
         self.unserved.check(cx, |model| {
             let first = cache.homes(model).and_then(|(_, homes)| homes.engines.first());
             first.is_some_and(|home| engines.contains_key(home))
@@ -238,6 +259,8 @@
         }
     }
 
+    /// Calls `f` with an owned engine and its decision context, then updates the
+    /// engine's load ability. Does nothing if the engine is not owned.
     fn with_engine(
         &mut self,
         cx: &mut Cx<'_>,
@@ -308,7 +331,7 @@
     estimates::plan_ready_times(cx, engine, context, &desired_loads);
 }
 
-/// Logs what an engine holds at its first report.
+/// Logs which models and copies an engine holds at its first report.
 fn log_survey(cx: &mut Cx<'_>, engine: &Engine, report: &EngineReport) {
     let held: Vec<&str> = report.models.iter().map(|reported| reported.model.as_str()).collect();
     let copies = &report.copies;
@@ -317,6 +340,8 @@
     cx.log_event("engine_surveyed", &engine.id, detail);
 }
 
+/// Handles an order that the engine did not carry out: records a load as failed
+/// unless it met a conflict.
 fn handle_not_done(
     cx: &mut Cx<'_>,
     engine: &mut Engine,
@@ -332,7 +357,8 @@
         OrderAnswer::Refused { reason } => reason.as_str(),
         OrderAnswer::NotSent => "the engine refuses connections",
         OrderAnswer::FenceTooLow { .. } => "the engine has seen a higher fence",
-        // A conflicting order is retried once a report shows the engine's accepted count.
+        // After a conflict, the order is sent again when the next report shows how many
+        // orders the engine has accepted. The other answers do not lead here.
         OrderAnswer::Accepted | OrderAnswer::Done | OrderAnswer::OrderConflict | OrderAnswer::Lost => return,
     };
     if let Order::Load { model, .. } | Order::LoadAdapter { model, .. } = action {
--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -1,4 +1,6 @@
 //! Waiting requests per model and router, and the routers' subscriptions to models. See [`Demand`].
+//!
+//! A router is a process that receives requests from callers and sends them to engines.
 
 use std::time::Duration;
 
@@ -9,7 +11,7 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
-/// Missed report intervals after which a router's waiting requests are dropped.
+/// Intervals without a router's report after which its waiting requests are dropped.
 const MAX_MISSED_MESSAGES: u32 = 4;
 
 /// How long routers take to dispatch waiting requests once a model is ready.
@@ -25,11 +27,11 @@
     service_order: ServiceOrder,
     /// The latest deadline among them.
     deadline: Time,
-    /// The earliest soft deadline among them: after it, an answer loses value.
+    /// The earliest soft deadline among them. An answer after it is worth less.
     soft_deadline: Time,
-    /// When the report expires unless the router repeats it.
+    /// When these requests are dropped unless the router reports them again.
     expires: Time,
-    /// Whether the router was told to retry, so that the load continues meanwhile.
+    /// Whether the callers were told when to retry; the load goes on for them.
     held_for_retry: bool,
 }
 
@@ -40,7 +42,8 @@
     pub service_order: ServiceOrder,
     /// The latest deadline of the waiting requests.
     pub deadline: Time,
-    /// When the first answer loses value; never if no request has a soft deadline.
+    /// The earliest soft deadline of the waiting requests: an answer after it is worth
+    /// less. Never if no request has one.
     pub soft_deadline: Time,
     /// Number of waiting requests.
     pub waiting: u32,
@@ -70,7 +73,7 @@
     pub service_order: ServiceOrder,
     /// The longest remaining wait among them.
     pub max_wait: Duration,
-    /// The shortest remaining time in which an answer keeps its full value.
+    /// The time until the earliest soft deadline among them.
     pub soft_deadline: Option<Duration>,
 }
 
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Keeps a router's report until its callers were told to retry.
+    /// Keeps a router's waiting requests until its callers have had time to retry.
     ///
     /// Callers with short timeouts are refused before the load starts. If the load
     /// were dropped with them, they would be refused forever.
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -14,13 +14,13 @@
 use crate::time::Time;
 use crate::units::Watts;
 
-/// Waiting requests per slot of a replica above which one more replica is loaded.
+/// Waiting requests per request slot above which one more replica is loaded.
 const WAITING_PER_REQUEST_SLOT: u32 = 2;
 
-/// Number of waiting requests from which a model is loaded before models with fewer.
+/// A model with at least this many waiting requests is loaded before models with fewer.
 const MANY_WAITING: u32 = 4;
 
-/// The first sort key of a load: whether few requests wait, then the service order.
+/// First component of [`Rank`]: whether few requests wait, then the service order.
 type Precedence = (bool, ServiceOrder);
 
 fn precedence(waiting: u32, service_order: ServiceOrder) -> Precedence {
@@ -30,7 +30,8 @@
 /// Why a model should be loaded, in order of priority.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LoadCause {
-    /// Its replicas cannot serve the current request rate.
+    /// It is hot and has far too few copies or replicas, or its requests are answered
+    /// late. Such models are a subset of the hot ones, see `replicas`.
     #[display("scarce")]
     UnderReplicated,
     /// Requests wait for it.
@@ -39,20 +40,22 @@
     /// The rules require a minimum number of replicas.
     #[display("kept")]
     Pinned,
-    /// Its request rate requires more than one replica.
+    /// It is hot, that is, its request rate requires more than one replica, but it is
+    /// not under-replicated.
     #[display("spread")]
     Spread,
     /// A request is expected soon.
     #[display("ahead")]
     Prewarm,
-    /// The engine has to fetch a copy of its weights, so that later loads are fast.
+    /// No engine has its weights. It is loaded from the weight store once, so that
+    /// later loads from the copy are fast.
     #[display("copy")]
     Copy,
 }
 
-/// The service order of loads without waiting requests.
+/// The service order of prewarming and copy loads.
 const LAST_SERVICE_ORDER: ServiceOrder = ServiceOrder(u16::MAX);
-/// The service order of loads whose absence would make many requests wait.
+/// The service order of loads of under-replicated models.
 const FIRST_SERVICE_ORDER: ServiceOrder = ServiceOrder(0);
 
 /// A model that should be loaded on an engine.
@@ -64,9 +67,10 @@
     pub model: ModelName,
     /// The service order of the waiting requests, or of the matching rule.
     pub service_order: ServiceOrder,
-    /// The latest deadline of the waiting requests; never if none wait.
+    /// The latest deadline of the waiting requests: until then the load is of use to
+    /// one of them. Never if none wait.
     pub deadline: Time,
-    /// The earliest soft deadline, if the load can end before it.
+    /// The earliest soft deadline, before which the load should end; none if it cannot.
     pub soft_deadline: Option<Time>,
     /// Number of waiting requests.
     pub waiting: u32,
@@ -75,26 +79,26 @@
 impl DesiredLoad {
     /// Returns the sort key; the lowest goes first.
     ///
-    /// A model with many waiting requests goes first, because more arrive until it
-    /// is loaded. A load takes a second or two: if single requests with a better
+    /// Among loads of the same cause, a model with many waiting requests goes first,
+    /// because more arrive until it is loaded. A load takes a second or two: if single requests with a better
     /// service order always went first, a steady trickle would starve that model,
     /// and hundreds of requests would miss their deadlines.
     ///
-    /// Requests that can still be answered at full value go before those that
-    /// cannot, which lose nothing by waiting longer.
+    /// An answer after the soft deadline is worth less, however late it is before
+    /// the deadline. Loads that can end before the soft deadline therefore go first.
     pub(crate) fn sort_key(&self) -> (LoadCause, Rank) {
         (self.cause, rank(self.waiting, self.service_order, self.soft_deadline, self.deadline))
     }
 }
 
-/// Sort key of a model among those that requests wait for.
+/// Sort key of a model among loads of the same cause.
 pub(crate) type Rank = (Precedence, bool, Time);
 
 fn rank(waiting: u32, service_order: ServiceOrder, soft_deadline: Option<Time>, deadline: Time) -> Rank {
     (precedence(waiting, service_order), soft_deadline.is_none(), soft_deadline.unwrap_or(deadline))
 }
 
-/// Returns the rank on an engine of a model that requests wait for.
+/// Returns the rank that a model with waiting requests has on an engine.
 pub(crate) fn rank_of(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -189,16 +193,16 @@
     engine.pinned = pinned.map(|(model, _)| model.clone()).collect();
 }
 
-/// Updates the models of which the engine has to fetch a copy.
+/// Updates the models that a sequential engine loads only to get a copy of their weights.
 ///
 /// A model's first load comes from the weight store and takes several times as long
 /// as a load from a copy. The first home fetches a copy in advance while the engine
 /// is idle, so that callers of a rarely used model do not wait for it.
 ///
-/// The model is skipped if another engine has a copy, because the store runs few
-/// loads at a time. During a rolling replacement, new engines fetched models that
-/// others had on disk, and a model with forty requests a second lost its last
-/// replica meanwhile.
+/// The model is skipped if another engine has its weights, because the store runs
+/// few loads at a time. When all engines were replaced one after the other, the new
+/// ones occupied the store with models that others had on disk, and a model with
+/// forty requests a second lost its last replica meanwhile.
 pub(crate) fn review_missing_copies(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     engine.missing_copies.clear();
     // A load from the weight store occupies the engine for seconds. While requests
@@ -216,8 +220,8 @@
     }
 }
 
-/// Reports whether another engine that is not leaving has the model or a copy,
-/// according to the host list.
+/// Reports whether another live engine holds the model or a copy of its weights,
+/// according to the list of upstreams.
 fn has_copy_elsewhere(cx: &Cx<'_>, engine: &Engine, model: &ModelName) -> bool {
     cx.upstreams.engines_with_weights(model).any(|known| known.id != engine.id)
 }
@@ -253,7 +257,10 @@
     justified.clamp(1, outcome.replicas_max.max(1)).max(outcome.replicas_min)
 }
 
-/// Returns the missing power for the most urgent load, and the service order of that load.
+/// Returns the power that the engine lacks to become active, and the service order
+/// of the most urgent load that needs it; none if nothing has to be loaded.
+///
+/// For a shortfall, other owners are asked to put engines to sleep.
 pub(crate) fn power_shortfall(
     engine: &Engine,
     context: &DecisionContext<'_>,
@@ -261,7 +268,7 @@
 ) -> Option<(Watts, ServiceOrder)> {
     let required = engine.spec.as_ref()?.active_watts;
     let granted = context.authority.granted_power(&engine.id);
-    // Prewarming does not justify putting another engine to sleep.
+    // Prewarming does not justify that another engine is put to sleep.
     let candidates = desired_loads.iter().filter(|desired| desired.cause != LoadCause::Prewarm);
     let unmet = candidates.into_iter().find(|desired| engine.model(&desired.model).is_none())?;
     (granted < required && !engine.is_leaving())
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -52,6 +52,7 @@
     pub retain_until: OrderedMap<ModelName, Time>,
     /// When each model last had a request in progress.
     pub last_busy: OrderedMap<ModelName, Time>,
+    /// The power that the most urgent load lacks, and that load's service order.
     pub power_shortfall: Option<(Watts, ServiceOrder)>,
     /// Models in the last report.
     pub reported_models: OrderedSet<ModelName>,
@@ -61,11 +62,12 @@
     pub pinned: OrderedSet<ModelName>,
     /// Models to load ahead of their next request.
     pub prewarm: OrderedSet<ModelName>,
-    /// Models whose request rate requires a replica on this engine.
+    /// Hot models that this engine has to hold: their request rate requires more than
+    /// one replica.
     pub hot: OrderedSet<ModelName>,
-    /// Hot models whose replicas cannot serve the current demand.
+    /// The part of `hot` whose next replica is loaded before all else.
     pub under_replicated: OrderedSet<ModelName>,
-    /// Models of which the engine has to fetch a copy.
+    /// Models to load only for a copy of their weights.
     pub missing_copies: OrderedSet<ModelName>,
     /// Prewarmed models, with their last use before the prewarm.
     pub prewarmed: OrderedMap<ModelName, Time>,
--- a/crates/skylarkshore-core/src/loading/engine_state.rs
+++ b/crates/skylarkshore-core/src/loading/engine_state.rs
@@ -61,7 +61,7 @@
     pub expected_end: Time,
     /// When the load was last checked.
     pub last_checked: Time,
-    /// Whether the weights come from the weight store.
+    /// Whether the weights come from the weight store, so that the load has a load slot.
     pub is_from_store: bool,
 }
 
@@ -123,7 +123,7 @@
     pub reason: CloseReason,
     /// The service order of the load that needs the memory.
     pub for_service_order: Option<ServiceOrder>,
-    /// When the memory was last needed.
+    /// When a load last needed the memory.
     pub last_needed: Time,
 }
 
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -21,7 +21,7 @@
 
 /// Upper estimate of the time until an engine's first report.
 const SURVEY_TIME: Duration = Duration::from_secs(1);
-/// Estimated time until memory or power becomes available.
+/// Estimated time until an engine without enough memory or power gets it.
 const BLOCKED_DELAY: Duration = Duration::from_secs(10);
 /// Retry delay while memory, power or ownership is unavailable.
 const SHORT_RETRY: Duration = Duration::from_secs(5);
@@ -90,8 +90,8 @@
 /// Loads with a higher rank count, loads with a lower rank do not. If all waiting
 /// loads counted, every model would seem as far away as the last one, and requests
 /// that could be served would be refused. The estimate uses measured load and unload
-/// times: assuming 2.5 s per run where runs take 0.4 s made two of three refusals
-/// wrong.
+/// times: when every load was assumed to wait for a request that runs for 2.5 s,
+/// although requests ran for 0.4 s, two of three refusals were wrong.
 pub(crate) fn time_to_ready(
     cx: &Cx<'_>,
     engine: &Engine,
--- a/crates/skylarkshore-core/src/loading/gate.rs
+++ b/crates/skylarkshore-core/src/loading/gate.rs
@@ -15,18 +15,19 @@
 use crate::time::Time;
 use crate::units::LoadRate;
 
-/// How often the holder of a slot renews it.
+/// How often the process that was granted a slot, its holder, renews it.
 pub(crate) const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// After how long a slot that is not renewed is given to others. Two renewals in a row may be lost.
 ///
-/// The holder may be gone, or its release lost. With one load at a time, that slot
-/// is the whole store: held for 35 s, it blocked all fetches until long after a
-/// fault, and callers of models without a copy on disk were refused. A holder paused
-/// for longer keeps loading beside one additional load.
+/// The holder may be gone, or its release lost. If the limit is one load at a time,
+/// such a slot blocks the store for all: held for 35 s, it kept every model from
+/// being fetched until long after a fault, and callers of models without a copy on
+/// disk were refused. If the holder was only paused for longer, its load and the
+/// next one run at the same time.
 const SLOT_TTL: Duration = RENEW_INTERVAL.saturating_mul(3).saturating_add(Duration::from_secs(1));
-/// Time without a renewal after which a slot's measured length is invalid.
+/// Time without a renewal after which the measured length of the slot's load is invalid.
 const HOLDER_TIMEOUT: Duration = RENEW_INTERVAL.saturating_mul(2).saturating_add(Duration::from_millis(500));
-/// Gap between two checks that counts as a pause of this process.
+/// Gap between two checks above which this process is taken to have been paused.
 const OWN_PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 /// How long a queued load stays in the queue without a new request.
 pub(crate) const QUEUE_TTL: Duration = Duration::from_secs(2);
@@ -49,7 +50,7 @@
     pub max_wait: Duration,
 }
 
-/// Returns how many loads may start in the whole deployment.
+/// Returns the rate at which loads may start in the whole deployment.
 pub(crate) fn rate(cx: &Cx<'_>) -> LoadRate {
     let by_settings = LoadRate(cx.cfg.limits.loads_per_second.saturating_mul(1000));
     cx.document.catalogue.load_rate.unwrap_or(by_settings)
@@ -74,15 +75,14 @@
     renewed: Time,
     /// Whether the holder or this process was paused meanwhile.
     ///
-    /// The end of the load is then noticed late. If that counted as its length, the
-    /// store would seem slow and callers would be refused.
+    /// The end of the load is then noticed late. With the time until then as its
+    /// length, the store would seem slow and callers would be refused.
     was_paused: bool,
     /// How many other loads ran when the slot was granted.
     ///
-    /// The store sets a load's rate at its start; later loads only get slower
-    /// themselves. When the maximum over the whole load was used, a load that had
-    /// started alone and ended in time doubled the limit on a store that sustains
-    /// one load.
+    /// Loads that start later do not slow this one down, since the store sets a load's
+    /// rate at its start. With the maximum during the load instead, a load that
+    /// started alone and ended in time doubled the limit on a store that sustains one.
     concurrent_at_start: usize,
     expires: Time,
 }
@@ -100,6 +100,7 @@
 }
 
 impl Gate {
+    /// Queues a load, or grants its slot again if the sender holds it already.
     pub(crate) fn request(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey, urgency: Urgency) {
         if self.granted.get(key).is_some_and(|granted| granted.from == *from) {
             self.renew(cx, from, key);
@@ -142,6 +143,7 @@
         granted.expires = cx.now.after(SLOT_TTL);
     }
 
+    /// Removes a load from the queue, or ends its slot if the sender holds it.
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>, from: &HostId, key: &LoadKey) {
         self.detect_own_pause(cx.now);
         if self.granted.get(key).is_some_and(|granted| granted.from == *from) {
@@ -203,6 +205,7 @@
         first + longest.unwrap_or_default() * rounds
     }
 
+    /// Removes a granted slot and adjusts the concurrency limit by its load's length.
     fn record_end(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         let Some(granted) = self.granted.remove(key) else { return };
         let Some(model) = cx.document.catalogue.models.get(&key.model) else { return };
@@ -226,6 +229,7 @@
         granted.chain(queued)
     }
 
+    /// Grants slots to queued loads as far as the rate and the concurrency limit allow.
     pub(crate) fn grant_due(&mut self, cx: &mut Cx<'_>) {
         self.queue.retain(|_, queued| !queued.expires.is_due(cx.now));
         self.granted.retain(|_, granted| !granted.expires.is_due(cx.now));
--- a/crates/skylarkshore-core/src/loading/load.rs
+++ b/crates/skylarkshore-core/src/loading/load.rs
@@ -1,4 +1,5 @@
-//! Starts loads: checks memory, power and the load slot, and sends the order.
+//! Starts loads: checks memory, power and the load slot, and sends the order. Start
+//! with [`start_loads`].
 
 use std::time::Duration;
 
@@ -170,7 +171,8 @@
     engine.model(model).is_some_and(|reported| reported.adapters.iter().any(|a| a.adapter == *adapter))
 }
 
-/// Reports whether a load of the model needs a load slot.
+/// Reports whether a load of the model needs a load slot; on other than sequential
+/// engines every load does.
 fn needs_load_slot(engine: &Engine, desired: &DesiredLoad) -> bool {
     !engine.is_sequential() || !engine.has_copy(&desired.model)
 }
@@ -342,7 +344,8 @@
         || engine.pending_orders.find(model, loading).is_some()
 }
 
-/// Reports whether a load of the model or its adapters uses the weight store.
+/// Reports whether a load of the model or its adapters is running, or probably so.
+/// Its load slot, if it has one, is kept that long.
 ///
 /// An order in doubt counts only while the engine reports that it is busy. It may
 /// never have arrived, and stays in doubt while the engine is unreachable or nobody
@@ -354,7 +357,7 @@
     is_shown_loading(engine, model) || engine.pending_orders.is_loading(model) || may_be_loading()
 }
 
-/// Returns the models that the engine is loading from the weight store.
+/// Returns the models that the engine is loading with a load slot.
 pub(crate) fn running_store_loads(engine: &Engine) -> impl Iterator<Item = &ModelName> {
     let loads = engine.loads.iter().filter(|(_, load)| load.is_from_store);
     loads.map(|(model, _)| model).filter(|model| is_load_running(engine, model))
--- a/crates/skylarkshore-core/src/loading/load_abilities.rs
+++ b/crates/skylarkshore-core/src/loading/load_abilities.rs
@@ -1,4 +1,4 @@
-//! Which of the engines owned by this process are able to load models. See [`OwnedEngines`].
+//! Which of the engines owned by this process are able to load models. See [`LoadAbilities`].
 
 use crate::collections::{OrderedMap, OrderedSet};
 use crate::cx::Cx;
@@ -35,10 +35,12 @@
         self.engines.remove(engine);
     }
 
-    /// Returns the engine's position among the owned homes of a model that can load it.
+    /// Returns how many homes of a model that this process owns and that can load the
+    /// model come before the engine.
     ///
+    /// The engine loads the model if fewer come before it than replicas are needed.
     /// Homes of other owners do not count, because routers ask one owner after the
-    /// other. An owner of several homes starts with one of them.
+    /// other.
     pub(crate) fn homes_before(&self, engine: &UpstreamId, model: &ModelName, homes: &HomesRecord) -> u32 {
         let before = homes.engines.iter().take_while(|home| *home != engine);
         let able = before.filter(|home| {
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -1,15 +1,21 @@
-//! Load slots of this process: requests to the weight-store gate, and the gate
-//! itself if this process hosts it.
+//! Load slots of this process. Start with [`LoadSlots`].
 //!
-//! Exceeding the weight store's rate slows loads down but breaks nothing, so the
-//! gate is soft: rendezvous hashing picks one live member, which keeps the gate's
-//! state in memory. If that member does not answer, the next in hash order is asked,
-//! and after a few the process uses a small fixed local share.
+//! A load slot is the permission for one load from the weight store. Slots are
+//! granted by the weight-store gate, which limits the concurrent loads of all
+//! processes. Every process can host the gate; rendezvous hashing over the live
+//! members picks the one that does. Where a gate is named here, it is by its host.
 //!
-//! The local share is small for one host but too much for all. When eighty hosts
-//! used it, forty-four loads ran concurrently on a store that sustains one, and two
-//! of them ended in a day. A gate therefore counts as silent only after repeated
-//! requests without an answer.
+//! Too many loads slow each other down but break nothing. The gate's state is
+//! therefore kept only in its host's memory, and a new host may grant too many slots
+//! at first. If a gate does not answer, the next host in hash order is asked. If
+//! none answers, the process grants itself slots, its local share: one at a time, at
+//! intervals that grow with the number of members.
+//!
+//! The local share is small for one host, but not if all use it. A former version
+//! took a gate for silent that had not been asked for a while: eighty hosts used
+//! their local share, forty-four loads ran concurrently on a store that sustains
+//! one, and in a day only two of them ended. A gate therefore counts as silent only
+//! after repeated requests without an answer.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -31,11 +37,11 @@
 const GATE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a silent gate is not asked. Paused hosts stay paused for some seconds.
 const GATE_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How many gates are tried before the local share is used.
+/// How many hosts, the first in hash order, are tried as gates before the local share is used.
 ///
 /// If all are down, callers of an unloaded model wait [`GATE_TIMEOUT`] for each.
 const MAX_GATES: usize = 2;
-/// How long the gate's wait estimate for one load is applied to others.
+/// How long the gate's wait estimate for one load is applied to loads without one.
 const ESTIMATE_TTL: Duration = Duration::from_secs(1);
 /// Minimum interval between loads on the local share.
 const MIN_LOCAL_INTERVAL: Duration = Duration::from_secs(1);
@@ -58,13 +64,13 @@
     Local,
 }
 
-/// The slot request of one load.
+/// The slot request of one load; kept until the load has ended.
 #[derive(Clone, Debug)]
 struct SlotRequest {
-    /// When the caller last wanted the slot.
+    /// When `LoadSlots::request` was last called for the load.
     last_requested: Time,
     next_message: Time,
-    /// The gate that was last asked or granted the slot.
+    /// The gate that was last asked for the slot, granted it or was told of the load.
     gate: Option<HostId>,
     /// When the gate was last asked.
     last_asked: Option<Time>,
@@ -94,14 +100,15 @@
     }
 }
 
-/// Slot requests of this process, and the gate if this process hosts it.
+/// Slot requests of this process, and the state of the gate, used while this process hosts it.
 #[derive(Debug, Default)]
 pub(crate) struct LoadSlots {
     requests: OrderedMap<LoadKey, SlotRequest>,
     last_local_grant: Option<Time>,
-    /// Until when the weight store is busy, according to the gate.
+    /// The grant time that the gate last estimated for any load; used for loads
+    /// without an estimate of their own.
     latest_expected_grant: Time,
-    /// Until when that estimate applies.
+    /// Until when `latest_expected_grant` applies.
     estimate_valid_until: Time,
     /// Gates that did not answer, and until when they are not asked.
     silent_gates: OrderedMap<HostId, Time>,
@@ -109,7 +116,7 @@
 }
 
 impl LoadSlots {
-    /// Requests a slot, or returns that it has been granted.
+    /// Requests a slot unless it has been granted, and returns its status.
     pub(crate) fn request(&mut self, cx: &mut Cx<'_>, key: &LoadKey, urgency: Urgency) -> SlotStatus {
         let now = cx.now;
         let request = self.requests.entry(key.clone()).or_insert_with(|| SlotRequest::new(now, urgency));
@@ -125,7 +132,8 @@
         SlotStatus::Waiting
     }
 
-    /// Reports whether no gate answers. A gate that timed out is replaced by the next one first.
+    /// Marks a gate that timed out as silent and asks the next one. Reports whether
+    /// all gates that may be tried are silent, or no member is known.
     fn fail_over(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
         let Some(request) = self.requests.get_mut(key) else { return false };
@@ -142,16 +150,17 @@
         !are_gates_responsive && self.gate_host(cx).is_none()
     }
 
-    /// Records that a load has started.
+    /// Records that the load of a granted slot has started.
     pub(crate) fn record_started(&mut self, key: &LoadKey) {
         if let Some(request) = self.requests.get_mut(key) {
             request.started = true;
         }
     }
 
-    /// Records that a load is in progress, even if its slot was released.
+    /// Adds a granted request for a running load that has none.
     ///
     /// A resent order of unknown outcome may be accepted after its slot was released.
+    /// The load occupies the weight store all the same, and the gate has to count it.
     pub(crate) fn restore_running(&mut self, now: Time, key: &LoadKey) {
         if self.requests.contains_key(key) {
             return;
@@ -162,9 +171,10 @@
         self.requests.insert(key.clone(), request);
     }
 
-    /// Returns the process that hosts the gate: the first in hash order that is not silent.
+    /// Returns the host of the gate: the first in hash order that is not silent, among
+    /// the first [`MAX_GATES`] members that are not leaving.
     ///
-    /// Processes with the same member list choose the same one.
+    /// Processes with the same member list choose the same host.
     fn gate_host(&self, cx: &Cx<'_>) -> Option<HostId> {
         let members = cx.cache.members().filter(|(_, member)| !member.leaving).map(|(host, _)| host);
         let mut ranked: Vec<(u64, &HostId)> = members
@@ -175,6 +185,7 @@
         ranked.into_iter().take(MAX_GATES).map(|(_, host)| host).find(is_responsive).cloned()
     }
 
+    /// Grants a slot on the local share if it is free. Reports whether it was.
     fn grant_local(&mut self, cx: &mut Cx<'_>, key: &LoadKey) -> bool {
         let now = cx.now;
         let interval = local_interval(cx);
@@ -191,8 +202,8 @@
         true
     }
 
-    /// Reports whether a message to the gate is due. If so, expired entries of
-    /// silent gates are dropped.
+    /// Reports whether a message to the gate is due. If so, gates that have been silent
+    /// for long enough may be asked again.
     fn is_message_due(&mut self, now: Time, key: &LoadKey) -> bool {
         if self.requests.get(key).is_none_or(|request| !request.next_message.is_due(now)) {
             return false;
@@ -211,8 +222,8 @@
         let Some(request) = self.requests.get_mut(key) else { return };
         request.next_message = now.after(REQUEST_INTERVAL);
         let Some(gate) = gate else { return };
-        // Requests from before a gap do not count as unanswered: an engine busy with
-        // another order sends none meanwhile.
+        // After a gap in this process's own requests, the series of unanswered ones
+        // starts anew: while the engine is busy with another order, none is sent.
         let is_repeated = request.last_asked.is_some_and(|asked| !asked.after(GATE_TIMEOUT).is_due(now));
         if !is_repeated || request.gate.as_ref() != Some(&gate) {
             request.unanswered_since = None;
@@ -269,10 +280,10 @@
 
     /// Returns how long a load has to wait for its slot, according to the gate.
     ///
-    /// A load that has not asked yet gets the most recent estimate, if that is
-    /// fresh. If estimates lived longer, callers would be refused because of loads
-    /// that nobody wants any more, and with all refused, nobody would ask the gate
-    /// again.
+    /// A load without a request gets the estimate for another load, unless that is
+    /// older than [`ESTIMATE_TTL`]. Client requests whose expected wait is too long
+    /// are refused. If an estimate outlived the loads that it was made for, all of
+    /// them would be refused, and no new load would ask the gate for a lower one.
     pub(crate) fn expected_wait(&self, cx: &Cx<'_>, key: &LoadKey) -> Duration {
         match self.requests.get(key) {
             Some(request) if request.source == SlotSource::None => request.expected_grant.remaining(cx.now),
@@ -282,9 +293,10 @@
         }
     }
 
-    /// Renews slots, drops requests that are no longer wanted and grants slots that are free.
+    /// Renews the slots of running loads, and drops requests that are no longer
+    /// wanted. The gate, if this process hosts it, grants the slots that are free.
     ///
-    /// `running` reports whether a started load is still in progress.
+    /// `is_running` reports whether a started load is still in progress.
     pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>, is_running: impl Fn(&LoadKey) -> bool) {
         let keys: Vec<LoadKey> = self.requests.keys().cloned().collect();
         for key in keys {
@@ -303,8 +315,9 @@
 
     /// Reports a load in progress to the current gate, if a message is due.
     ///
-    /// Only the gate that granted the slot knows of it. A successor would grant as
-    /// many slots again beside the running loads and slow all of them down.
+    /// Without this message, a gate on another host than the one that granted the
+    /// slots would not know of the running loads. It would grant as many slots again,
+    /// and all loads would slow down.
     fn renew(&mut self, cx: &mut Cx<'_>, key: &LoadKey) {
         if !self.is_message_due(cx.now, key) {
             return;
@@ -364,8 +377,8 @@
             request.gate = Some(from.clone());
             request.next_message = cx.now.after(RENEW_INTERVAL);
         } else if request.gate.as_ref() != Some(from) {
-            // Another gate has granted the slot meanwhile, and only that one will be
-            // notified of its end.
+            // The load has a slot already, and its end will be reported to the gate of
+            // that slot only.
             cx.send(from, slot_returned(key));
         }
     }
@@ -381,7 +394,8 @@
 
 /// Returns the interval between loads on the local share.
 ///
-/// All processes may lose the gate at the same time and must keep to the rate together.
+/// All processes may lose the gate at the same time. Each waits until every other
+/// could have started a load, so that together they keep to the store's rate.
 fn local_interval(cx: &Cx<'_>) -> Duration {
     let (span, starts) = rate(cx).window();
     let hosts = u32::try_from(cx.cache.members().count()).unwrap_or(u32::MAX).max(1);
--- a/crates/skylarkshore-core/src/loading/pipelining.rs
+++ b/crates/skylarkshore-core/src/loading/pipelining.rs
@@ -6,8 +6,8 @@
 //! refuses it while the unload lasts; its acceptance shows that the memory is free.
 //! This reduced the median time from unload to load from 0.30 s to 0.10 s.
 //!
-//! A load from a copy takes the listed time and is assumed to have ended after that.
-//! Later reports adjust the margin on the listed time.
+//! A load from a copy is assumed to have ended after its listed time and a margin, and
+//! the next order follows at once. A later report verifies this and adjusts the margin.
 
 use std::time::Duration;
 
@@ -60,8 +60,8 @@
     true
 }
 
-/// Marks unloads as completed because the engine accepted a load after them. Reports
-/// whether there were any.
+/// Records that the accepted unloads have ended, because the engine accepted a load
+/// after them. Reports whether there were any.
 pub(crate) fn record_ended_unloads(engine: &mut Engine, now: Time, times: &mut LoadTimes) -> bool {
     if !engine.is_sequential() {
         return false;
@@ -75,8 +75,8 @@
     !unloads.is_empty()
 }
 
-/// Marks loads from copies as completed when their expected time is over. Reports
-/// whether there were any.
+/// Assumes that loads from copies have ended whose expected time is over, and marks
+/// their models as ready. Reports whether there were any.
 ///
 /// Waiting for a report would add 0.15 s to a swap of 0.65 s, in which the engine would be idle.
 pub(crate) fn assume_due_loads_ended(cx: &Cx<'_>, engine: &mut Engine) -> bool {
@@ -106,7 +106,8 @@
     !due.is_empty()
 }
 
-/// Compares a report with the assumed end of the last load, and adjusts the margin.
+/// Compares a report with the assumed end of the last load from a copy, and adjusts
+/// the margin.
 pub(crate) fn verify_assumed_load_end(
     engine: &mut Engine,
     requested_at: Time,
--- a/crates/skylarkshore-core/src/loading/publishing.rs
+++ b/crates/skylarkshore-core/src/loading/publishing.rs
@@ -15,11 +15,11 @@
 use crate::upstream::{LoadState, Order, ReportedModel};
 use crate::view::{EngineView, ModelView, Readiness, ViewVersion};
 
-/// Minimum interval between updates that only change load figures.
+/// Minimum interval between updates that only change the numbers of running requests.
 const RUNNING_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Increase of a load's remaining time above which subscribers are updated.
+/// Increase of a model load's remaining time above which subscribers are updated.
 const MIN_DELAY_INCREASE: Duration = Duration::from_secs(1);
-/// Limit on load updates sent for one engine in a second.
+/// Limit on such updates sent for one engine in a second.
 ///
 /// Every host subscribes to a model that is in use everywhere. Updating each of 350
 /// hosts once a second would take several times the resources planned for control
@@ -100,7 +100,7 @@
     view.models.iter().any(|reported| is_same_model(reported, model))
 }
 
-/// Returns the interval between updates that only change load figures.
+/// Returns the interval between updates that only change the numbers of running requests.
 fn running_update_interval(hosts: &OrderedSet<HostId>) -> Duration {
     let subscribers = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
     RUNNING_UPDATE_INTERVAL
@@ -154,7 +154,8 @@
     })
 }
 
-/// Reports whether two views are equal, including load figures if `with_load` is set.
+/// Reports whether two views are equal, with the numbers of running requests if
+/// `with_running` is set.
 fn is_same(a: &EngineView, b: &EngineView, with_running: bool) -> bool {
     let structure = a.leaving == b.leaving
         && a.concurrency == b.concurrency
--- a/crates/skylarkshore-core/src/loading/replicas.rs
+++ b/crates/skylarkshore-core/src/loading/replicas.rs
@@ -1,4 +1,5 @@
-//! Computes how many replicas a model in constant use needs, and on which of its homes.
+//! Computes how many replicas a model in constant use, a hot model, needs, and on
+//! which of its homes. See [`review_hot`].
 
 use crate::cx::Cx;
 use crate::id::{ModelName, UpstreamId};
@@ -8,20 +9,20 @@
 use crate::units::Mebibytes;
 use crate::upstream::UpstreamStatus;
 
-/// Request rate per second from which a model gets a second replica.
+/// Requests per second from which a model is hot and gets a second replica.
 ///
 /// From this rate on, the requests that would wait for a load after the loss of the
 /// only replica outweigh the memory of a second one.
 const HOT_RATE: f64 = 1.0;
-/// Minimum number of replicas of such a model.
+/// Minimum number of replicas of a hot model.
 const HOT_REPLICAS: u32 = 2;
-/// Divisor of the required replicas; with fewer than this part, the missing ones are loaded first.
+/// A model with fewer than its required replicas divided by this is under-replicated.
 const UNDER_REPLICATED_DIVISOR: u32 = 2;
-/// Minimum number of engines with a copy of a model in constant use.
+/// A hot model whose weights are on fewer engines than this is under-replicated.
 const MIN_COPIES: usize = 2;
 /// Share of late answers above which a model needs one more replica.
 const LATE_SHARE: f64 = 0.15;
-/// Share of late answers above which that replica is loaded first.
+/// Share of late answers above which a model is under-replicated.
 const CRITICAL_LATE_SHARE: f64 = 0.4;
 /// Utilization of a replica's concurrency above which one more replica is needed.
 ///
@@ -35,7 +36,7 @@
 /// could never be loaded.
 const HOT_MEMORY_DIVISOR: u64 = 2;
 
-/// Updates the hot models that this engine has to hold.
+/// Updates the hot models that this engine has to hold, and which are under-replicated.
 pub(crate) fn review_hot(cx: &Cx<'_>, engine: &mut Engine, context: &DecisionContext<'_>) {
     engine.hot.clear();
     engine.under_replicated.clear();
@@ -65,7 +66,7 @@
     }
 }
 
-/// Reports whether another replica of a model has to be loaded before all else.
+/// Reports whether the next replica of a hot model has to be loaded before all else.
 ///
 /// If one engine holds a model in constant use and no other has a copy, all callers
 /// wait for the weight store when that engine leaves. During a rolling replacement,
@@ -84,8 +85,8 @@
             < replicas_by_use(cx, engine, context, model, homes)
 }
 
-/// Reports whether unloading the model would make more callers wait than wait for
-/// its replacement now.
+/// Reports whether unloading the model would make more callers wait than the
+/// `waiting` ones, who wait now for the model that would take its place.
 ///
 /// The first homes that hold the model keep as many replicas as it needs. Recency is
 /// not sufficient: a model with forty requests a second on its only replica was
@@ -163,7 +164,8 @@
     usable(cx, engine, homes).last() == Some(&engine.id)
 }
 
-/// Returns the engine's position among the homes that can load the model.
+/// Returns how many homes that can load the model come before the engine; none if
+/// it is not a home.
 pub(crate) fn usable_homes_before(cx: &Cx<'_>, engine: &Engine, homes: &HomesRecord) -> Option<u32> {
     usable(cx, engine, homes).zip(0..).find(|(home, _)| **home == engine.id).map(|(_, before)| before)
 }
--- a/crates/skylarkshore-core/src/loading/reservation.rs
+++ b/crates/skylarkshore-core/src/loading/reservation.rs
@@ -22,8 +22,8 @@
 }
 
 impl Reservation {
-    /// Reserves the engine for a router. Ignored if another router holds it; that
-    /// router asks again.
+    /// Reserves the engine for a router unless another one holds it. The refused router
+    /// repeats its request.
     pub(crate) fn reserve(&mut self, now: Time, from: &HostId, max_wait: Duration) {
         if self.held.as_ref().is_some_and(|held| held.by != *from) {
             return;
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -1,6 +1,7 @@
 //! Selects models to unload, evicts idle models for more urgent loads, and sends unload orders.
 //!
-//! Closing comes first: routers stop sending requests, and the model is unloaded once nothing runs.
+//! A model is closed first, so that routers send no more requests to it, and unloaded
+//! once none runs. A sequential engine itself waits for running requests.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order, ReportedModel};
 
-/// How long after the last request for its memory a closing model may be reopened.
+/// Time without a load that needs its memory after which a closing model may be reopened.
 const ROOM_REQUEST_TTL: Duration = Duration::from_secs(1);
 /// How long a model must be idle before it is evicted for a copy that no request waits for.
 const COPY_EVICTION_IDLE: Duration = Duration::from_secs(2);
@@ -268,7 +269,7 @@
 /// An eviction candidate. Candidates whose eviction costs least sort first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
-    /// Models with the last service order come first.
+    /// The least urgent service order comes first.
     service_order: Reverse<ServiceOrder>,
     /// Saving per gibibyte if the model stays, in milliseconds of idle accelerator time.
     value: u64,
@@ -391,7 +392,7 @@
 
 /// Reports whether a report requested after the grace period shows no running request.
 ///
-/// Load figures in a report lag. An earlier report may miss a request that a router
+/// The request counts in a report lag. An earlier report may miss a request that a router
 /// sent just before it received the closing view, and the unload would abort it.
 fn is_drained(cx: &Cx<'_>, engine: &Engine, model: &ModelName, closing: &Closing) -> bool {
     let Some(last) = &engine.last_report else { return false };
--- a/crates/skylarkshore-core/src/loading/unserved.rs
+++ b/crates/skylarkshore-core/src/loading/unserved.rs
@@ -1,4 +1,5 @@
-//! Detects models and adapters that are requested repeatedly without any request being run.
+//! Detects targets, that is, models and adapters, that are requested repeatedly
+//! without any of the requests being run.
 //!
 //! A single host sees too few requests for a rarely used model to notice. The owner
 //! of the model's first home receives the usage reports of all hosts and knows from
