--- a/crates/skylarkshore-core/src/loading.rs
+++ b/crates/skylarkshore-core/src/loading.rs
@@ -8,7 +8,8 @@
 //! Terms used in all submodules:
 //!
 //! - *Owner*: the one process that may send orders to an engine. Its fence is a
-//!   number that rises with every new ownership; the engine refuses lower ones.
+//!   number that rises with every new ownership; orders carry it, and an engine that
+//!   checks it refuses those of former owners.
 //! - *Home* of a model: an engine on which it may be loaded. The homes record lists
 //!   them, the preferred one first. [`Authority::is_home`] is stricter, and only homes
 //!   that it admits are loaded: it excludes homes beyond the permitted number of
@@ -22,6 +23,7 @@
 //! - *Service order*: priority of requests when capacity is short; lower goes first.
 //! - *Sequential engine*: executes one order at a time and counts the orders that it
 //!   has accepted. An order that expects an earlier count is refused as a conflict.
+//! - *Order in doubt*: its answer was lost; it may or may not be executed, now or later.
 
 mod adapters;
 mod concurrency_limit;
--- a/crates/skylarkshore-core/src/loading/adapters.rs
+++ b/crates/skylarkshore-core/src/loading/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapter slots of engines with a limited number of them.
+//! Adapter slots: some engines can hold only a limited number of adapters.
 
 use crate::authority::Permit;
 use crate::cx::Cx;
--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -86,20 +86,22 @@
 
 impl Demand {
     /// Records a router's report, which replaces its previous one.
-    pub(crate) fn record(&mut self, now: Time, wanted: WaitReport<'_>, timings: &Timings) {
-        self.subscribe(now, wanted.from, &wanted.target.model, timings);
-        if wanted.waiting == 0 {
-            return self.clear_waiting(wanted.from, wanted.target);
+    pub(crate) fn record(&mut self, now: Time, wait_report: WaitReport<'_>, timings: &Timings) {
+        self.subscribe(now, wait_report.from, &wait_report.target.model, timings);
+        if wait_report.waiting == 0 {
+            return self.clear_waiting(wait_report.from, wait_report.target);
         }
         let waiting = HostDemand {
-            count: wanted.waiting,
-            service_order: wanted.service_order,
-            deadline: now.after(wanted.max_wait),
-            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
+            count: wait_report.waiting,
+            service_order: wait_report.service_order,
+            deadline: now.after(wait_report.max_wait),
+            soft_deadline: wait_report
+                .soft_deadline
+                .map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             expires: now.after(timings.wanted_every * MAX_MISSED_MESSAGES),
             held_for_retry: false,
         };
-        self.waiting.entry(wanted.target.clone()).or_default().insert(wanted.from.clone(), waiting);
+        self.waiting.entry(wait_report.target.clone()).or_default().insert(wait_report.from.clone(), waiting);
     }
 
     /// Records that a router subscribes to a model.
@@ -119,9 +121,9 @@
     ///
     /// Callers with short timeouts are refused before the load starts. If the load
     /// were dropped with them, they would be refused forever.
-    pub(crate) fn hold_for_retry(&mut self, now: Time, wanted: &WaitReport<'_>, retry_after: Duration) {
-        let routers = self.waiting.get_mut(wanted.target);
-        let Some(waiting) = routers.and_then(|routers| routers.get_mut(wanted.from)) else { return };
+    pub(crate) fn hold_for_retry(&mut self, now: Time, wait_report: &WaitReport<'_>, retry_after: Duration) {
+        let routers = self.waiting.get_mut(wait_report.target);
+        let Some(waiting) = routers.and_then(|routers| routers.get_mut(wait_report.from)) else { return };
         let until = now.after(retry_after.saturating_add(RETRY_GRACE));
         waiting.held_for_retry = true;
         waiting.deadline = waiting.deadline.max(until);
@@ -161,14 +163,16 @@
     }
 
     /// Returns the demand for a model including a router's new report.
-    pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
+    pub(crate) fn combined_with(&self, now: Time, wait_report: &WaitReport<'_>) -> ModelDemand {
         let reported = ModelDemand {
-            service_order: wanted.service_order,
-            deadline: now.after(wanted.max_wait),
-            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
-            waiting: wanted.waiting,
+            service_order: wait_report.service_order,
+            deadline: now.after(wait_report.max_wait),
+            soft_deadline: wait_report
+                .soft_deadline
+                .map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
+            waiting: wait_report.waiting,
         };
-        let Some(others) = self.of_model(&wanted.target.model) else { return reported };
+        let Some(others) = self.of_model(&wait_report.target.model) else { return reported };
         ModelDemand {
             service_order: reported.service_order.min(others.service_order),
             deadline: reported.deadline.max(others.deadline),
--- a/crates/skylarkshore-core/src/loading/desired_loads.rs
+++ b/crates/skylarkshore-core/src/loading/desired_loads.rs
@@ -20,7 +20,7 @@
 /// A model with at least this many waiting requests is loaded before models with fewer.
 const MANY_WAITING: u32 = 4;
 
-/// First component of [`Rank`]: whether few requests wait, then the service order.
+/// First component of [`Rank`], lowest first: whether few requests wait, then the service order.
 type Precedence = (bool, ServiceOrder);
 
 fn precedence(waiting: u32, service_order: ServiceOrder) -> Precedence {
@@ -34,7 +34,7 @@
     /// late. Such models are a subset of the hot ones, see `replicas`.
     #[display("scarce")]
     UnderReplicated,
-    /// Requests wait for it.
+    /// Requests wait for it and justify a replica on this engine, whatever else does.
     #[display("waiting")]
     Waiting,
     /// The rules require a minimum number of replicas.
@@ -80,9 +80,9 @@
     /// Returns the sort key; the lowest goes first.
     ///
     /// Among loads of the same cause, a model with many waiting requests goes first,
-    /// because more arrive until it is loaded. A load takes a second or two: if single requests with a better
-    /// service order always went first, a steady trickle would starve that model,
-    /// and hundreds of requests would miss their deadlines.
+    /// because more arrive until it is loaded. A load takes a second or two: if single
+    /// requests with a better service order always went first, a steady trickle would
+    /// starve that model, and hundreds of requests would miss their deadlines.
     ///
     /// An answer after the soft deadline is worth less, however late it is before
     /// the deadline. Loads that can end before the soft deadline therefore go first.
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -52,10 +52,10 @@
     cx: &Cx<'_>,
     engine: &Engine,
     context: &DecisionContext<'_>,
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
 ) -> Assessment {
-    let model = &wanted.target.model;
-    if wanted.waiting == 0 || is_usable(cx, engine, wanted) {
+    let model = &wait_report.target.model;
+    if wait_report.waiting == 0 || is_usable(cx, engine, wait_report) {
         return Assessment::InTime;
     }
     if engine.is_silent(cx.now, cx.cfg.timings.engine_timeout) {
@@ -66,23 +66,28 @@
     }
     let load_time = context.load_times.expected_on(cx, engine, model);
     let load = if engine.model(model).is_some_and(|reported| reported.state != LoadState::Unloading) {
-        load_remaining(cx, engine, context, wanted)
+        load_remaining(cx, engine, context, wait_report)
     } else {
         load_time + store_wait(cx, engine, context, model)
     };
     if let Some(failures) = engine.failures.get(model) {
         let retry = failures.retry.remaining(cx.now);
         let load_or_never = if failures.count < MAX_FAILURES { load } else { Duration::MAX };
-        return assess_wait(wanted, load_or_never.saturating_add(retry), CannotLoad::EngineRefuses, retry);
+        return assess_wait(
+            wait_report,
+            load_or_never.saturating_add(retry),
+            CannotLoad::EngineRefuses,
+            retry,
+        );
     }
     let takes = load + start_delay(cx, engine, context, model);
     if engine.report().is_some() && !load::has_power(engine, context) {
-        return assess_wait(wanted, takes, CannotLoad::Power, SHORT_RETRY);
+        return assess_wait(wait_report, takes, CannotLoad::Power, SHORT_RETRY);
     }
     if engine.memory_blocked.contains(model) {
-        return assess_wait(wanted, takes, CannotLoad::Memory, SHORT_RETRY);
+        return assess_wait(wait_report, takes, CannotLoad::Memory, SHORT_RETRY);
     }
-    assess_wait(wanted, takes, CannotLoad::TooSlow, takes)
+    assess_wait(wait_report, takes, CannotLoad::TooSlow, takes)
 }
 
 /// Estimates the time until a model is ready on a sequential engine.
@@ -187,7 +192,7 @@
 
 /// Updates the expected ready times of models that requests wait for; they are published in views.
 ///
-/// A router that hears nothing about a model for some seconds assumes that no owner
+/// A router that gets no view of a model for some seconds assumes that no owner
 /// handles it, and refuses its requests.
 pub(crate) fn plan_ready_times(
     cx: &Cx<'_>,
@@ -221,10 +226,14 @@
     engine.planned = planned;
 }
 
-fn is_usable(cx: &Cx<'_>, engine: &Engine, wanted: &WaitReport<'_>) -> bool {
-    let model = &wanted.target.model;
+fn is_usable(cx: &Cx<'_>, engine: &Engine, wait_report: &WaitReport<'_>) -> bool {
+    let model = &wait_report.target.model;
     engine.is_ready(model)
-        && wanted.target.adapter.as_ref().is_none_or(|adapter| engine.has_adapter(cx.now, model, adapter))
+        && wait_report
+            .target
+            .adapter
+            .as_ref()
+            .is_none_or(|adapter| engine.has_adapter(cx.now, model, adapter))
 }
 
 /// Returns the expected remaining time of a load in progress.
@@ -232,20 +241,20 @@
     cx: &Cx<'_>,
     engine: &Engine,
     context: &DecisionContext<'_>,
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
 ) -> Duration {
-    let minimum = context.load_times.expected_on(cx, engine, &wanted.target.model) / OVERDUE_DIVISOR;
-    let load = engine.loads.get(&wanted.target.model);
+    let minimum = context.load_times.expected_on(cx, engine, &wait_report.target.model) / OVERDUE_DIVISOR;
+    let load = engine.loads.get(&wait_report.target.model);
     load.map_or(minimum, |load| load.remaining(cx.now).max(minimum))
 }
 
 fn assess_wait(
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
     takes: Duration,
     reason: CannotLoad,
     retry_after: Duration,
 ) -> Assessment {
-    if takes <= wanted.max_wait {
+    if takes <= wait_report.max_wait {
         Assessment::InTime
     } else {
         Assessment::Unavailable { reason, retry_after }
@@ -253,7 +262,7 @@
 }
 
 /// Returns the refusal for a router, or none if an engine can serve its requests in time.
-pub(crate) fn refusal(assessments: &[Assessment], wanted: &WaitReport<'_>) -> Option<PeerMessage> {
+pub(crate) fn refusal(assessments: &[Assessment], wait_report: &WaitReport<'_>) -> Option<PeerMessage> {
     let mut refusal = (CannotLoad::NotOwner, Duration::ZERO);
     for assessment in assessments {
         match assessment {
@@ -262,5 +271,5 @@
         }
     }
     let (reason, retry_after) = refusal;
-    Some(PeerMessage::CannotLoad { target: wanted.target.clone(), reason, retry_after })
+    Some(PeerMessage::CannotLoad { target: wait_report.target.clone(), reason, retry_after })
 }
--- a/crates/skylarkshore-core/src/loading/history.rs
+++ b/crates/skylarkshore-core/src/loading/history.rs
@@ -31,6 +31,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct History {
     models: OrderedMap<ModelName, ModelHistory>,
+    /// The gaps of all models together.
     common: InterArrivalHistogram,
 }
 
@@ -79,7 +80,7 @@
         (own.weight() >= MIN_OWN_WEIGHT).then(|| InterArrivalDistribution::new(own, &none, 0.0))
     }
 
-    /// Returns the same, but only if the model has enough gaps of its own.
+    /// Returns the distribution of the model's gaps, or none without enough of its own.
     pub(crate) fn own_gap_distribution(&self, model: &ModelName) -> Option<InterArrivalDistribution> {
         let history = self.models.get(model).filter(|history| history.gaps.weight() >= MIN_OWN_WEIGHT)?;
         Some(InterArrivalDistribution::new(&history.gaps, &self.common, PRIOR_WEIGHT))
--- a/crates/skylarkshore-core/src/loading/load_slots.rs
+++ b/crates/skylarkshore-core/src/loading/load_slots.rs
@@ -12,7 +12,7 @@
 //! intervals that grow with the number of members.
 //!
 //! The local share is small for one host, but not if all use it. A former version
-//! took a gate for silent that had not been asked for a while: eighty hosts used
+//! counted a gate as silent if it had not been asked for a while: eighty hosts used
 //! their local share, forty-four loads ran concurrently on a store that sustains
 //! one, and in a day only two of them ended. A gate therefore counts as silent only
 //! after repeated requests without an answer.
@@ -70,7 +70,7 @@
     /// When `LoadSlots::request` was last called for the load.
     last_requested: Time,
     next_message: Time,
-    /// The gate that was last asked for the slot, granted it or was told of the load.
+    /// The gate that was last asked for the slot, granted it or was notified of the load.
     gate: Option<HostId>,
     /// When the gate was last asked.
     last_asked: Option<Time>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Slot requests of this process, and the state of the gate, used while this process hosts it.
+/// Slot requests of this process, and the gate's state, used while it hosts the gate.
 #[derive(Debug, Default)]
 pub(crate) struct LoadSlots {
     requests: OrderedMap<LoadKey, SlotRequest>,
--- a/crates/skylarkshore-core/src/loading/load_times.rs
+++ b/crates/skylarkshore-core/src/loading/load_times.rs
@@ -15,7 +15,7 @@
 const MIN_LISTED_MARGIN: Duration = Duration::from_millis(20);
 /// Maximum margin; a report shows the end of a load earlier than that.
 const MAX_LISTED_MARGIN: Duration = Duration::from_secs(2);
-/// Share by which the margin shrinks with each load that ended in time.
+/// Share by which the margin shrinks with each load that ended by its assumed end.
 const MARGIN_DECAY: f64 = 0.05;
 /// Weight of a new measurement in the moving average of unload times.
 const NEW_SAMPLE_WEIGHT: f64 = 0.2;
--- a/crates/skylarkshore-core/src/loading/peers.rs
+++ b/crates/skylarkshore-core/src/loading/peers.rs
@@ -42,7 +42,7 @@
                     self.history.record_use(cx.now, &target.model);
                 }
                 self.record_adapter_use(cx.now, target);
-                let wanted = WaitReport {
+                let wait_report = WaitReport {
                     from,
                     target,
                     waiting: *waiting,
@@ -50,12 +50,12 @@
                     max_wait: *max_wait,
                     soft_deadline: *soft_deadline,
                 };
-                if let Some(busy_refusal) = self.busy_refusal(cx, authority, &wanted) {
-                    self.demand.record(cx.now, WaitReport { waiting: 0, ..wanted }, &cx.cfg.timings);
+                if let Some(busy_refusal) = self.busy_refusal(cx, authority, &wait_report) {
+                    self.demand.record(cx.now, WaitReport { waiting: 0, ..wait_report }, &cx.cfg.timings);
                     return cx.send(from, busy_refusal);
                 }
-                self.demand.record(cx.now, wanted, &cx.cfg.timings);
-                self.answer_wanted(cx, authority, &wanted);
+                self.demand.record(cx.now, wait_report, &cx.cfg.timings);
+                self.answer_wanted(cx, authority, &wait_report);
             }
             PeerMessage::PowerWanted { site, .. } => self.power_shortages.record(cx.now, site),
             PeerMessage::ReservationWanted { upstream, max_wait } => {
@@ -92,30 +92,30 @@
         }
     }
 
-    /// Returns a refusal if the model would be ready later than its requests prefer
+    /// Returns a refusal if the model would be ready after its requests' soft deadline
     /// and another home may be faster.
     fn busy_refusal(
         &mut self,
         cx: &mut Cx<'_>,
         authority: &dyn Authority,
-        wanted: &WaitReport<'_>,
+        wait_report: &WaitReport<'_>,
     ) -> Option<PeerMessage> {
-        let soft_deadline = wanted.soft_deadline.filter(|_| wanted.waiting > 0)?;
-        let model = &wanted.target.model;
+        let soft_deadline = wait_report.soft_deadline.filter(|_| wait_report.waiting > 0)?;
+        let model = &wait_report.target.model;
         let homes = cx.cache.homes(model).map_or(0, |(_, homes)| homes.engines.len());
         let concerned = self.engines.values().filter(|engine| authority.is_home(&engine.id, model));
         let concerned: Vec<UpstreamId> = concerned.map(|engine| engine.id.clone()).collect();
         if homes < 2 || concerned.is_empty() || concerned.iter().any(|id| !self.engines[id].is_sequential()) {
             return None;
         }
-        let combined = self.demand.combined_with(cx.now, wanted);
+        let combined = self.demand.combined_with(cx.now, wait_report);
         let mut min_cost = Duration::MAX;
         for id in &concerned {
             self.with_engine(cx, authority, id, |cx, engine, context| {
                 min_cost = min_cost.min(estimates::placement_cost(cx, engine, context, model, &combined));
             });
         }
-        let (target, retry_after) = (wanted.target.clone(), min_cost);
+        let (target, retry_after) = (wait_report.target.clone(), min_cost);
         (min_cost > soft_deadline).then_some(PeerMessage::CannotLoad {
             target,
             reason: CannotLoad::Busy,
@@ -124,8 +124,8 @@
     }
 
     /// Acts on a router's waiting requests at once and sends it the current view.
-    fn answer_wanted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, wanted: &WaitReport<'_>) {
-        let model = &wanted.target.model;
+    fn answer_wanted(&mut self, cx: &mut Cx<'_>, authority: &dyn Authority, wait_report: &WaitReport<'_>) {
+        let model = &wait_report.target.model;
         let concerned: Vec<UpstreamId> = self
             .engines
             .values()
@@ -137,14 +137,14 @@
             self.with_engine(cx, authority, id, |cx, engine, context| {
                 decide(cx, engine, context);
                 publishing::publish_changes(cx, engine, context.demand);
-                publishing::publish_to(cx, engine, wanted.from);
-                assessments.push(estimates::assess(cx, engine, context, wanted));
+                publishing::publish_to(cx, engine, wait_report.from);
+                assessments.push(estimates::assess(cx, engine, context, wait_report));
             });
         }
-        let Some(refusal) = estimates::refusal(&assessments, wanted) else { return };
+        let Some(refusal) = estimates::refusal(&assessments, wait_report) else { return };
         if let PeerMessage::CannotLoad { reason: CannotLoad::TooSlow, retry_after, .. } = &refusal {
-            self.demand.hold_for_retry(cx.now, wanted, *retry_after);
+            self.demand.hold_for_retry(cx.now, wait_report, *retry_after);
         }
-        cx.send(wanted.from, refusal);
+        cx.send(wait_report.from, refusal);
     }
 }
--- a/crates/skylarkshore-core/src/loading/pending_orders.rs
+++ b/crates/skylarkshore-core/src/loading/pending_orders.rs
@@ -29,7 +29,7 @@
     /// How many orders a counting engine must have accepted before this one.
     after: Option<u64>,
     progress: Progress,
-    /// When a copy of the order was last given up as lost; that copy may still arrive.
+    /// When a message with the order was last given up as lost; it may still arrive.
     lost: Option<Time>,
     /// The incarnation that the order was sent to.
     target: TargetIncarnation,
@@ -56,7 +56,7 @@
     Accepted,
     /// Carried out.
     Done,
-    /// Not carried out, and no copy is in flight.
+    /// Not carried out, and no earlier message with the order is in flight.
     NotDone,
     /// Possibly carried out, now or later.
     InDoubt,
@@ -84,8 +84,8 @@
 impl PendingOrders {
     /// Records an order that is about to be sent or resent.
     ///
-    /// Returns how many orders the engine must have accepted before it. All copies
-    /// of an order carry the same number, so that at most one takes effect.
+    /// Returns how many orders the engine must have accepted before it. All messages
+    /// with an order carry the same number, so that at most one takes effect.
     pub(crate) fn begin(
         &mut self,
         order: OrderId,
@@ -136,7 +136,7 @@
                 pending.lost = Some(now);
                 Some((action, Answered::InDoubt))
             }
-            // An earlier copy of the order may still be in flight.
+            // An earlier message with the order may still be in flight.
             _ if pending.lost.is_some() => {
                 pending.progress = Progress::Unanswered;
                 Some((action, Answered::InDoubt))
@@ -188,6 +188,9 @@
     }
 
     /// Removes the orders that the report, requested at `as_of`, settles.
+    ///
+    /// If a message with an order was lost, the order is settled when the report names
+    /// or counts it, or when `grace` has passed since the loss.
     pub(crate) fn resolve(
         &mut self,
         report: &EngineReport,
@@ -197,9 +200,9 @@
         let is_resolved = |order: &OrderId, pending: &mut PendingOrder| {
             let named = report.finished_orders.contains(order);
             if let Some((accepted, after)) = report.accepted.zip(pending.after) {
-                let taken = accepted > after && as_of >= pending.sent && !report.busy;
+                let counted = accepted > after && as_of >= pending.sent && !report.busy;
                 let expired = pending.lost.is_some_and(|lost| as_of >= lost.after(grace));
-                return taken || expired && !matches!(pending.progress, Progress::InFlight);
+                return counted || expired && !matches!(pending.progress, Progress::InFlight);
             }
             match (pending.progress, pending.lost) {
                 (Progress::InFlight, _) => false,
--- a/crates/skylarkshore-core/src/loading/policy.rs
+++ b/crates/skylarkshore-core/src/loading/policy.rs
@@ -52,6 +52,7 @@
     idle: Duration,
     /// Cost of a cold start, in seconds of idle accelerator time.
     cold_start_cost: f64,
+    /// Distribution of the gaps between its uses; none without history.
     expected: Option<InterArrivalDistribution>,
 }
 
@@ -106,12 +107,12 @@
         return true;
     }
     let mut cost = 0.0;
-    let mut earlier = 0.0;
+    let mut previous_horizon = 0.0;
     let mut unused_before = 1.0;
     for horizon in HORIZONS {
         let ahead = Duration::from_secs_f64(horizon);
         let unused: f64 = idle_models.iter().map(|model| model.idle_probability(ahead)).product();
-        cost += (horizon - earlier) * f64::midpoint(unused_before, unused);
+        cost += (horizon - previous_horizon) * f64::midpoint(unused_before, unused);
         let saved: f64 = idle_models
             .iter()
             .map(|model| model.cold_start_cost * (1.0 - model.idle_probability(ahead)))
@@ -119,7 +120,7 @@
         if saved >= margin * cost {
             return true;
         }
-        earlier = horizon;
+        previous_horizon = horizon;
         unused_before = unused;
     }
     false
@@ -140,16 +141,16 @@
     let cold_start_cost = cold_start_cost(history, model, outcome, load_time);
     let lead = load_time.mul_f64(PREWARM_LEAD);
     let mut cost = lead.as_secs_f64();
-    let mut earlier = 0.0;
+    let mut previous_horizon = 0.0;
     let at_ready = expected.conditional_survival(idle, lead);
     let mut unused_before = at_ready;
     for horizon in HORIZONS {
         let unused = expected.conditional_survival(idle, lead + Duration::from_secs_f64(horizon));
-        cost += (horizon - earlier) * f64::midpoint(unused_before, unused);
+        cost += (horizon - previous_horizon) * f64::midpoint(unused_before, unused);
         if cold_start_cost * (at_ready - unused) >= PREWARM_MARGIN * cost {
             return true;
         }
-        earlier = horizon;
+        previous_horizon = horizon;
         unused_before = unused;
     }
     false
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -44,8 +44,8 @@
     engine.closing.retain(|model, _| ready.iter().any(|reported| reported.model == *model));
     for reported in &ready {
         let known = engine.closing.get(&reported.model).copied();
-        let wanted = desired_loads.iter().any(|desired| desired.model == reported.model);
-        match (close_reason(cx, engine, context, reported, wanted), known) {
+        let is_desired = desired_loads.iter().any(|desired| desired.model == reported.model);
+        match (close_reason(cx, engine, context, reported, is_desired), known) {
             (Some(reason), None) => start_closing(cx, engine, &reported.model, reason, None),
             (None, Some(closing)) if may_reopen(cx, engine, context, &reported.model, &closing) => {
                 engine.closing.remove(&reported.model);
@@ -74,7 +74,7 @@
     engine: &Engine,
     context: &DecisionContext<'_>,
     reported: &ReportedModel,
-    wanted: bool,
+    is_desired: bool,
 ) -> Option<CloseReason> {
     let Some(known) = cx.document.catalogue.models.get(&reported.model) else {
         return Some(CloseReason::NoHome);
@@ -96,7 +96,7 @@
     if reported.version != known.version {
         return Some(CloseReason::Version);
     }
-    let is_used = wanted || reported.running > 0 || context.demand.of_model(&reported.model).is_some();
+    let is_used = is_desired || reported.running > 0 || context.demand.of_model(&reported.model).is_some();
     (!is_used && engine.unneeded.contains(&reported.model)).then_some(CloseReason::Idle)
 }
 
