--- a/crates/skylarkshore-core/src/loading/demand.rs
+++ b/crates/skylarkshore-core/src/loading/demand.rs
@@ -1,4 +1,6 @@
 //! Waiting requests per model and router, and the routers' subscriptions to models. See [`Demand`].
+//!
+//! A router is a process that receives requests from callers and sends them to engines.
 
 use std::time::Duration;
 
@@ -9,7 +11,7 @@
 use crate::rules::ServiceOrder;
 use crate::time::Time;
 
-/// Missed report intervals after which a router's waiting requests are dropped.
+/// Intervals without a router's report after which its waiting requests are dropped.
 const MAX_MISSED_MESSAGES: u32 = 4;
 
 /// How long routers take to dispatch waiting requests once a model is ready.
@@ -22,14 +24,14 @@
 #[derive(Clone, Copy, Debug)]
 struct HostDemand {
     count: u32,
-    order: ServiceOrder,
+    service_order: ServiceOrder,
     /// The latest deadline among them.
     deadline: Time,
-    /// The earliest soft deadline among them: after it, an answer loses value.
+    /// The earliest soft deadline among them. An answer after it is worth less.
     soft_deadline: Time,
-    /// When the report expires unless the router repeats it.
+    /// When these requests are dropped unless the router reports them again.
     expires: Time,
-    /// Whether the router was told to retry, so that the load continues meanwhile.
+    /// Whether the callers were told when to retry; the load goes on for them.
     held_for_retry: bool,
 }
 
@@ -37,10 +39,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ModelDemand {
     /// The most urgent service order.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// The latest deadline of the waiting requests.
     pub deadline: Time,
-    /// When the first answer loses value; never if no request has a soft deadline.
+    /// The earliest soft deadline of the waiting requests: an answer after it is worth
+    /// less. Never if no request has one.
     pub soft_deadline: Time,
     /// Number of waiting requests.
     pub waiting: u32,
@@ -49,7 +52,7 @@
 impl ModelDemand {
     fn with(self, other: &HostDemand) -> Self {
         Self {
-            order: self.order.min(other.order),
+            service_order: self.service_order.min(other.service_order),
             deadline: self.deadline.max(other.deadline),
             soft_deadline: self.soft_deadline.min(other.soft_deadline),
             waiting: self.waiting + other.count,
@@ -67,10 +70,10 @@
     /// Number of waiting requests.
     pub waiting: u32,
     /// The most urgent service order among them.
-    pub order: ServiceOrder,
+    pub service_order: ServiceOrder,
     /// The longest remaining wait among them.
     pub max_wait: Duration,
-    /// The shortest remaining time in which an answer keeps its full value.
+    /// The time until the earliest soft deadline among them.
     pub soft_deadline: Option<Duration>,
 }
 
@@ -83,20 +86,22 @@
 
 impl Demand {
     /// Records a router's report, which replaces its previous one.
-    pub(crate) fn record(&mut self, now: Time, wanted: WaitReport<'_>, timings: &Timings) {
-        self.subscribe(now, wanted.from, &wanted.target.model, timings);
-        if wanted.waiting == 0 {
-            return self.clear_waiting(wanted.from, wanted.target);
+    pub(crate) fn record(&mut self, now: Time, wait_report: WaitReport<'_>, timings: &Timings) {
+        self.subscribe(now, wait_report.from, &wait_report.target.model, timings);
+        if wait_report.waiting == 0 {
+            return self.clear_waiting(wait_report.from, wait_report.target);
         }
         let waiting = HostDemand {
-            count: wanted.waiting,
-            order: wanted.order,
-            deadline: now.after(wanted.max_wait),
-            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
+            count: wait_report.waiting,
+            service_order: wait_report.service_order,
+            deadline: now.after(wait_report.max_wait),
+            soft_deadline: wait_report
+                .soft_deadline
+                .map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
             expires: now.after(timings.wanted_every * MAX_MISSED_MESSAGES),
             held_for_retry: false,
         };
-        self.waiting.entry(wanted.target.clone()).or_default().insert(wanted.from.clone(), waiting);
+        self.waiting.entry(wait_report.target.clone()).or_default().insert(wait_report.from.clone(), waiting);
     }
 
     /// Records that a router subscribes to a model.
@@ -112,13 +117,13 @@
         }
     }
 
-    /// Keeps a router's report until its callers were told to retry.
+    /// Keeps a router's waiting requests until its callers have had time to retry.
     ///
     /// Callers with short timeouts are refused before the load starts. If the load
     /// were dropped with them, they would be refused forever.
-    pub(crate) fn hold_for_retry(&mut self, now: Time, wanted: &WaitReport<'_>, retry_after: Duration) {
-        let routers = self.waiting.get_mut(wanted.target);
-        let Some(waiting) = routers.and_then(|routers| routers.get_mut(wanted.from)) else { return };
+    pub(crate) fn hold_for_retry(&mut self, now: Time, wait_report: &WaitReport<'_>, retry_after: Duration) {
+        let routers = self.waiting.get_mut(wait_report.target);
+        let Some(waiting) = routers.and_then(|routers| routers.get_mut(wait_report.from)) else { return };
         let until = now.after(retry_after.saturating_add(RETRY_GRACE));
         waiting.held_for_retry = true;
         waiting.deadline = waiting.deadline.max(until);
@@ -158,16 +163,18 @@
     }
 
     /// Returns the demand for a model including a router's new report.
-    pub(crate) fn combined_with(&self, now: Time, wanted: &WaitReport<'_>) -> ModelDemand {
+    pub(crate) fn combined_with(&self, now: Time, wait_report: &WaitReport<'_>) -> ModelDemand {
         let reported = ModelDemand {
-            order: wanted.order,
-            deadline: now.after(wanted.max_wait),
-            soft_deadline: wanted.soft_deadline.map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
-            waiting: wanted.waiting,
+            service_order: wait_report.service_order,
+            deadline: now.after(wait_report.max_wait),
+            soft_deadline: wait_report
+                .soft_deadline
+                .map_or(Time::NEVER, |soft_deadline| now.after(soft_deadline)),
+            waiting: wait_report.waiting,
         };
-        let Some(others) = self.of_model(&wanted.target.model) else { return reported };
+        let Some(others) = self.of_model(&wait_report.target.model) else { return reported };
         ModelDemand {
-            order: reported.order.min(others.order),
+            service_order: reported.service_order.min(others.service_order),
             deadline: reported.deadline.max(others.deadline),
             soft_deadline: reported.soft_deadline.min(others.soft_deadline),
             waiting: reported.waiting.saturating_add(others.waiting),
@@ -199,7 +206,7 @@
 fn sum<'a>(mut all: impl Iterator<Item = &'a HostDemand>) -> Option<ModelDemand> {
     let first = all.next()?;
     let need = ModelDemand {
-        order: first.order,
+        service_order: first.service_order,
         deadline: first.deadline,
         soft_deadline: first.soft_deadline,
         waiting: first.count,
--- a/crates/skylarkshore-core/src/loading/engine.rs
+++ b/crates/skylarkshore-core/src/loading/engine.rs
@@ -52,6 +52,7 @@
     pub retain_until: OrderedMap<ModelName, Time>,
     /// When each model last had a request in progress.
     pub last_busy: OrderedMap<ModelName, Time>,
+    /// The power that the most urgent load lacks, and that load's service order.
     pub power_shortfall: Option<(Watts, ServiceOrder)>,
     /// Models in the last report.
     pub reported_models: OrderedSet<ModelName>,
@@ -61,16 +62,17 @@
     pub pinned: OrderedSet<ModelName>,
     /// Models to load ahead of their next request.
     pub prewarm: OrderedSet<ModelName>,
-    /// Models whose request rate requires a replica on this engine.
+    /// Hot models that this engine has to hold: their request rate requires more than
+    /// one replica.
     pub hot: OrderedSet<ModelName>,
-    /// Hot models whose replicas cannot serve the current demand.
+    /// The part of `hot` whose next replica is loaded before all else.
     pub under_replicated: OrderedSet<ModelName>,
-    /// Models of which the engine has to fetch a copy.
+    /// Models to load only for a copy of their weights.
     pub missing_copies: OrderedSet<ModelName>,
     /// Prewarmed models, with their last use before the prewarm.
     pub prewarmed: OrderedMap<ModelName, Time>,
     /// Whether any host subscribes to a model on this engine.
-    pub is_in_use: bool,
+    pub has_subscribers: bool,
     /// When the oldest unanswered report request was sent.
     pub unanswered_since: Option<Time>,
     /// When the policy is evaluated next.
@@ -141,7 +143,7 @@
             missing_copies: OrderedSet::new(),
             prewarmed: OrderedMap::new(),
             next_review: now,
-            is_in_use: false,
+            has_subscribers: false,
             unanswered_since: None,
             planned: OrderedMap::new(),
             memory_blocked: OrderedSet::new(),
@@ -187,7 +189,7 @@
 
     /// Reports whether the model is certainly absent: not loaded, not loading, and
     /// with no pending order.
-    pub(crate) fn is_unused_by(&self, model: &ModelName) -> bool {
+    pub(crate) fn is_certainly_without(&self, model: &ModelName) -> bool {
         self.report().is_some()
             && self.late_orders == LateOrders::None
             && self.model(model).is_none()
--- a/crates/skylarkshore-core/src/loading/estimates.rs
+++ b/crates/skylarkshore-core/src/loading/estimates.rs
@@ -21,8 +21,8 @@
 
 /// Upper estimate of the time until an engine's first report.
 const SURVEY_TIME: Duration = Duration::from_secs(1);
-/// Estimated time until memory or power becomes available.
-const EVICTION_TIME: Duration = Duration::from_secs(10);
+/// Estimated time until an engine without enough memory or power gets it.
+const BLOCKED_DELAY: Duration = Duration::from_secs(10);
 /// Retry delay while memory, power or ownership is unavailable.
 const SHORT_RETRY: Duration = Duration::from_secs(5);
 /// Minimum remaining time of an overdue load, as a fraction of its load time.
@@ -52,10 +52,10 @@
     cx: &Cx<'_>,
     engine: &Engine,
     context: &DecisionContext<'_>,
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
 ) -> Assessment {
-    let model = &wanted.target.model;
-    if wanted.waiting == 0 || is_usable(cx, engine, wanted) {
+    let model = &wait_report.target.model;
+    if wait_report.waiting == 0 || is_usable(cx, engine, wait_report) {
         return Assessment::InTime;
     }
     if engine.is_silent(cx.now, cx.cfg.timings.engine_timeout) {
@@ -66,23 +66,28 @@
     }
     let load_time = context.load_times.expected_on(cx, engine, model);
     let load = if engine.model(model).is_some_and(|reported| reported.state != LoadState::Unloading) {
-        load_remaining(cx, engine, context, wanted)
+        load_remaining(cx, engine, context, wait_report)
     } else {
         load_time + store_wait(cx, engine, context, model)
     };
     if let Some(failures) = engine.failures.get(model) {
         let retry = failures.retry.remaining(cx.now);
         let load_or_never = if failures.count < MAX_FAILURES { load } else { Duration::MAX };
-        return assess_wait(wanted, load_or_never.saturating_add(retry), CannotLoad::EngineRefuses, retry);
+        return assess_wait(
+            wait_report,
+            load_or_never.saturating_add(retry),
+            CannotLoad::EngineRefuses,
+            retry,
+        );
     }
     let takes = load + start_delay(cx, engine, context, model);
     if engine.report().is_some() && !load::has_power(engine, context) {
-        return assess_wait(wanted, takes, CannotLoad::Power, SHORT_RETRY);
+        return assess_wait(wait_report, takes, CannotLoad::Power, SHORT_RETRY);
     }
     if engine.memory_blocked.contains(model) {
-        return assess_wait(wanted, takes, CannotLoad::Memory, SHORT_RETRY);
+        return assess_wait(wait_report, takes, CannotLoad::Memory, SHORT_RETRY);
     }
-    assess_wait(wanted, takes, CannotLoad::TooSlow, takes)
+    assess_wait(wait_report, takes, CannotLoad::TooSlow, takes)
 }
 
 /// Estimates the time until a model is ready on a sequential engine.
@@ -90,8 +95,8 @@
 /// Loads with a higher rank count, loads with a lower rank do not. If all waiting
 /// loads counted, every model would seem as far away as the last one, and requests
 /// that could be served would be refused. The estimate uses measured load and unload
-/// times: assuming 2.5 s per run where runs take 0.4 s made two of three refusals
-/// wrong.
+/// times: when every load was assumed to wait for a request that runs for 2.5 s,
+/// although requests ran for 0.4 s, two of three refusals were wrong.
 pub(crate) fn time_to_ready(
     cx: &Cx<'_>,
     engine: &Engine,
@@ -179,7 +184,7 @@
         return SURVEY_TIME;
     }
     if !load::has_power(engine, context) || engine.memory_blocked.contains(model) {
-        return EVICTION_TIME;
+        return BLOCKED_DELAY;
     }
     // Routers get a grace period before the evicted model is unloaded.
     if engine.closing.is_empty() { Duration::ZERO } else { cx.cfg.timings.close_grace }
@@ -187,7 +192,7 @@
 
 /// Updates the expected ready times of models that requests wait for; they are published in views.
 ///
-/// A router that hears nothing about a model for some seconds assumes that no owner
+/// A router that gets no view of a model for some seconds assumes that no owner
 /// handles it, and refuses its requests.
 pub(crate) fn plan_ready_times(
     cx: &Cx<'_>,
@@ -203,13 +208,13 @@
         }
         let takes = if engine.is_sequential() {
             let soft_deadline = desired.soft_deadline.unwrap_or(Time::NEVER);
-            let DesiredLoad { order, deadline, waiting, .. } = *desired;
+            let DesiredLoad { service_order, deadline, waiting, .. } = *desired;
             time_to_ready(
                 cx,
                 engine,
                 context,
                 model,
-                &ModelDemand { order, deadline, soft_deadline, waiting },
+                &ModelDemand { service_order, deadline, soft_deadline, waiting },
             )
         } else {
             context.load_times.expected_on(cx, engine, model)
@@ -221,10 +226,14 @@
     engine.planned = planned;
 }
 
-fn is_usable(cx: &Cx<'_>, engine: &Engine, wanted: &WaitReport<'_>) -> bool {
-    let model = &wanted.target.model;
+fn is_usable(cx: &Cx<'_>, engine: &Engine, wait_report: &WaitReport<'_>) -> bool {
+    let model = &wait_report.target.model;
     engine.is_ready(model)
-        && wanted.target.adapter.as_ref().is_none_or(|adapter| engine.has_adapter(cx.now, model, adapter))
+        && wait_report
+            .target
+            .adapter
+            .as_ref()
+            .is_none_or(|adapter| engine.has_adapter(cx.now, model, adapter))
 }
 
 /// Returns the expected remaining time of a load in progress.
@@ -232,20 +241,20 @@
     cx: &Cx<'_>,
     engine: &Engine,
     context: &DecisionContext<'_>,
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
 ) -> Duration {
-    let minimum = context.load_times.expected_on(cx, engine, &wanted.target.model) / OVERDUE_DIVISOR;
-    let load = engine.loads.get(&wanted.target.model);
+    let minimum = context.load_times.expected_on(cx, engine, &wait_report.target.model) / OVERDUE_DIVISOR;
+    let load = engine.loads.get(&wait_report.target.model);
     load.map_or(minimum, |load| load.remaining(cx.now).max(minimum))
 }
 
 fn assess_wait(
-    wanted: &WaitReport<'_>,
+    wait_report: &WaitReport<'_>,
     takes: Duration,
     reason: CannotLoad,
     retry_after: Duration,
 ) -> Assessment {
-    if takes <= wanted.max_wait {
+    if takes <= wait_report.max_wait {
         Assessment::InTime
     } else {
         Assessment::Unavailable { reason, retry_after }
@@ -253,7 +262,7 @@
 }
 
 /// Returns the refusal for a router, or none if an engine can serve its requests in time.
-pub(crate) fn refusal(assessments: &[Assessment], wanted: &WaitReport<'_>) -> Option<PeerMessage> {
+pub(crate) fn refusal(assessments: &[Assessment], wait_report: &WaitReport<'_>) -> Option<PeerMessage> {
     let mut refusal = (CannotLoad::NotOwner, Duration::ZERO);
     for assessment in assessments {
         match assessment {
@@ -262,5 +271,5 @@
         }
     }
     let (reason, retry_after) = refusal;
-    Some(PeerMessage::CannotLoad { target: wanted.target.clone(), reason, retry_after })
+    Some(PeerMessage::CannotLoad { target: wait_report.target.clone(), reason, retry_after })
 }
--- a/crates/skylarkshore-core/src/loading/unload.rs
+++ b/crates/skylarkshore-core/src/loading/unload.rs
@@ -1,6 +1,7 @@
 //! Selects models to unload, evicts idle models for more urgent loads, and sends unload orders.
 //!
-//! Closing comes first: routers stop sending requests, and the model is unloaded once nothing runs.
+//! A model is closed first, so that routers send no more requests to it, and unloaded
+//! once none runs. A sequential engine itself waits for running requests.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 use crate::units::Mebibytes;
 use crate::upstream::{LoadState, Order, ReportedModel};
 
-/// How long after the last request for its memory a closing model may be reopened.
+/// Time without a load that needs its memory after which a closing model may be reopened.
 const ROOM_REQUEST_TTL: Duration = Duration::from_secs(1);
 /// How long a model must be idle before it is evicted for a copy that no request waits for.
 const COPY_EVICTION_IDLE: Duration = Duration::from_secs(2);
@@ -43,8 +44,8 @@
     engine.closing.retain(|model, _| ready.iter().any(|reported| reported.model == *model));
     for reported in &ready {
         let known = engine.closing.get(&reported.model).copied();
-        let wanted = desired_loads.iter().any(|desired| desired.model == reported.model);
-        match (close_reason(cx, engine, context, reported, wanted), known) {
+        let is_desired = desired_loads.iter().any(|desired| desired.model == reported.model);
+        match (close_reason(cx, engine, context, reported, is_desired), known) {
             (Some(reason), None) => start_closing(cx, engine, &reported.model, reason, None),
             (None, Some(closing)) if may_reopen(cx, engine, context, &reported.model, &closing) => {
                 engine.closing.remove(&reported.model);
@@ -59,10 +60,12 @@
     engine: &mut Engine,
     model: &ModelName,
     reason: CloseReason,
-    for_order: Option<ServiceOrder>,
+    for_service_order: Option<ServiceOrder>,
 ) {
     cx.log_event("model_closing", format!("{model}@{}", engine.id), format!("reason={reason}"));
-    engine.closing.insert(model.clone(), Closing { since: cx.now, reason, for_order, last_needed: cx.now });
+    engine
+        .closing
+        .insert(model.clone(), Closing { since: cx.now, reason, for_service_order, last_needed: cx.now });
 }
 
 /// Returns why a ready model has to leave, other than for memory.
@@ -71,7 +74,7 @@
     engine: &Engine,
     context: &DecisionContext<'_>,
     reported: &ReportedModel,
-    wanted: bool,
+    is_desired: bool,
 ) -> Option<CloseReason> {
     let Some(known) = cx.document.catalogue.models.get(&reported.model) else {
         return Some(CloseReason::NoHome);
@@ -93,7 +96,7 @@
     if reported.version != known.version {
         return Some(CloseReason::Version);
     }
-    let is_used = wanted || reported.running > 0 || context.demand.of_model(&reported.model).is_some();
+    let is_used = is_desired || reported.running > 0 || context.demand.of_model(&reported.model).is_some();
     (!is_used && engine.unneeded.contains(&reported.model)).then_some(CloseReason::Idle)
 }
 
@@ -201,9 +204,9 @@
         return false;
     }
     let need = context.demand.of_model(model);
-    match (closing.reason, closing.for_order) {
-        (CloseReason::Memory, Some(order)) => {
-            need.is_some_and(|need| need.order <= order)
+    match (closing.reason, closing.for_service_order) {
+        (CloseReason::Memory, Some(service_order)) => {
+            need.is_some_and(|need| need.service_order <= service_order)
                 || closing.last_needed.after(ROOM_REQUEST_TTL).is_due(cx.now)
         }
         _ => true,
@@ -248,7 +251,7 @@
             break;
         }
         missing = missing.saturating_sub(memory);
-        start_closing(cx, engine, &victim.model, CloseReason::Memory, Some(desired.order));
+        start_closing(cx, engine, &victim.model, CloseReason::Memory, Some(desired.service_order));
     }
     true
 }
@@ -266,8 +269,8 @@
 /// An eviction candidate. Candidates whose eviction costs least sort first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
-    /// Models with the last service order come first.
-    order: Reverse<ServiceOrder>,
+    /// The least urgent service order comes first.
+    service_order: Reverse<ServiceOrder>,
     /// Saving per gibibyte if the model stays, in milliseconds of idle accelerator time.
     value: u64,
     last_use: Time,
@@ -289,7 +292,7 @@
     });
     idle.filter_map(|reported| {
         let outcome = desired_loads::rule_outcome(cx, engine, context, &reported.model);
-        let order = outcome.order;
+        let service_order = outcome.order;
         let waiting = context.demand.of_model(&reported.model);
         let pinned = engine.pinned.contains(&reported.model);
         let is_evictable = match waiting {
@@ -305,14 +308,15 @@
             }
             _ if engine.hot.contains(&reported.model) => false,
             _ if replicas::is_needed_more(cx, engine, context, &reported.model, desired.waiting) => false,
-            Some(need) => desired.waiting > 0 && desired.order < need.order,
-            None if pinned => desired.waiting > 0 && desired.order < order,
+            Some(need) => desired.waiting > 0 && desired.service_order < need.service_order,
+            None if pinned => desired.waiting > 0 && desired.service_order < service_order,
             None => true,
         };
         let last_use = last_use(engine, context, &reported.model);
         let memory = memory_of(reported);
         let value = value_per_gibibyte(&idle_model(cx, engine, context, &reported.model, outcome), memory);
-        let victim = Victim { order: Reverse(order), value, last_use, model: reported.model.clone() };
+        let victim =
+            Victim { service_order: Reverse(service_order), value, last_use, model: reported.model.clone() };
         is_evictable.then_some((victim, memory))
     })
     .collect()
@@ -388,7 +392,7 @@
 
 /// Reports whether a report requested after the grace period shows no running request.
 ///
-/// Load figures in a report lag. An earlier report may miss a request that a router
+/// The request counts in a report lag. An earlier report may miss a request that a router
 /// sent just before it received the closing view, and the unload would abort it.
 fn is_drained(cx: &Cx<'_>, engine: &Engine, model: &ModelName, closing: &Closing) -> bool {
     let Some(last) = &engine.last_report else { return false };
