--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -1,6 +1,21 @@
 //! Requests in progress at this process, from arrival to their single final answer.
 //!
 //! Open [`Serving`] first: it owns the request table and dispatches events to the submodules.
+//!
+//! Terms used in all of them:
+//!
+//! - A *target* is what a request asks for: a model, one of its adapters or a service. An
+//!   *upstream* runs requests; it is an *engine*, which loads models and adapters, or a *replica*
+//!   of a service.
+//! - The *owner* of an engine is the host that decides what the engine loads. It publishes *views*
+//!   of the engine's state to the hosts that use its models. The *homes* of a model are the engines
+//!   on which it may be loaded.
+//! - A request with an idempotency key runs at most once under this key. Before it is sent, its
+//!   host *claims* the key by a record in the key-value service.
+//! - The *order of service* is a number; requests with lower numbers are dispatched first.
+//! - An answer after the *soft deadline* has reduced value. A request that isn't answered by its
+//!   *deadline* is refused.
+//! - *Loss*, *crash*, *termination*, *suspect* and *convicted* are defined in the module `suspect`.
 
 mod arrival;
 mod attempt;
@@ -41,14 +56,14 @@
 use counters::RequestCounters;
 use demand::Demand;
 use disposition::Disposition;
-use once::Once;
+use once::OnceClaims;
 use queue::Queue;
 use request::{Caller, Due, Request, RunHistory, State};
 use routing::Routes;
 use suspect::Suspects;
 use wait_estimate::WaitEstimator;
 
-/// Interval between scans of everything that is remembered.
+/// Interval between the scans of [`Serving::run_housekeeping`].
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The requests, queues and routes of one process.
@@ -59,11 +74,14 @@
     timers: OrderedSet<Due>,
     queue: Queue,
     routes: Routes,
+    /// The models that requests here need, and which owners are asked to load them.
     demand: Demand,
-    once: Once,
+    /// The claims on idempotency keys.
+    once_claims: OnceClaims,
     suspects: Suspects,
     budget: RetryBudget,
     waits: WaitEstimator,
+    /// Grants requests credit, which counts against the limits of their client accounts.
     quota: Quota,
     counters: RequestCounters,
     housekeeping_due: Time,
@@ -82,7 +100,7 @@
             queue: Queue::default(),
             routes: Routes::default(),
             demand: Demand::default(),
-            once: Once::default(),
+            once_claims: OnceClaims::default(),
             suspects: Suspects::new(cfg.limits.suspects),
             budget: RetryBudget::new(cfg.limits.retries),
             waits: WaitEstimator::default(),
@@ -100,16 +118,16 @@
 
     /// Records that the caller disconnected.
     ///
-    /// A request that may run only once continues after it was sent, because its caller
+    /// A request with an idempotency key isn't cancelled once it was sent, because its caller
     /// will ask for the answer with the same key.
     pub fn on_caller_gone(&mut self, cx: &mut Cx<'_>, request: RequestId) {
         let Some(gone) = self.requests.get_mut(&request) else { return };
         gone.caller = Caller::Gone;
-        let runs_for_record = gone.once_key().is_some()
-            && (gone.run().is_some() || matches!(gone.state, State::Recording { .. }));
-        if !runs_for_record {
+        let answer_is_needed = gone.idempotency_key().is_some()
+            && (gone.run().is_some() || matches!(gone.state, State::RecordingAnswer { .. }));
+        if !answer_is_needed {
             let disposition = Disposition::Refuse { reason: RefusalReason::CallerGone, retry_after: None };
-            self.send_or_refuse(cx, request, disposition);
+            self.apply_disposition(cx, request, disposition);
             self.dispatch_waiting(cx);
         }
     }
@@ -117,16 +135,17 @@
     /// Records that an answer has begun.
     pub fn on_answer_started(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let Some(id) = self.attempts.get(&attempt) else {
-            self.counters.late += 1;
+            self.counters.late_events += 1;
             return;
         };
         let Some(request) = self.requests.get_mut(id) else { return };
         if let State::Sent(run) = request.state.clone() {
             let is_late = request.arrival.policy.soft_deadline.is_due(cx.now);
             let waited = run.sent.since(request.arrived);
-            let by_engine = is_late && waited * 2 < cx.now.since(request.arrived);
+            // The engine caused the delay if most of the time passed after the request was sent.
+            let engine_caused_delay = is_late && waited * 2 < cx.now.since(request.arrived);
             if let Target::Model(target) = &request.arrival.target
-                && by_engine
+                && engine_caused_delay
             {
                 self.demand.count_late(target);
             }
@@ -159,17 +178,17 @@
         for outcome in self.quota.on_tick(cx) {
             self.on_credit_decision(cx, outcome);
         }
-        for progress in self.once.on_tick(cx) {
+        for progress in self.once_claims.on_tick(cx) {
             self.on_claim_progress(cx, progress);
         }
         for id in self.suspects.on_tick(cx) {
-            self.after_loss(cx, id);
+            self.retry_or_refuse_lost(cx, id);
         }
         while let Some(due) = self.timers.first().copied().filter(|due| due.at.is_due(cx.now)) {
             self.timers.remove(&due);
             self.on_due(cx, due.request);
         }
-        self.demand.clear_waiting_times(&self.waiting_models(cx));
+        self.demand.retain_waiting_times(&self.waiting_models(cx));
         self.refuse_all_unservable(cx);
         self.dispatch_waiting(cx);
         if self.is_closed {
@@ -185,7 +204,7 @@
         self.housekeeping_due = cx.now.after(HOUSEKEEPING_INTERVAL);
         self.routes.remove_expired(cx.now);
         self.routes.reapply_host_list(cx);
-        self.once.remove_expired(cx.now);
+        self.once_claims.remove_expired(cx.now);
         self.suspects.remove_expired(cx);
         self.demand.send_usage(cx, &mut self.waits);
         self.budget.record_host_count(cx.now, cx.cache.members().count());
@@ -203,28 +222,32 @@
     /// Handles a change of a shared key in the cache.
     pub fn on_change(&mut self, cx: &mut Cx<'_>, key: &Key) {
         match key {
+            // The operators' settings, which include client accounts, models and services.
             Key::Document | Key::Catalogue => {
-                self.refuse_withdrawn(cx);
+                self.refuse_withdrawn_account_keys(cx);
                 self.routes.reapply_host_list(cx);
                 self.dispatch_waiting(cx);
             }
+            // The owner of an engine, or the engines on which a model may be loaded.
             Key::Owner(_) | Key::Homes(_) => self.ask_new_owners(cx, key),
+            // Hosts, the shares of a site's electrical power, and records of idempotency keys;
+            // the last are read when a request needs them.
             Key::Member(_) | Key::Power(_) | Key::Once(_) => {}
         }
     }
 
     /// Handles the result of a store call that isn't a write.
     pub fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
-        if let Some(progress) = self.once.on_store(cx, call, result) {
+        if let Some(progress) = self.once_claims.on_store(cx, call, result) {
             self.on_claim_progress(cx, progress);
             self.dispatch_waiting(cx);
         }
     }
 
-    /// Handles the outcome of a write to a [`Key::Once`].
+    /// Handles the outcome of a write to the record of an idempotency key ([`Key::Once`]).
     pub fn on_write(&mut self, cx: &mut Cx<'_>, key: &Key, outcome: &WriteOutcome) {
         let Key::Once(key) = key else { return };
-        if let Some(progress) = self.once.on_write(cx, *key, outcome) {
+        if let Some(progress) = self.once_claims.on_write(cx, *key, outcome) {
             self.on_claim_progress(cx, progress);
             self.dispatch_waiting(cx);
         }
@@ -243,17 +266,17 @@
             PeerMessage::CannotLoad { target, reason, retry_after } => {
                 self.on_cannot_load(cx, from, target, reason, *retry_after);
             }
-            PeerMessage::Suspects { upstream, incarnation, requests, alone } => {
-                self.on_suspects(cx, from, upstream, *incarnation, requests, *alone);
+            PeerMessage::Suspects { upstream, incarnation, requests: digests, alone: exclusive } => {
+                self.on_suspects(cx, from, upstream, *incarnation, digests, *exclusive);
             }
-            PeerMessage::SuspectsNoted { requests } => {
-                for id in self.suspects.on_acknowledged(from, requests) {
-                    self.after_loss(cx, id);
+            PeerMessage::SuspectsNoted { requests: digests } => {
+                for id in self.suspects.on_acknowledged(from, digests) {
+                    self.retry_or_refuse_lost(cx, id);
                 }
                 self.dispatch_waiting(cx);
             }
-            PeerMessage::Cleared { request } if self.suspects.clear(*request) => {
-                self.requeue_cleared(cx, *request);
+            PeerMessage::Cleared { request: digest } if self.suspects.clear(*digest) => {
+                self.requeue_cleared(cx, *digest);
             }
             PeerMessage::UpstreamLeaving { upstream } => {
                 self.routes.record_leaving(cx.now, upstream);
@@ -274,7 +297,7 @@
     /// Refuses all waiting requests once callers have been redirected and the process ends
     /// soon.
     ///
-    /// A waiting request, for example one that waits for a load, may outlast the process.
+    /// A waiting request, for example one whose model is being loaded, may outlast the process.
     /// Its caller would see a broken connection and could not tell whether the request had
     /// run. If it is refused now, another host serves it.
     pub fn on_intake_closed(&mut self, cx: &mut Cx<'_>) {
@@ -284,7 +307,7 @@
 
     /// Reports whether no request is in progress.
     pub fn is_idle(&self) -> bool {
-        self.requests.is_empty() && self.once.is_idle()
+        self.requests.is_empty() && self.once_claims.is_idle()
     }
 
     /// Returns the entries for the state dump.
@@ -297,19 +320,22 @@
         self.collect_gauges()
     }
 
+    /// Checks a request whose timer is due: one of its two deadlines, a time-out of its state, or
+    /// the time at which its credit becomes available.
     fn on_due(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let passed = request.arrival.deadline.is_due(cx.now);
         match request.state.clone() {
-            State::Recording { until, answer } if passed || until.is_due(cx.now) => {
+            State::RecordingAnswer { timeout_at, answer } if passed || timeout_at.is_due(cx.now) => {
                 self.finish_with_answer(cx, id, answer);
             }
-            State::Releasing { until, refusal } if passed || until.is_due(cx.now) => {
+            State::ReleasingClaim { timeout_at, refusal } if passed || timeout_at.is_due(cx.now) => {
                 self.finish_refused(cx, id, refusal);
             }
-            // The caller is answered only after the peers are notified, which has
-            // its own short time-out.
-            State::Recording { .. } | State::Releasing { .. } | State::NotifyingPeers => {}
+            // The answer or refusal is already settled, or follows when the peers are
+            // notified. The first two states were handled above if their time is up;
+            // the notice has its own short time-out.
+            State::RecordingAnswer { .. } | State::ReleasingClaim { .. } | State::NotifyingPeers => {}
             _ if passed => self.refuse_late(cx, id),
             State::AwaitingCredit { not_before: Some(not_before) } => {
                 self.on_credit_due(cx, id, not_before);
@@ -321,7 +347,7 @@
         }
     }
 
-    /// Refuses a request whose deadline has passed.
+    /// Refuses a request whose deadline, or longest time in the queue, has passed.
     fn refuse_late(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let reason = if request.run().is_some() {
@@ -329,9 +355,10 @@
         } else if request.history == RunHistory::NeverRan {
             RefusalReason::DeadlinePassed
         } else {
+            // An earlier attempt may have run, and the time for a retry is over.
             RefusalReason::UpstreamLost
         };
-        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+        self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
     }
 
     /// Removes a request and releases everything it holds.
@@ -339,7 +366,7 @@
         let request = self.requests.remove(&id)?;
         self.timers.remove(&Due { at: request.arrival.deadline, request: id });
         self.timers.remove(&Due { at: request.arrival.policy.first_byte_deadline, request: id });
-        self.suspects.waiting.remove(&queue::Urgency::of(id, &request));
+        self.suspects.waiting.remove(&queue::QueuePosition::of(id, &request));
         self.end_isolation(cx, id);
         self.settle_credit(cx, id, &request);
         Some(request)
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -11,7 +11,7 @@
 use crate::serving::budget::Destination;
 use crate::serving::disposition::Disposition;
 use crate::serving::once::{ClaimProgress, LocalUse};
-use crate::serving::queue::{Overflow, Urgency};
+use crate::serving::queue::{Overflow, QueuePosition};
 use crate::serving::request::{Due, Isolation, Request, RunHistory, State};
 use crate::serving::routing::{Availability, RouteQuery};
 use crate::serving::suspect::SuspectStatus;
@@ -33,7 +33,7 @@
     /// Registers a request and admits or refuses it.
     pub(super) fn arrive(&mut self, cx: &mut Cx<'_>, id: RequestId, arrival: Arrival) {
         if self.requests.contains_key(&id) {
-            self.counters.late += 1;
+            self.counters.late_events += 1;
             return;
         }
         self.counters.arrived += 1;
@@ -52,7 +52,7 @@
         match rules_result {
             Ok(_) if deadline.is_due(cx.now) => self.refuse_late(cx, id),
             Ok(_) => self.request_credit(cx, id),
-            Err(reason) => self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None }),
+            Err(reason) => self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None }),
         }
     }
 
@@ -89,9 +89,9 @@
     /// key.
     pub(super) fn admit(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(key) = request.once_key() else { return self.enqueue(cx, id) };
+        let Some(key) = request.idempotency_key() else { return self.enqueue(cx, id) };
         let digest = request.arrival.digest;
-        match self.once.local_use(key, digest) {
+        match self.once_claims.local_use(key, digest) {
             LocalUse::Unknown => {}
             LocalUse::SameRequest => {
                 request.history = RunHistory::MayHaveRunElsewhere;
@@ -99,15 +99,15 @@
                     reason: RefusalReason::KeyInProgress,
                     retry_after: Some(IN_PROGRESS_RETRY_AFTER),
                 };
-                return self.send_or_refuse(cx, id, disposition);
+                return self.apply_disposition(cx, id, disposition);
             }
             LocalUse::OtherRequest => {
                 let disposition =
                     Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-                return self.send_or_refuse(cx, id, disposition);
+                return self.apply_disposition(cx, id, disposition);
             }
         }
-        self.once.register(key, digest, id);
+        self.once_claims.register(key, digest, id);
         if self.would_dispatch_now(cx, id) {
             return self.enqueue(cx, id);
         }
@@ -115,7 +115,7 @@
         // not be refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
             request.set_state(State::LookingUp, cx.now);
-            self.once.start_lookup(cx, key);
+            self.once_claims.start_lookup(cx, key);
         }
     }
 
@@ -129,8 +129,8 @@
     /// Queues a request, unless the queue is full or the wait would be too long.
     pub(super) fn enqueue(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let urgency = Urgency::of(id, request);
-        match self.queue.overflow(&cx.cfg.limits, &request.arrival.caller, urgency) {
+        let position = QueuePosition::of(id, request);
+        match self.queue.overflow(&cx.cfg.limits, &request.arrival.caller, position) {
             None => {}
             Some(Overflow::Rejected) => return self.refuse_queue_full(cx, id),
             Some(Overflow::Shed(other)) => self.refuse_queue_full(cx, other),
@@ -138,7 +138,7 @@
         if let Some(wait) = self.wait_past_deadline(cx, id) {
             let disposition =
                 Disposition::Refuse { reason: RefusalReason::QueueFull, retry_after: Some(wait) };
-            return self.send_or_refuse(cx, id, disposition);
+            return self.apply_disposition(cx, id, disposition);
         }
         self.push_to_queue(cx, id);
     }
@@ -147,7 +147,7 @@
     fn wait_past_deadline(&self, cx: &Cx<'_>, id: RequestId) -> Option<Duration> {
         let request = self.requests.get(&id)?;
         let target = &request.arrival.target;
-        let ahead = self.queue.ahead_of(target, Urgency::of(id, request));
+        let ahead = self.queue.ahead_of(target, QueuePosition::of(id, request));
         if ahead == 0 {
             return None;
         }
@@ -162,7 +162,7 @@
         let target = request.arrival.target.clone();
         if self.suspects.status(request.arrival.digest) == SuspectStatus::Suspect {
             request.set_state(State::QueuedForIsolation, cx.now);
-            self.suspects.waiting.insert(Urgency::of(id, request));
+            self.suspects.waiting.insert(QueuePosition::of(id, request));
         } else {
             request.set_state(State::Queued, cx.now);
             self.queue.push(id, request);
@@ -185,7 +185,7 @@
             reason: RefusalReason::QueueFull,
             retry_after: Some(QUEUE_FULL_RETRY_AFTER),
         };
-        self.send_or_refuse(cx, id, disposition);
+        self.apply_disposition(cx, id, disposition);
     }
 
     /// Dispatches waiting requests to all upstreams with room.
@@ -211,7 +211,7 @@
     /// core with a hundred models in demand; the tick checks all of them.
     pub(super) fn dispatch_for_upstream(&mut self, cx: &mut Cx<'_>, upstream: &UpstreamId) {
         for target in self.queue.targets() {
-            if self.routes.may_run(cx, upstream, &target) {
+            if self.routes.offers(cx, upstream, &target) {
                 self.dispatch_target(cx, &target);
             }
         }
@@ -256,17 +256,17 @@
         isolation: Isolation,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        match request.once_key() {
-            Some(key) if !self.once.holds(key) => {
-                self.routes.occupy(&upstream);
-                request.set_state(State::Claiming { run: upstream, isolation }, cx.now);
-                self.once.claim(cx, key);
+        match request.idempotency_key() {
+            Some(key) if !self.once_claims.holds(key) => {
+                self.routes.occupy_slot(&upstream);
+                request.set_state(State::Claiming { upstream, isolation }, cx.now);
+                self.once_claims.claim(cx, key);
             }
-            _ => self.send_or_refuse(cx, id, Disposition::Send { upstream, isolation }),
+            _ => self.apply_disposition(cx, id, Disposition::Send { upstream, isolation }),
         }
     }
 
-    /// Handles news about a request's idempotency key.
+    /// Continues or refuses a request according to the progress of its idempotency key's claim.
     pub(super) fn on_claim_progress(&mut self, cx: &mut Cx<'_>, progress: ClaimProgress) {
         match progress {
             ClaimProgress::Unused(id) => self.enqueue(cx, id),
@@ -274,20 +274,21 @@
             ClaimProgress::Used { request, found } => self.on_used(cx, request, found),
             ClaimProgress::Unreachable(id) => {
                 let reason = RefusalReason::StoreUnreachable;
-                self.send_or_refuse(
+                self.apply_disposition(
                     cx,
                     id,
                     Disposition::Refuse { reason, retry_after: Some(STORE_RETRY_AFTER) },
                 );
             }
             ClaimProgress::Recorded(id) => {
-                if let Some(State::Recording { answer, .. }) = self.requests.get(&id).map(|r| r.state.clone())
+                if let Some(State::RecordingAnswer { answer, .. }) =
+                    self.requests.get(&id).map(|r| r.state.clone())
                 {
                     self.finish_with_answer(cx, id, answer);
                 }
             }
             ClaimProgress::Released(id) => {
-                if let Some(State::Releasing { refusal, .. }) =
+                if let Some(State::ReleasingClaim { refusal, .. }) =
                     self.requests.get(&id).map(|r| r.state.clone())
                 {
                     self.finish_refused(cx, id, refusal);
@@ -298,26 +299,26 @@
 
     fn on_claimed(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let State::Claiming { run, isolation } = request.state.clone() else { return };
+        let State::Claiming { upstream, isolation } = request.state.clone() else { return };
         if request.arrival.deadline.is_due(cx.now) {
             return self.refuse_late(cx, id);
         }
         let suspect = self.suspects.status(request.arrival.digest);
         let can_proceed = match suspect {
-            SuspectStatus::Unsuspected => self.routes.can_take(cx, &request.arrival.target, &run),
+            SuspectStatus::Unsuspected => self.routes.is_candidate(cx, &request.arrival.target, &upstream),
             SuspectStatus::Suspect => {
                 let still_held = self.suspects.isolated.as_ref().is_some_and(|run| run.request == id);
-                still_held && self.routes.can_take_isolated(cx, &request.arrival.target, &run)
+                still_held && self.routes.is_isolation_candidate(cx, &request.arrival.target, &upstream)
             }
             SuspectStatus::Convicted => {
                 let reason = RefusalReason::CrashesUpstreams;
-                return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+                return self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
             }
         };
         if can_proceed {
-            return self.send_or_refuse(cx, id, Disposition::Send { upstream: run, isolation });
+            return self.apply_disposition(cx, id, Disposition::Send { upstream, isolation });
         }
-        self.routes.free(&run);
+        self.routes.release_slot(&upstream);
         self.end_isolation(cx, id);
         self.push_to_queue(cx, id);
     }
@@ -325,12 +326,12 @@
     fn on_used(&mut self, cx: &mut Cx<'_>, id: RequestId, found: OnceRecord) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some(upstream) = request.occupied_upstream() {
-            self.routes.free(&upstream.clone());
+            self.routes.release_slot(&upstream.clone());
             request.set_state(State::LookingUp, cx.now);
         }
         if found.request != request.arrival.digest {
             let disposition = Disposition::Refuse { reason: RefusalReason::KeyConflict, retry_after: None };
-            return self.send_or_refuse(cx, id, disposition);
+            return self.apply_disposition(cx, id, disposition);
         }
         request.history = RunHistory::MayHaveRunElsewhere;
         let own = found.host == cx.cfg.host;
@@ -343,7 +344,7 @@
             }
             OnceState::Claimed => (RefusalReason::KeyInDoubt, None),
         };
-        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after });
+        self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after });
     }
 }
 
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -16,7 +16,8 @@
 use crate::serving::suspect::SuspectStatus;
 use crate::store::RecordedAnswer;
 
-/// Longest time that an answer waits to be recorded.
+/// Longest time that an answer is withheld from its caller until it is recorded under its
+/// idempotency key.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(300);
 /// Retry delay after all attempts have failed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -37,12 +38,12 @@
     /// table, so a late answer can't reach another request's caller.
     pub(super) fn end_attempt(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
         let Some(id) = self.attempts.remove(&attempt) else {
-            self.counters.late += 1;
+            self.counters.late_events += 1;
             return;
         };
         let Some(request) = self.requests.get(&id) else { return };
         let Some(run) = request.run().cloned() else { return };
-        self.routes.free(&run.upstream);
+        self.routes.release_slot(&run.upstream);
         if !matches!(end, AttemptOutcome::Completed { .. } | AttemptOutcome::CompletedTooLarge) {
             let after = cx.now.since(run.sent).as_millis();
             let detail = format!("upstream={} after_ms={after} end={}", run.upstream, end.label());
@@ -75,16 +76,16 @@
         self.routes.clear_backoff(upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let digest = request.arrival.digest;
-        let key = request.once_key();
+        let key = request.idempotency_key();
         let cleared = self.suspects.clear(digest);
         if let Some(key) = key {
-            self.once.record(cx, key, held.clone());
+            self.once_claims.record(cx, key, held.clone());
         }
         match (key, held) {
             (Some(_), Some(answer)) => {
-                let until = cx.now.after(RECORD_TIMEOUT);
-                request.set_state(State::Recording { until, answer }, cx.now);
-                self.timers.insert(Due { at: until, request: id });
+                let timeout_at = cx.now.after(RECORD_TIMEOUT);
+                request.set_state(State::RecordingAnswer { timeout_at, answer }, cx.now);
+                self.timers.insert(Due { at: timeout_at, request: id });
                 self.end_isolation(cx, id);
             }
             _ => self.finish_forwarded(cx, id),
@@ -163,8 +164,8 @@
 
     fn on_lost(&mut self, cx: &mut Cx<'_>, id: RequestId, run: &Run, passed_on: bool, died: bool) {
         if died && cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
-            // The host list may already have dropped an upstream that the request
-            // crashed.
+            // This comes before the check whether the upstream is leaving: the host list may
+            // already have dropped an upstream that the request crashed.
             self.record_loss(cx, id, run);
         }
         // A reclaimed host takes its upstream with it, which is no request's fault. If
@@ -185,7 +186,7 @@
             RunHistory::MayHaveRun
         };
         if !died || cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
-            return self.after_loss(cx, id);
+            return self.retry_or_refuse_lost(cx, id);
         }
         request.set_state(State::NotifyingPeers, cx.now);
         let digest = request.arrival.digest;
@@ -202,18 +203,21 @@
         self.refuse_convicted(cx);
         self.isolate_suspects(cx);
         for notified in self.suspects.take_notified(cx.now) {
-            self.after_loss(cx, notified);
+            self.retry_or_refuse_lost(cx, notified);
         }
     }
 
-    /// Retries or refuses a request whose attempt was lost, after the peers were notified.
-    pub(super) fn after_loss(&mut self, cx: &mut Cx<'_>, id: RequestId) {
+    /// Retries or refuses a request whose attempt was lost.
+    ///
+    /// Under `RunAlone`, a request whose upstream crashed gets here only after the peers were
+    /// notified.
+    pub(super) fn retry_or_refuse_lost(&mut self, cx: &mut Cx<'_>, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let digest = request.arrival.digest;
         let convicted = self.suspects.status(digest) == SuspectStatus::Convicted;
         if convicted || self.suspects.is_one_loss_from_conviction(cx, digest) {
             let reason = RefusalReason::CrashesUpstreams;
-            return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+            return self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
         self.retry(cx, id, RetryCost::Retry);
     }
@@ -227,7 +231,7 @@
         if request.queue_deadline().is_due(cx.now) {
             let reason =
                 if lost { RefusalReason::DeadlinePassedRunning } else { RefusalReason::DeadlinePassed };
-            return self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+            return self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
         let may_retry = request.caller == Caller::Waiting
             && request.may_be_sent()
@@ -245,7 +249,7 @@
         }
         let reason = if lost { RefusalReason::UpstreamLost } else { RefusalReason::NoUpstream };
         let retry_after = (!lost).then_some(RETRY_AFTER);
-        self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after });
+        self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after });
     }
 
     /// Requeues a request on which an upstream did no work.
--- a/crates/skylarkshore-core/src/serving/counters.rs
+++ b/crates/skylarkshore-core/src/serving/counters.rs
@@ -16,7 +16,7 @@
     /// Requests that were answered in full.
     pub(super) answered: u64,
     /// Events about requests or attempts that had already ended.
-    pub(super) late: u64,
+    pub(super) late_events: u64,
     refused: OrderedMap<&'static str, u64>,
     not_run: u64,
     unknown: u64,
@@ -41,7 +41,7 @@
             gauge("attempts_sent_total", self.sent),
             gauge("retries_total", self.retries),
             gauge("requests_answered_total", self.answered),
-            gauge("late_events_total", self.late),
+            gauge("late_events_total", self.late_events),
             gauge("refused_not_run_total", self.not_run),
             gauge("refused_unknown_total", self.unknown),
             gauge("refused_failed_total", self.failed),
--- a/crates/skylarkshore-core/src/serving/credit.rs
+++ b/crates/skylarkshore-core/src/serving/credit.rs
@@ -1,5 +1,5 @@
-//! Credit of client accounts for requests, and the refusal of requests whose keys are
-//! withdrawn.
+//! Credit for requests, which counts against the limits of their client accounts, and the refusal
+//! of requests whose client account's key is withdrawn.
 
 use crate::accounts::Accounts;
 use crate::cx::Cx;
@@ -38,10 +38,10 @@
             CreditDecision::OverLimit { retry_after } => {
                 let disposition =
                     Disposition::Refuse { reason: RefusalReason::OverLimit, retry_after: Some(retry_after) };
-                self.send_or_refuse(cx, id, disposition);
+                self.apply_disposition(cx, id, disposition);
             }
             CreditDecision::TooLarge => {
-                self.send_or_refuse(
+                self.apply_disposition(
                     cx,
                     id,
                     Disposition::Refuse { reason: RefusalReason::BeyondLimit, retry_after: None },
@@ -67,19 +67,20 @@
         }
     }
 
-    /// Refuses the waiting requests whose keys have been withdrawn.
-    pub(super) fn refuse_withdrawn(&mut self, cx: &mut Cx<'_>) {
+    /// Refuses the waiting requests whose client account's key has been withdrawn or given to another
+    /// account.
+    pub(super) fn refuse_withdrawn_account_keys(&mut self, cx: &mut Cx<'_>) {
         let accounts = &cx.document.catalogue.accounts;
         let found = self.requests.iter().filter(|(_, request)| request.is_waiting());
         let withdrawn: Vec<(RequestId, RefusalReason)> =
             found.filter_map(|(id, request)| Some((*id, withdrawal(accounts, request)?))).collect();
         for (id, reason) in withdrawn {
-            self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+            self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
     }
 }
 
-/// Returns why a request may no longer run under its key.
+/// Returns why a request may no longer run under its client account's key.
 fn withdrawal(accounts: &Accounts, request: &Request) -> Option<RefusalReason> {
     let charge = request.arrival.charge.as_ref()?;
     if accounts.is_empty() {
--- a/crates/skylarkshore-core/src/serving/demand.rs
+++ b/crates/skylarkshore-core/src/serving/demand.rs
@@ -1,5 +1,4 @@
-//! This router's demand for models: which owners are asked to load a target, and their
-//! responses.
+//! This host's demand for models: which owners are asked to load a target, and their responses.
 //!
 //! Open [`Demand`] first.
 
@@ -44,13 +43,13 @@
 #[derive(Debug)]
 struct TargetDemand {
     arrived: u32,
-    /// Answers that began late because of the engine.
+    /// Answers that began after their soft deadline because of the engine.
     late: u32,
     last_arrival: Time,
     last_asked: Option<Time>,
     /// When usage was last sent to the owners.
     usage_sent: Time,
-    /// Number of owners asked to load, in the order of the homes.
+    /// How many owners are asked to load, from the start of the list that `owners` returns.
     owners_asked: usize,
     /// Since when requests have waited without a response from any owner.
     silent_since: Option<Time>,
@@ -135,7 +134,8 @@
         None
     }
 
-    /// Counts an answer that began late although its request had not waited here.
+    /// Counts an answer that began after its soft deadline although its request had hardly waited
+    /// here.
     pub(super) fn count_late(&mut self, target: &ModelTarget) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.late = entry.late.saturating_add(1);
@@ -167,7 +167,7 @@
         if !due && timing == AskTiming::WhenDue {
             return;
         }
-        entry.widen(cx, &owners, supply, due);
+        entry.ask_more_owners(cx, &owners, supply, due);
         entry.assign(cx, target, &owners, supply);
         entry.latest_deadline = entry.latest_deadline.max(waiting.latest_deadline);
         let first = entry.last_asked.replace(cx.now).is_none();
@@ -182,12 +182,13 @@
             if asked && waiting.soft_deadline.is_none() && entry.is_assigned_elsewhere(owner) {
                 continue;
             }
-            // An owner that has taken the target on keeps it; a second load would
-            // be wasted.
-            let is_open = entry.asked_owners.insert(owner.clone()) || !asked;
+            // An owner that is sent a soft deadline may respond that it is busy. One that was asked
+            // before and hasn't responded so has taken the target on. It is sent none, so that it
+            // keeps the target; a second load would be wasted.
+            let may_decline = entry.asked_owners.insert(owner.clone()) || !asked;
             let soft_deadline = waiting
                 .soft_deadline
-                .filter(|_| is_open)
+                .filter(|_| may_decline)
                 .map(|soft_deadline| soft_deadline.remaining(cx.now));
             send_demand(
                 cx,
@@ -246,12 +247,12 @@
         entry.silent_since = None;
     }
 
-    /// Clears the waiting times of targets for which no request waits.
+    /// Clears the waiting times of all targets except those for which requests wait.
     ///
     /// Requests that reach their deadline while an owner is unreachable leave the queue
     /// without a response. If its silence were still counted from then, the next request,
     /// perhaps hours later, would be refused on arrival although the owner is back.
-    pub(super) fn clear_waiting_times(&mut self, waiting: &[ModelTarget]) {
+    pub(super) fn retain_waiting_times(&mut self, waiting: &[ModelTarget]) {
         for (target, entry) in &mut self.targets {
             if !waiting.contains(target) {
                 entry.silent_since = None;
@@ -298,7 +299,7 @@
         entry.assigned = Some(loader);
     }
 
-    /// Records that an owner has published news about a target.
+    /// Records that an owner has published a view that lists a target.
     pub(super) fn record_response(&mut self, target: &ModelTarget) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.silent_since = None;
--- a/crates/skylarkshore-core/src/serving/demand/assignment.rs
+++ b/crates/skylarkshore-core/src/serving/demand/assignment.rs
@@ -34,11 +34,12 @@
         if supply != Supply::Unavailable || self.assigned.is_some() {
             return;
         }
-        let is_open = |owner: &HostId| !self.busy.contains_key(owner) && !self.refused.contains_key(owner);
-        if owners.iter().take(self.owners_asked).any(is_open) {
+        let is_available =
+            |owner: &HostId| !self.busy.contains_key(owner) && !self.refused.contains_key(owner);
+        if owners.iter().take(self.owners_asked).any(is_available) {
             return;
         }
-        if let Some(position) = owners.iter().position(is_open) {
+        if let Some(position) = owners.iter().position(is_available) {
             self.owners_asked = self.owners_asked.max(position + 1);
             return;
         }
@@ -64,7 +65,8 @@
             && self.assigned.as_ref() != Some(owner)
     }
 
-    pub(super) fn widen(&mut self, cx: &Cx<'_>, owners: &[HostId], supply: Supply, due: bool) {
+    /// Asks one more owner if those asked so far are full, refuse or don't respond.
+    pub(super) fn ask_more_owners(&mut self, cx: &Cx<'_>, owners: &[HostId], supply: Supply, due: bool) {
         if !due || self.last_asked.is_none() || self.owners_asked >= owners.len() {
             return;
         }
--- a/crates/skylarkshore-core/src/serving/disposition.rs
+++ b/crates/skylarkshore-core/src/serving/disposition.rs
@@ -1,6 +1,6 @@
 //! Sends, refuses and finishes requests.
 //!
-//! [`Serving::send_or_refuse`] is the only place that decides between sending and refusing.
+//! [`Serving::apply_disposition`] is the only place that decides between sending and refusing.
 
 use std::time::Duration;
 
@@ -35,12 +35,12 @@
 }
 
 impl Serving {
-    /// Sends a request or refuses it.
+    /// Sends a request or refuses it; a request that must not run again is refused in either case.
     ///
     /// If this were decided in two places, a deadline that passes while a claim's answer is
     /// in flight could refuse a request as not run, and the answer could then send it: a
     /// booking would be made after its caller was told that it was not.
-    pub(super) fn send_or_refuse(&mut self, cx: &mut Cx<'_>, id: RequestId, disposition: Disposition) {
+    pub(super) fn apply_disposition(&mut self, cx: &mut Cx<'_>, id: RequestId, disposition: Disposition) {
         let Some(request) = self.requests.get(&id) else { return };
         match disposition {
             Disposition::Send { upstream, isolation } if request.may_be_sent() => {
@@ -54,7 +54,7 @@
     fn send(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: UpstreamId, isolation: Isolation) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.occupied_upstream() != Some(&upstream) {
-            self.routes.occupy(&upstream);
+            self.routes.occupy_slot(&upstream);
         }
         let attempt = cx.next_attempt();
         let waited = cx.now.since(request.arrived).as_millis();
@@ -72,7 +72,7 @@
             deadline: request.arrival.deadline,
             order: request.order,
             resume: request.passed_on,
-            hold: request.once_key().is_some(),
+            hold: request.idempotency_key().is_some(),
             once: request.arrival.repeat != Repeat::Allowed,
             keep_failure: request.arrival.repeat == Repeat::Allowed
                 && !request.passed_on
@@ -107,7 +107,7 @@
         cx.log_decision(id, "request_refused", detail);
         request.passed_on = request.is_partly_answered();
         if let Some(occupied_upstream) = request.occupied_upstream() {
-            self.routes.free(occupied_upstream);
+            self.routes.release_slot(occupied_upstream);
         }
         if let Some(run) = request.run() {
             cx.push(Effect::Cancel { attempt: run.attempt });
@@ -116,20 +116,20 @@
             request.history = RunHistory::MayHaveRun;
         }
         self.queue.remove_if_queued(id, request);
-        let Some(key) = request.once_key() else { return self.finish_refused(cx, id, refusal) };
+        let Some(key) = request.idempotency_key() else { return self.finish_refused(cx, id, refusal) };
         if refusal.outcome != RefusalOutcome::NotRun {
-            self.once.leave_in_doubt(cx, key, id);
+            self.once_claims.leave_claimed(cx, key, id);
             return self.finish_refused(cx, id, refusal);
         }
-        if !self.once.release(cx, key, id) {
+        if !self.once_claims.release(cx, key, id) {
             return self.finish_refused(cx, id, refusal);
         }
-        let until = cx.now.after(RELEASE_TIMEOUT);
-        request.set_state(State::Releasing { until, refusal }, cx.now);
-        self.timers.insert(Due { at: until, request: id });
+        let timeout_at = cx.now.after(RELEASE_TIMEOUT);
+        request.set_state(State::ReleasingClaim { timeout_at, refusal }, cx.now);
+        self.timers.insert(Due { at: timeout_at, request: id });
     }
 
-    /// Sends the refusal to the caller and removes the request.
+    /// Removes the request and sends the refusal to its caller, unless it disconnected.
     pub(super) fn finish_refused(&mut self, cx: &mut Cx<'_>, id: RequestId, refusal: Refusal) {
         let Some(request) = self.remove_request(cx, id) else { return };
         if request.caller == Caller::Gone {
--- a/crates/skylarkshore-core/src/serving/isolation.rs
+++ b/crates/skylarkshore-core/src/serving/isolation.rs
@@ -1,4 +1,5 @@
-//! Isolated runs of suspect requests on an upstream that is reserved for them.
+//! Isolated runs of suspect requests, on an upstream that is held here and, if it is an engine,
+//! reserved by its owner.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use crate::serving::Serving;
 use crate::serving::attempt::owner_of;
 use crate::serving::disposition::Disposition;
-use crate::serving::queue::Urgency;
+use crate::serving::queue::QueuePosition;
 use crate::serving::request::{Isolation, Run, State};
 use crate::serving::suspect::{IsolatedRun, SuspectStatus};
 use crate::view::EngineView;
@@ -38,16 +39,16 @@
             return;
         }
         let Target::Model(target) = &request.arrival.target else {
-            self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
+            self.suspects.waiting.remove(&QueuePosition::of(isolated.request, request));
             return self.claim_or_send(cx, isolated.request, isolated.upstream, Isolation::Shared);
         };
         let max_wait = request.arrival.deadline.remaining(cx.now);
-        if !self.routes.ready_engines(cx, target).contains(&isolated.upstream) {
+        if !self.routes.isolation_engines(cx, target).contains(&isolated.upstream) {
             self.end_isolation(cx, isolated.request);
             return;
         }
         if let Some(isolation) = self.permitted_isolation(cx, &isolated) {
-            self.suspects.waiting.remove(&Urgency::of(isolated.request, request));
+            self.suspects.waiting.remove(&QueuePosition::of(isolated.request, request));
             return self.claim_or_send(cx, isolated.request, isolated.upstream, isolation);
         }
         if isolated
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns how isolated a suspect would run now, if it may run.
+    /// Returns how isolated a suspect would run if it were sent now, or `None` if it has to wait.
     ///
     /// An owner that is down can't reserve its engine. A suspect runs there anyway if the
     /// engine seems idle, but a crash then proves nothing.
@@ -70,17 +71,18 @@
         (unanswered && self.routes.seems_idle(&isolated.upstream)).then_some(Isolation::Shared)
     }
 
+    /// Holds an upstream for the most urgent suspect that has one to run on.
     fn choose_suspect(&mut self, cx: &Cx<'_>) {
-        for urgency in &self.suspects.waiting {
-            let Some(request) = self.requests.get(&urgency.due.request) else { continue };
+        for position in &self.suspects.waiting {
+            let Some(request) = self.requests.get(&position.due.request) else { continue };
             let mut upstreams = match &request.arrival.target {
-                Target::Model(target) => self.routes.ready_engines(cx, target),
-                Target::Service(service) => self.routes.idle_replicas(cx, service),
+                Target::Model(target) => self.routes.isolation_engines(cx, target),
+                Target::Service(service) => self.routes.isolation_replicas(cx, service),
             };
             upstreams.sort_by_key(|u| (request.tried.contains(u), !self.routes.seems_idle(u)));
             let Some(upstream) = upstreams.into_iter().next() else { continue };
             self.routes.hold_for_suspect(&upstream);
-            let request = urgency.due.request;
+            let request = position.due.request;
             self.suspects.isolated = Some(IsolatedRun { request, upstream, since: cx.now, asked_at: None });
             return;
         }
@@ -138,7 +140,7 @@
         );
     }
 
-    /// Handles a peer's report of suspects.
+    /// Handles a peer's report of the requests that were in progress during a crash.
     pub(super) fn on_suspects(
         &mut self,
         cx: &mut Cx<'_>,
@@ -146,13 +148,13 @@
         upstream: &UpstreamId,
         incarnation: Option<Incarnation>,
         digests: &[Digest],
-        alone: bool,
+        was_exclusive: bool,
     ) {
         if cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
             self.suspects.record_loss(cx, upstream, incarnation, digests);
             return self.refuse_convicted(cx);
         }
-        let isolation = if alone { Isolation::Exclusive } else { Isolation::Shared };
+        let isolation = if was_exclusive { Isolation::Exclusive } else { Isolation::Shared };
         self.suspects.record_crash(cx, upstream, digests, isolation);
         cx.send(from, PeerMessage::SuspectsNoted { requests: digests.to_vec() });
         self.refuse_convicted(cx);
@@ -160,12 +162,12 @@
         self.dispatch_waiting(cx);
     }
 
-    /// Refuses the waiting requests that crash upstreams.
+    /// Refuses the waiting requests that are convicted of crashing upstreams.
     pub(super) fn refuse_convicted(&mut self, cx: &mut Cx<'_>) {
         let ids = self.waiting_with(SuspectStatus::Convicted);
         for id in ids {
             let reason = RefusalReason::CrashesUpstreams;
-            self.send_or_refuse(cx, id, Disposition::Refuse { reason, retry_after: None });
+            self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after: None });
         }
     }
 
@@ -178,7 +180,7 @@
             }
             self.queue.remove_if_queued(id, request);
             request.set_state(State::QueuedForIsolation, cx.now);
-            self.suspects.waiting.insert(Urgency::of(id, request));
+            self.suspects.waiting.insert(QueuePosition::of(id, request));
         }
     }
 
@@ -194,7 +196,7 @@
         // dispatches the next suspect, which would otherwise be sent twice.
         for id in &cleared {
             let Some(request) = self.requests.get(id) else { continue };
-            self.suspects.waiting.remove(&Urgency::of(*id, request));
+            self.suspects.waiting.remove(&QueuePosition::of(*id, request));
             self.end_isolation(cx, *id);
         }
         for id in cleared {
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -1,6 +1,9 @@
-//! Requests that may run at most once, protected by claims on their idempotency keys.
+//! Claims on idempotency keys, so that a request runs at most once under its key.
 //!
-//! Open [`Once`] first.
+//! A claim is a record under the key in the key-value service, written before the request is sent
+//! and only if the key has none. Later it holds the answer.
+//!
+//! Open [`OnceClaims`] first.
 
 mod claim;
 mod store_calls;
@@ -58,18 +61,18 @@
     OtherRequest,
 }
 
-/// The claims of a process.
+/// The claims that requests of this process need or hold.
 #[derive(Debug, Default)]
-pub(super) struct Once {
+pub(super) struct OnceClaims {
     claims: OrderedMap<Digest, Claim>,
     unknown_outcomes: UnknownOutcomes,
     lease: OnceLease,
     failing: bool,
-    /// Number of claims whose request ended with an unknown outcome.
-    pub(super) in_doubt: u64,
+    /// Number of requests that ended with an unknown outcome, whose keys stay claimed.
+    pub(super) unknown_outcome_count: u64,
 }
 
-impl Once {
+impl OnceClaims {
     /// Returns how a key is used at this process.
     pub(super) fn local_use(&self, key: Digest, digest: Digest) -> LocalUse {
         match self.claims.get(&key) {
@@ -161,22 +164,22 @@
     }
 
     /// Leaves a claim in place: its request may have run and must not run again.
-    pub(super) fn leave_in_doubt(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) {
+    pub(super) fn leave_claimed(&mut self, cx: &mut Cx<'_>, key: Digest, waiter: RequestId) {
         if self.claims.get(&key).is_none_or(|claim| claim.waiter != Some(waiter)) {
             return;
         }
         self.claims.remove(&key);
         self.unknown_outcomes.insert(cx.now, key);
-        self.in_doubt += 1;
+        self.unknown_outcome_count += 1;
         cx.log_event("once_in_doubt", key, "the request may have run; its key stays claimed");
     }
 
-    /// Removes the keys whose records have expired.
+    /// Removes the keys with unknown outcomes whose records have expired.
     pub(super) fn remove_expired(&mut self, now: Time) {
         self.unknown_outcomes.remove_expired(now);
     }
 
-    /// Runs what is due.
+    /// Runs what is due; returns the requests whose claim took too long.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<ClaimProgress> {
         self.lease.on_tick(cx);
         self.write_claims(cx);
--- a/crates/skylarkshore-core/src/serving/published_views.rs
+++ b/crates/skylarkshore-core/src/serving/published_views.rs
@@ -1,4 +1,4 @@
-//! The latest view of each engine, as published by its owner or read from the host list.
+//! The latest view of each engine, as published by its owner or derived from the host list.
 //!
 //! Open [`PublishedViews`] first.
 
@@ -302,9 +302,9 @@
 /// Reports whether two views have the same models ready, so that earlier load reports still
 /// apply.
 fn has_same_ready_models(a: &EngineView, b: &EngineView) -> bool {
-    let usable = |view: &EngineView| -> Vec<ModelName> {
+    let ready_models = |view: &EngineView| -> Vec<ModelName> {
         let ready = view.models.iter().filter(|m| m.readiness == Readiness::Ready);
         ready.map(|m| m.model.clone()).collect()
     };
-    usable(a) == usable(b)
+    ready_models(a) == ready_models(b)
 }
--- a/crates/skylarkshore-core/src/serving/queue.rs
+++ b/crates/skylarkshore-core/src/serving/queue.rs
@@ -12,15 +12,17 @@
 use crate::serving::request::{Due, Request};
 use crate::time::Time;
 
-/// The urgency of a waiting request; the greatest value is shed first.
+/// The position of a waiting request: by order of service, then by its queue deadline.
+///
+/// The least value is the most urgent; the greatest is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Urgency {
+pub(super) struct QueuePosition {
     pub(super) order: ServiceOrder,
-    /// Until when it may wait, and its identifier.
+    /// Its [queue deadline](Request::queue_deadline) and its identifier.
     pub(super) due: Due,
 }
 
-impl Urgency {
+impl QueuePosition {
     pub(super) fn of(id: RequestId, request: &Request) -> Self {
         Self { order: request.order, due: Due { at: request.queue_deadline(), request: id } }
     }
@@ -35,7 +37,7 @@
     Withdrawn,
 }
 
-/// The waiting requests of one order of service, with callers in round-robin order.
+/// The waiting requests of one order of service; callers take turns.
 #[derive(Debug, Default)]
 struct PriorityClass {
     callers: OrderedMap<CallerId, OrderedSet<Due>>,
@@ -80,10 +82,10 @@
 #[derive(Debug, Default)]
 struct TargetQueue {
     classes: OrderedMap<ServiceOrder, PriorityClass>,
-    entries: OrderedSet<Urgency>,
+    entries: OrderedSet<QueuePosition>,
     deadlines: OrderedSet<Due>,
     soft_deadlines: OrderedSet<Due>,
-    /// Times that the next request has been skipped.
+    /// Times that the next request has been skipped for one that fits better.
     skips: u32,
 }
 
@@ -92,6 +94,7 @@
 pub(super) struct WaitingSummary {
     /// Number of requests.
     pub(super) count: u32,
+    /// The lowest order of service, that of the most urgent request.
     pub(super) order: ServiceOrder,
     pub(super) latest_deadline: Time,
     /// The earliest future time after which an answer to one of them has reduced value.
@@ -121,8 +124,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     by_target: OrderedMap<Target, TargetQueue>,
-    callers: OrderedMap<CallerId, OrderedSet<Urgency>>,
-    all: OrderedSet<Urgency>,
+    callers: OrderedMap<CallerId, OrderedSet<QueuePosition>>,
+    all: OrderedSet<QueuePosition>,
 }
 
 impl Queue {
@@ -137,13 +140,18 @@
     }
 
     /// Returns how many requests for the same target precede one.
-    pub(super) fn ahead_of(&self, target: &Target, urgency: Urgency) -> u32 {
+    pub(super) fn ahead_of(&self, target: &Target, position: QueuePosition) -> u32 {
         let Some(queue) = self.by_target.get(target) else { return 0 };
-        u32::try_from(queue.entries.range(..urgency).count()).unwrap_or(u32::MAX)
+        u32::try_from(queue.entries.range(..position).count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the request to shed or reject if the queue has no room for one more.
-    pub(super) fn overflow(&self, limits: &Limits, caller: &CallerId, urgency: Urgency) -> Option<Overflow> {
+    pub(super) fn overflow(
+        &self,
+        limits: &Limits,
+        caller: &CallerId,
+        position: QueuePosition,
+    ) -> Option<Overflow> {
         let own = self.callers.get(caller);
         let full_set = if own.is_some_and(|own| own.len() >= limits.queue_per_caller) {
             own?
@@ -153,22 +161,22 @@
             return None;
         };
         match full_set.last() {
-            Some(last) if *last > urgency => Some(Overflow::Shed(last.due.request)),
+            Some(last) if *last > position => Some(Overflow::Shed(last.due.request)),
             _ => Some(Overflow::Rejected),
         }
     }
 
     /// Adds a request.
     pub(super) fn push(&mut self, id: RequestId, request: &Request) {
-        let urgency = Urgency::of(id, request);
+        let position = QueuePosition::of(id, request);
         let caller = &request.arrival.caller;
         let queue = self.by_target.entry(request.arrival.target.clone()).or_default();
-        queue.classes.entry(urgency.order).or_default().push(caller, urgency.due);
-        queue.entries.insert(urgency);
-        queue.deadlines.insert(urgency.due);
+        queue.classes.entry(position.order).or_default().push(caller, position.due);
+        queue.entries.insert(position);
+        queue.deadlines.insert(position.due);
         queue.soft_deadlines.insert(Due { at: request.arrival.policy.soft_deadline, request: id });
-        self.callers.entry(caller.clone()).or_default().insert(urgency);
-        self.all.insert(urgency);
+        self.callers.entry(caller.clone()).or_default().insert(position);
+        self.all.insert(position);
     }
 
     /// Returns the requests that may be dispatched before the next one if they fit better.
@@ -234,26 +242,26 @@
     }
 
     fn remove(&mut self, id: RequestId, request: &Request, exit: Exit) {
-        let urgency = Urgency::of(id, request);
-        if !self.all.remove(&urgency) {
+        let position = QueuePosition::of(id, request);
+        if !self.all.remove(&position) {
             return;
         }
         let caller = &request.arrival.caller;
         if let Some(own) = self.callers.get_mut(caller) {
-            own.remove(&urgency);
+            own.remove(&position);
             if own.is_empty() {
                 self.callers.remove(caller);
             }
         }
         let target = &request.arrival.target;
         let Some(queue) = self.by_target.get_mut(target) else { return };
-        queue.entries.remove(&urgency);
-        queue.deadlines.remove(&urgency.due);
+        queue.entries.remove(&position);
+        queue.deadlines.remove(&position.due);
         queue.soft_deadlines.remove(&Due { at: request.arrival.policy.soft_deadline, request: id });
-        if let Some(class) = queue.classes.get_mut(&urgency.order) {
-            class.remove(caller, urgency.due, exit);
+        if let Some(class) = queue.classes.get_mut(&position.order) {
+            class.remove(caller, position.due, exit);
             if class.callers.is_empty() {
-                queue.classes.remove(&urgency.order);
+                queue.classes.remove(&position.order);
             }
         }
         if queue.entries.is_empty() {
--- a/crates/skylarkshore-core/src/serving/request.rs
+++ b/crates/skylarkshore-core/src/serving/request.rs
@@ -10,7 +10,7 @@
 use crate::store::RecordedAnswer;
 use crate::time::Time;
 
-/// A time at which a request is due for a check. Ordered by time.
+/// A time at which a request is due for a check, as a timer or a deadline. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Due {
     pub(super) at: Time,
@@ -40,21 +40,21 @@
 /// The stage that a request has reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits for credit of its client account.
+    /// Waits for credit, which counts against the limits of its client account.
     AwaitingCredit {
         /// When the credit becomes available; `None` while it is being requested.
         not_before: Option<Time>,
     },
-    /// Its idempotency key is being looked up before it is queued.
+    /// Its idempotency key is being read before it is queued.
     LookingUp,
     /// Waits for an upstream.
     Queued,
-    /// Is a suspect and waits for an upstream of its own.
+    /// Is a suspect and waits for an upstream on which it runs in isolation.
     QueuedForIsolation,
     /// Occupies a slot at the upstream while its idempotency key is being claimed.
     Claiming {
-        /// The upstream on which it will run.
-        run: UpstreamId,
+        /// The upstream to which it will be sent.
+        upstream: UpstreamId,
         /// Whether other requests may run there.
         isolation: Isolation,
     },
@@ -62,18 +62,19 @@
     Sent(Run),
     /// A part of the answer has arrived.
     Answering(Run),
-    /// Its upstream died, and the peers are being notified before it is retried or refused.
+    /// Its upstream crashed, and the peers are being notified before it is retried or refused.
     NotifyingPeers,
     /// Its answer is being recorded under its idempotency key.
-    Recording {
+    RecordingAnswer {
         /// When the caller gets the answer even if it is not recorded.
-        until: Time,
+        timeout_at: Time,
         answer: RecordedAnswer,
     },
-    /// Nothing ran, and its claim is being released before the caller is refused.
-    Releasing {
+    /// Nothing ran, and the claim of its idempotency key is being released before the caller is
+    /// refused.
+    ReleasingClaim {
         /// When the caller is refused even if the claim is not released.
-        until: Time,
+        timeout_at: Time,
         refusal: Refusal,
     },
 }
@@ -104,7 +105,7 @@
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) arrival: Arrival,
-    /// The order of service, from the rules and the request's policy.
+    /// The order of service, from the rules and the request's policy; lower ones come first.
     pub(super) order: ServiceOrder,
     pub(super) arrived: Time,
     pub(super) state: State,
@@ -115,7 +116,7 @@
     pub(super) failures: u32,
     /// Attempts that may have run.
     pub(super) runs: u32,
-    /// Whether a failure answer of the last attempt is held for the caller.
+    /// Whether the failure answer of the last attempt is kept, to be forwarded if no retry is left.
     pub(super) holds_failure: bool,
     /// Upstreams on which an attempt has failed.
     pub(super) tried: OrderedSet<UpstreamId>,
@@ -129,7 +130,8 @@
 }
 
 impl Request {
-    /// Returns the latest time at which the request may leave the queue.
+    /// Returns the latest time at which the request may leave the queue: `first_byte_deadline`, or
+    /// `deadline` if it is earlier or a part of the answer was passed on. Timers are set for both.
     ///
     /// Callers of streams disconnect if no event arrives for a while, long before their
     /// deadline. A request that waited longer would be answered to nobody, and its caller
@@ -164,8 +166,8 @@
         self.since = now;
     }
 
-    /// Returns the digest of the idempotency key if the request may run only once.
-    pub(super) const fn once_key(&self) -> Option<Digest> {
+    /// Returns the digest of the idempotency key if the request has one.
+    pub(super) const fn idempotency_key(&self) -> Option<Digest> {
         match self.arrival.repeat {
             Repeat::Allowed | Repeat::AtMostOnce => None,
             Repeat::Once { key } => Some(key),
@@ -183,7 +185,7 @@
     /// Returns the upstream at which the request occupies a slot.
     pub(super) const fn occupied_upstream(&self) -> Option<&UpstreamId> {
         match &self.state {
-            State::Claiming { run: upstream, .. } => Some(upstream),
+            State::Claiming { upstream, .. } => Some(upstream),
             State::Sent(run) | State::Answering(run) => Some(&run.upstream),
             _ => None,
         }
@@ -199,7 +201,7 @@
 
     /// Reports whether no attempt is in progress and no answer is being recorded.
     pub(super) const fn has_no_run(&self) -> bool {
-        self.run().is_none() && !matches!(self.state, State::Recording { .. })
+        self.run().is_none() && !matches!(self.state, State::RecordingAnswer { .. })
     }
 
     /// Returns the name of the client account, for the log.
@@ -215,7 +217,7 @@
 
     /// Reports whether the caller has, or may have, a part of the answer.
     pub(super) const fn is_partly_answered(&self) -> bool {
-        let answering = matches!(self.state, State::Answering(_)) && self.once_key().is_none();
+        let answering = matches!(self.state, State::Answering(_)) && self.idempotency_key().is_none();
         self.passed_on || answering
     }
 
@@ -247,12 +249,12 @@
             State::LookingUp => "looking its key up".to_owned(),
             State::Queued => "queued".to_owned(),
             State::QueuedForIsolation => "suspect, waiting for an upstream of its own".to_owned(),
-            State::Claiming { run, .. } => format!("claiming its key, to be sent to {run}"),
+            State::Claiming { upstream, .. } => format!("claiming its key, to be sent to {upstream}"),
             State::Sent(run) => format!("sent to {}, attempt {}", run.upstream, run.attempt),
             State::Answering(run) => format!("answering from {}, attempt {}", run.upstream, run.attempt),
             State::NotifyingPeers => "lost, peers are being told".to_owned(),
-            State::Recording { .. } => "answered, being recorded".to_owned(),
-            State::Releasing { .. } => "not run, its claim is being given up".to_owned(),
+            State::RecordingAnswer { .. } => "answered, being recorded".to_owned(),
+            State::ReleasingClaim { .. } => "not run, its claim is being given up".to_owned(),
         }
     }
 }
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -1,6 +1,8 @@
 //! Selection of the upstream for a request, by load, distance and cached prompt prefix.
 //!
-//! Open [`Routes`] first.
+//! Open [`Routes`] first. A request for a model goes to an engine, one for a service to a replica;
+//! both are upstreams. "Load" is the number of requests at an upstream; the loading of a model is
+//! called so.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -19,20 +21,21 @@
 use crate::upstream::{Upstream, UpstreamStatus};
 use crate::view::EngineView;
 
-/// Load above the emptiest upstream, in thousandths, at which a prompt's prefix still decides.
+/// Largest load above the least loaded upstream, in thousandths of the concurrency, at which an
+/// upstream is still chosen because it probably has the prompt prefix cached.
 const PREFIX_LOAD_SLACK: u64 = 400;
 /// The same limit as a number of requests.
 ///
-/// An engine that batches requests reads their prompts one after the other between the steps of
-/// all; a few more requests than elsewhere slow every stream on it.
+/// An engine that batches requests processes their prompts one at a time between the decoding steps
+/// of the whole batch, so a few requests more than on other engines slow every stream on it.
 const PREFIX_REQUEST_SLACK: u64 = 6;
-/// Load, in thousandths of its concurrency, up to which an engine takes requests with a prompt
-/// prefix.
+/// Load, in thousandths of the concurrency, up to which an upstream may be sent requests with a
+/// prompt prefix although it has no free slot.
 ///
-/// When every engine is full, a request that takes the next free slot rarely finds its prompt
-/// cached, just when the saved time is needed most.
+/// If such requests waited for the next free slot while every engine is full, they would rarely
+/// reach one that has their prompt cached, just when the saved time is needed most.
 const MAX_CROWDED_LOAD: u64 = 1400;
-/// Cost of an upstream in another data centre, in thousandths of its load.
+/// Added to the load of an upstream in another data centre, in thousandths of its concurrency.
 const REMOTE_COST: u64 = 60;
 /// How long an upstream gets no requests after it announced that it is leaving.
 const LEAVING_TTL: Duration = Duration::from_mins(5);
@@ -58,7 +61,8 @@
 #[derive(Clone, Debug)]
 struct Candidate {
     upstream: UpstreamId,
-    /// Its expected load in thousandths of its concurrency, plus the cost of distance.
+    /// Its expected load in thousandths of its concurrency, plus [`REMOTE_COST`] if it is in another
+    /// data centre.
     cost: u64,
     room: Room,
     /// Requests that it runs at a time.
@@ -66,7 +70,7 @@
 }
 
 impl Candidate {
-    /// Returns the load of some requests in thousandths of the concurrency.
+    /// Returns the load that this many requests cause, in thousandths of the concurrency.
     fn load_of(&self, requests: u64) -> u64 {
         requests * 1000 / u64::from(self.concurrency.max(1))
     }
@@ -87,14 +91,15 @@
 /// Whether a target is available or will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Availability {
-    /// An upstream has it, whether busy or not.
+    /// An upstream serves it, whether it has room or not. An upstream in backoff doesn't count.
     Ready,
     /// An engine is loading it.
     Loading {
-        /// When the load is expected to finish.
+        /// When loading is expected to finish.
         ready_at: Time,
     },
-    /// No engine is known to have it or load it.
+    /// No upstream serves it. No engine is known to load it either, or it is an adapter whose base
+    /// model is ready on an engine.
     None,
 }
 
@@ -127,23 +132,28 @@
     in_flight: OrderedMap<UpstreamId, u32>,
     leaving: OrderedMap<UpstreamId, Time>,
     backoffs: OrderedMap<UpstreamId, Backoff>,
+    /// Targets that an engine rejected as not loaded although its view listed them, and until when
+    /// no more requests for them are sent there.
     missing: OrderedMap<EngineTarget, Time>,
     /// The load of other processes, from the upstreams' own reports.
     reported_loads: OrderedMap<UpstreamId, OthersLoad>,
-    /// Engines on which a suspect of this process runs, or will run, in isolation.
+    /// Upstreams on which a suspect of this process runs, or will run, in isolation: this process
+    /// sends them nothing else. That other hosts don't either needs a reservation by the owner,
+    /// which its view shows (`reserved_for`).
     held_for_suspect: OrderedSet<UpstreamId>,
 }
 
 impl Routes {
-    /// Reports whether requests for the target may run at the upstream.
-    pub(super) fn may_run(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
+    /// Reports whether an upstream is a replica of the service, or has the model in any state
+    /// according to its view. Nothing else is checked.
+    pub(super) fn offers(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &Target) -> bool {
         match target {
             Target::Model(model) => self.views.lists_model(upstream, model),
             Target::Service(name) => cx.upstreams.get(upstream).and_then(Upstream::service) == Some(name),
         }
     }
 
-    /// Stores an owner's view of an engine; reports whether it is current.
+    /// Stores the view of an engine that its owner published; reports whether it is current.
     pub(super) fn apply_view(&mut self, now: Time, view: EngineView) -> bool {
         let upstream = view.upstream.clone();
         let own = self.in_flight(&upstream);
@@ -165,8 +175,8 @@
         }
     }
 
-    /// Applies what the host list shows of engines where that depends on time or the
-    /// catalogue.
+    /// Applies the unchanged host list again after a change of the catalogue, and to engines whose
+    /// owner's view takes precedence over the list only for a while.
     pub(super) fn reapply_host_list(&mut self, cx: &Cx<'_>) {
         self.views.reapply_host_list(cx);
     }
@@ -174,6 +184,7 @@
     /// Removes entries that have expired.
     pub(super) fn remove_expired(&mut self, now: Time) {
         self.leaving.retain(|_, until| !until.is_due(now));
+        // Kept for a while after its end, since the next backoff grows with its failures.
         self.backoffs.retain(|_, backoff| !backoff.until.after(MAX_BACKOFF).is_due(now));
         self.missing.retain(|_, until| !until.is_due(now));
     }
@@ -189,12 +200,12 @@
     }
 
     /// Occupies a slot at an upstream.
-    pub(super) fn occupy(&mut self, upstream: &UpstreamId) {
+    pub(super) fn occupy_slot(&mut self, upstream: &UpstreamId) {
         *self.in_flight.entry(upstream.clone()).or_default() += 1;
     }
 
     /// Releases a slot at an upstream.
-    pub(super) fn free(&mut self, upstream: &UpstreamId) {
+    pub(super) fn release_slot(&mut self, upstream: &UpstreamId) {
         let Some(n) = self.in_flight.get_mut(upstream) else { return };
         *n = n.saturating_sub(1);
         if *n == 0 {
@@ -236,31 +247,31 @@
         self.missing.insert(EngineTarget { upstream: upstream.clone(), target: target.clone() }, until);
     }
 
-    /// Holds an engine for an isolated suspect.
+    /// Holds an upstream for a suspect, so that this process sends it no other requests.
     pub(super) fn hold_for_suspect(&mut self, upstream: &UpstreamId) {
         self.held_for_suspect.insert(upstream.clone());
     }
 
-    /// Releases an engine that was held for a suspect.
+    /// Releases an upstream that was held for a suspect.
     pub(super) fn release_held(&mut self, upstream: &UpstreamId) {
         self.held_for_suspect.remove(upstream);
     }
 
     /// Chooses an upstream with room for a request.
     pub(super) fn choose(&self, cx: &mut Cx<'_>, query: RouteQuery<'_>) -> Option<UpstreamId> {
-        let mut free: Vec<Candidate> = self.candidates(cx, query.target);
-        free.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && query.prefix.is_some()));
-        if free.iter().any(|c| !query.tried.contains(&c.upstream)) {
-            free.retain(|c| !query.tried.contains(&c.upstream));
+        let mut eligible: Vec<Candidate> = self.candidates(cx, query.target);
+        eligible.retain(|c| c.room == Room::Free || (c.room == Room::Crowded && query.prefix.is_some()));
+        if eligible.iter().any(|c| !query.tried.contains(&c.upstream)) {
+            eligible.retain(|c| !query.tried.contains(&c.upstream));
         }
-        let least = free.iter().map(|c| c.cost).min()?;
+        let least = eligible.iter().map(|c| c.cost).min()?;
         if let Some(prefix) = query.prefix {
-            free.retain(|c| c.cost <= least + PREFIX_LOAD_SLACK.min(c.load_of(PREFIX_REQUEST_SLACK)));
-            return free.iter().max_by_key(|c| affinity(prefix, &c.upstream)).map(|c| c.upstream.clone());
+            eligible.retain(|c| c.cost <= least + PREFIX_LOAD_SLACK.min(c.load_of(PREFIX_REQUEST_SLACK)));
+            return eligible.iter().max_by_key(|c| affinity(prefix, &c.upstream)).map(|c| c.upstream.clone());
         }
-        free.retain(|c| c.cost == least);
-        let chosen = cx.rng.random_range(0..free.len());
-        free.get(chosen).map(|c| c.upstream.clone())
+        eligible.retain(|c| c.cost == least);
+        let chosen = cx.rng.random_range(0..eligible.len());
+        eligible.get(chosen).map(|c| c.upstream.clone())
     }
 
     /// Returns the upstream that most probably has a prompt prefix cached, even if it is
@@ -271,32 +282,36 @@
         candidates.into_iter().map(|c| c.upstream).max_by_key(|upstream| affinity(prefix, upstream))
     }
 
-    /// Reports whether a request for a target may still be sent to an upstream.
-    pub(super) fn can_take(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    /// Reports whether an upstream is a candidate for requests for a target, even if it is full.
+    pub(super) fn is_candidate(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         self.candidates(cx, target).iter().any(|c| c.upstream == *upstream)
     }
 
-    /// Reports the same for a suspect for which the upstream is held.
-    pub(super) fn can_take_isolated(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
+    /// Reports whether a suspect may still be sent to the upstream that is held for it.
+    pub(super) fn is_isolation_candidate(&self, cx: &Cx<'_>, target: &Target, upstream: &UpstreamId) -> bool {
         match target {
-            Target::Model(target) => self.ready_engines(cx, target).contains(upstream),
-            Target::Service(_) => self.usable(cx, upstream),
+            Target::Model(target) => self.isolation_engines(cx, target).contains(upstream),
+            Target::Service(_) => self.is_usable(cx, upstream),
         }
     }
 
     /// Returns the engines on which a suspect can run in isolation once they are idle.
-    pub(super) fn ready_engines(&self, cx: &Cx<'_>, target: &ModelTarget) -> Vec<UpstreamId> {
-        let usable = self.views.ready(cx, target).filter(|known| {
-            let other = known.view.reserved_for.as_ref().is_some_and(|host| *host != cx.cfg.host);
-            !other
-                && self.usable(cx, &known.view.upstream)
+    ///
+    /// Unlike candidates for other requests, they may be reserved for this host or held.
+    pub(super) fn isolation_engines(&self, cx: &Cx<'_>, target: &ModelTarget) -> Vec<UpstreamId> {
+        let engines = self.views.ready(cx, target).filter(|known| {
+            let reserved_for_other =
+                known.view.reserved_for.as_ref().is_some_and(|host| *host != cx.cfg.host);
+            !reserved_for_other
+                && self.is_usable(cx, &known.view.upstream)
                 && !self.is_missing(cx, &known.view.upstream, target)
         });
-        usable.map(|known| known.view.upstream.clone()).collect()
+        engines.map(|known| known.view.upstream.clone()).collect()
     }
 
-    /// Returns the replicas on which a suspect call of a service can run.
-    pub(super) fn idle_replicas(&self, cx: &Cx<'_>, service: &ServiceName) -> Vec<UpstreamId> {
+    /// Returns the replicas on which a suspect request can run: those without a request of this
+    /// process.
+    pub(super) fn isolation_replicas(&self, cx: &Cx<'_>, service: &ServiceName) -> Vec<UpstreamId> {
         let replicas = self.replicas(cx, service);
         replicas.filter(|id| self.in_flight(id) == 0).cloned().collect()
     }
@@ -314,11 +329,11 @@
         idle && self.in_flight(upstream) == 0
     }
 
-    /// Reports whether an upstream is known to be leaving.
+    /// Reports whether an upstream is known to be leaving, or isn't live on the host list.
     pub(super) fn is_leaving(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
-        let listed = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
+        let live = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let view_leaving = self.views.get(upstream).is_some_and(|known| known.view.leaving);
-        !listed || view_leaving || self.leaving.contains_key(upstream)
+        !live || view_leaving || self.leaving.contains_key(upstream)
     }
 
     /// Summarizes what is known of an upstream's load, for the log.
@@ -332,13 +347,14 @@
         format!("own={own} others={others} view_age_ms={age}")
     }
 
-    /// Describes how an upstream is used, for the state dump.
+    /// Describes how an upstream is used, for the state dump: leaving, held for a suspect, usable or
+    /// in backoff.
     pub(super) fn describe(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> &'static str {
         if self.is_leaving(cx, upstream) {
             "about to go"
         } else if self.held_for_suspect.contains(upstream) {
             "kept for a suspect"
-        } else if self.usable(cx, upstream) {
+        } else if self.is_usable(cx, upstream) {
             "in use"
         } else {
             "passed over for a moment"
@@ -360,13 +376,13 @@
 
     /// Reports whether a target is an adapter whose base model is ready on an engine.
     ///
-    /// Loading the adapter there takes about ten milliseconds. If a load of the base model
-    /// on another engine counted instead, callers would be refused on arrival for the whole
-    /// of that load, and no owner would be asked for the adapter.
+    /// Loading the adapter there takes about ten milliseconds. If the target counted as loading
+    /// because another engine loads the base model, requests that can't wait for that would be
+    /// refused on arrival all the while, and no owner would be asked for the adapter.
     fn lacks_only_adapter(&self, cx: &Cx<'_>, target: &ModelTarget) -> bool {
         let base = ModelTarget { model: target.model.clone(), adapter: None };
         let mut ready = self.views.ready(cx, &base).map(|known| &known.view.upstream);
-        target.adapter.is_some() && ready.any(|engine| self.usable(cx, engine))
+        target.adapter.is_some() && ready.any(|engine| self.is_usable(cx, engine))
     }
 
     /// Reports whether the host list names a live replica of a service, even one that is
@@ -376,6 +392,7 @@
         live.any(|u| !self.leaving.contains_key(&u.id))
     }
 
+    /// Returns the upstreams that may be sent requests for a target, full ones included.
     fn candidates(&self, cx: &Cx<'_>, target: &Target) -> Vec<Candidate> {
         match target {
             Target::Model(target) => self.engine_candidates(cx, target),
@@ -388,7 +405,7 @@
             .ready(cx, target)
             .filter(|known| known.view.reserved_for.is_none())
             .filter(|known| !self.held_for_suspect.contains(&known.view.upstream))
-            .filter(|known| self.usable(cx, &known.view.upstream))
+            .filter(|known| self.is_usable(cx, &known.view.upstream))
             .filter(|known| !self.is_missing(cx, &known.view.upstream, target))
             .map(|known| {
                 let others = self.reported_loads.get(&known.view.upstream).unwrap_or(&known.others);
@@ -400,8 +417,8 @@
     fn replica_candidates(&self, cx: &Cx<'_>, service: &ServiceName) -> Vec<Candidate> {
         let concurrency = cx.document.catalogue.services.get(service).map_or(0, |s| s.concurrency);
         let candidate = |id: &UpstreamId| {
-            let own = cx.upstreams.get(id).and_then(|upstream| upstream.concurrency);
-            self.candidate(cx, id, self.reported_loads.get(id), own.unwrap_or(concurrency))
+            let listed = cx.upstreams.get(id).and_then(|upstream| upstream.concurrency);
+            self.candidate(cx, id, self.reported_loads.get(id), listed.unwrap_or(concurrency))
         };
         self.replicas(cx, service).map(candidate).collect()
     }
@@ -412,10 +429,12 @@
         service: &ServiceName,
     ) -> impl Iterator<Item = &'a UpstreamId> + use<'a> {
         let ids = cx.upstreams.replicas(service).map(|u| &u.id);
-        ids.filter(|id| self.usable(cx, id) && !self.held_for_suspect.contains(*id))
+        ids.filter(|id| self.is_usable(cx, id) && !self.held_for_suspect.contains(*id))
     }
 
-    fn usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
+    /// Reports whether an upstream is live on the host list, hasn't announced that it is leaving and
+    /// isn't in backoff.
+    fn is_usable(&self, cx: &Cx<'_>, upstream: &UpstreamId) -> bool {
         let live = cx.upstreams.get(upstream).is_some_and(|u| u.status == UpstreamStatus::Live);
         let backed_off = self.backoffs.get(upstream).is_some_and(|backoff| !backoff.until.is_due(cx.now));
         live && !backed_off && !self.leaving.contains_key(upstream)
@@ -431,17 +450,19 @@
         let near = cx.upstreams.get(upstream).is_some_and(|u| u.data_centre == cx.cfg.data_centre);
         let distance = if near { 0 } else { REMOTE_COST };
         let own = self.in_flight(upstream);
-        let share =
+        let load =
             |others: MilliRequests| (MilliRequests::of(own).0 + others.0) / u64::from(concurrency.max(1));
         let others_mean = others.map_or(MilliRequests::default(), |others| others.mean(cx.now));
         let others_decayed = others.map_or(MilliRequests::default(), |others| others.decayed(cx.now));
-        let room = match share(others_decayed) {
+        // An upstream that seems full is sent nothing and so reports nothing. Its room is therefore
+        // judged by an estimate that decays, its cost by the mean.
+        let room = match load(others_decayed) {
             _ if own >= concurrency => Room::Full,
             0..1000 => Room::Free,
             1000..MAX_CROWDED_LOAD => Room::Crowded,
             _ => Room::Full,
         };
-        Candidate { upstream: upstream.clone(), cost: share(others_mean) + distance, room, concurrency }
+        Candidate { upstream: upstream.clone(), cost: load(others_mean) + distance, room, concurrency }
     }
 
     fn is_missing(&self, cx: &Cx<'_>, upstream: &UpstreamId, target: &ModelTarget) -> bool {
--- a/crates/skylarkshore-core/src/serving/state_dump.rs
+++ b/crates/skylarkshore-core/src/serving/state_dump.rs
@@ -24,6 +24,7 @@
         let suspects = self.suspects.digests().map(|digest| {
             let state = match self.suspects.status(digest) {
                 SuspectStatus::Convicted => "crashes upstreams and is refused",
+                // Unsuspected ones are listed under `CountEnds`, where nothing runs alone.
                 SuspectStatus::Suspect | SuspectStatus::Unsuspected => {
                     "was in progress when an upstream died and runs alone"
                 }
@@ -42,7 +43,7 @@
             gauge("attempts_in_flight", self.attempts.len() as u64),
             gauge("suspect_requests", self.suspects.count(SuspectStatus::Suspect) as u64),
             gauge("convicted_requests", self.suspects.count(SuspectStatus::Convicted) as u64),
-            gauge("once_in_doubt_total", self.once.in_doubt),
+            gauge("once_in_doubt_total", self.once_claims.unknown_outcome_count),
             gauge("late_views_total", self.routes.views.stale),
         ];
         gauges.extend(self.counters.gauges());
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -25,7 +25,7 @@
 /// Retry delay when no upstream could take a request.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Why the requests with earlier deadlines can't be served in time.
+/// Why requests for a target can't be served in time, and which of them.
 #[derive(Clone, Debug)]
 struct Shortage {
     reason: RefusalReason,
@@ -100,7 +100,7 @@
             if too_late {
                 self.expect_retry(cx.now, id, shortage.retry_after);
                 let reason = shortage.reason.clone();
-                self.send_or_refuse(
+                self.apply_disposition(
                     cx,
                     id,
                     Disposition::Refuse { reason, retry_after: Some(shortage.retry_after) },
@@ -118,7 +118,7 @@
         for target in targets {
             for id in self.waiting_for(&target) {
                 let reason = RefusalReason::Leaving;
-                self.send_or_refuse(
+                self.apply_disposition(
                     cx,
                     id,
                     Disposition::Refuse { reason, retry_after: Some(Duration::ZERO) },
@@ -187,7 +187,7 @@
         self.ask(cx, target, if cold { AskTiming::Now } else { AskTiming::WhenDue });
     }
 
-    /// Asks the new owners for the targets whose homes or owners have changed.
+    /// Asks the owners again for the targets whose homes, or owners of homes, have changed.
     pub(super) fn ask_new_owners(&mut self, cx: &mut Cx<'_>, key: &Key) {
         for model in self.waiting_models(cx) {
             let affected = match key {
@@ -240,10 +240,10 @@
     /// retries.
     fn waiting(&self, cx: &Cx<'_>, target: &Target) -> Option<WaitingSummary> {
         let mut waiting = self.queue.waiting(cx.now, target);
-        for urgency in &self.suspects.waiting {
-            let Some(request) = self.requests.get(&urgency.due.request) else { continue };
+        for position in &self.suspects.waiting {
+            let Some(request) = self.requests.get(&position.due.request) else { continue };
             if request.arrival.target == *target {
-                WaitingSummary::add(&mut waiting, 1, urgency.order, urgency.due.at);
+                WaitingSummary::add(&mut waiting, 1, position.order, position.due.at);
             }
         }
         if let Target::Model(model) = target
@@ -260,10 +260,11 @@
         waiting
     }
 
+    /// Returns the requests that wait for a target, including suspects.
     fn waiting_for(&self, target: &Target) -> Vec<RequestId> {
         let mut ids = self.queue.requests(target);
-        let alone = self.suspects.waiting.iter().map(|urgency| urgency.due.request);
-        ids.extend(alone.filter(|id| self.requests.get(id).is_some_and(|r| r.arrival.target == *target)));
+        let suspects = self.suspects.waiting.iter().map(|position| position.due.request);
+        ids.extend(suspects.filter(|id| self.requests.get(id).is_some_and(|r| r.arrival.target == *target)));
         ids
     }
 
@@ -273,6 +274,7 @@
         targets.filter(|target| self.queue.len_of(target) == 0).collect()
     }
 
+    /// Returns the models that requests wait for, including suspects and expected retries.
     pub(super) fn waiting_models(&self, cx: &Cx<'_>) -> Vec<ModelTarget> {
         let mut targets = self.queue.targets();
         targets.extend(self.demand.targets_expecting_retries(cx).cloned().map(Target::Model));
@@ -288,8 +290,8 @@
 
     /// Returns the targets of suspects that wait for isolation.
     pub(super) fn suspect_targets(&self) -> Vec<Target> {
-        let waiting = self.suspects.waiting.iter().filter_map(|urgency| {
-            let request = self.requests.get(&urgency.due.request)?;
+        let waiting = self.suspects.waiting.iter().filter_map(|position| {
+            let request = self.requests.get(&position.due.request)?;
             (request.state == State::QueuedForIsolation).then(|| request.arrival.target.clone())
         });
         waiting.collect()
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -1,7 +1,25 @@
-//! Requests that were in progress when an upstream died, and the conviction of those that crash
-//! upstreams.
+//! Detection of requests that crash upstreams.
 //!
 //! Open [`Suspects`] first.
+//!
+//! - A *loss* is an attempt that ended without a complete answer and with an unknown outcome, for
+//!   example because the connection broke or the time ran out. Its upstream may still run.
+//! - A *crash* is a loss after which the upstream seems to have died.
+//! - An incarnation of an upstream has *terminated* when the host list no longer names the upstream
+//!   or names a later incarnation.
+//! - A *suspect* is a request that was in progress during a crash and may have caused it. It runs
+//!   only in isolation, one suspect at a time.
+//! - A request is *convicted* when it is taken to crash upstreams; it is refused for
+//!   [`CONVICTION_TTL`].
+//!
+//! Requests with the same [`Digest`] of method, path and body count as the same request. The
+//! [`SuspectPolicy`] decides how they are judged:
+//!
+//! - `RunAlone`: after a crash, all requests in progress at the upstream become suspects. One is
+//!   convicted if its upstream crashes while nothing else runs there, or after
+//!   [`CONVICTION_THRESHOLD`] crashes; it is cleared if it completes.
+//! - `CountEnds`: nothing runs in isolation. A request is convicted after it was lost with
+//!   [`CONVICTION_THRESHOLD`] incarnations that have terminated.
 
 use std::time::Duration;
 
@@ -10,15 +28,16 @@
 use crate::cx::Cx;
 use crate::id::{Digest, HostId, Incarnation, RequestId, UpstreamId};
 use crate::peer::PeerMessage;
-use crate::serving::queue::Urgency;
+use crate::serving::queue::QueuePosition;
 use crate::serving::request::Isolation;
 use crate::time::Time;
 
-/// How long a request remains suspect after its last crash.
+/// How long a request remains suspect after the last crash that it was involved in.
 const SUSPICION_TTL: Duration = Duration::from_hours(1);
-/// How long a lost request is counted with an upstream that may have terminated.
+/// How long a loss is remembered, also while the host list doesn't show yet whether the upstream
+/// terminated.
 const LOSS_TTL: Duration = Duration::from_mins(2);
-/// How long a request that crashes upstreams is refused.
+/// How long a convicted request is refused.
 const CONVICTION_TTL: Duration = Duration::from_hours(24);
 /// Longest time that the peers' acknowledgements are awaited before the caller is answered.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -26,16 +45,20 @@
 const NOTICE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of digests that are kept.
 const MAX_SUSPICIONS: usize = 4096;
-/// Number of crashes of different upstreams that convicts a suspect, isolated or not.
+/// Number of crashes of different upstreams, or of terminated incarnations, that convicts a
+/// request, isolated or not.
 ///
-/// A plain service's replica can't be reserved, so its suspects never provably run in
-/// isolation. Without this limit, one call could crash all replicas in turn, forever.
+/// Replicas of services can't be reserved, so it is never proved that a suspect request to a
+/// service runs in isolation. Without this limit, one request could crash all replicas in turn,
+/// forever.
 const CONVICTION_THRESHOLD: usize = 3;
 
-/// One incarnation of an upstream.
+/// One incarnation of an upstream, with which a request was lost.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct UpstreamIncarnation {
     upstream: UpstreamId,
+    /// `None` if it is unknown. Crashes are recorded without it, so that repeated reports of a
+    /// crash, and several crashes of one upstream, count once.
     incarnation: Option<Incarnation>,
 }
 
@@ -47,10 +70,10 @@
     }
 }
 
-/// The crashes that a request was involved in.
+/// The crashes or losses that a request was involved in.
 #[derive(Debug)]
 struct Suspicion {
-    crashes: OrderedSet<UpstreamIncarnation>,
+    incarnations: OrderedSet<UpstreamIncarnation>,
     convicted: bool,
     until: Time,
 }
@@ -64,7 +87,8 @@
     unacknowledged: OrderedSet<HostId>,
     resend_at: Time,
     until: Time,
-    held: Vec<RequestId>,
+    /// Lost requests of this process that are retried or refused when the notice is done.
+    waiting_requests: Vec<RequestId>,
 }
 
 impl PendingNotice {
@@ -78,7 +102,7 @@
     }
 }
 
-/// The suspect that runs in isolation, or is the next to do so.
+/// The suspect for which an upstream is held, whether it has been sent yet or not.
 #[derive(Clone, Debug)]
 pub(super) struct IsolatedRun {
     pub(super) request: RequestId,
@@ -94,9 +118,9 @@
 pub(super) enum SuspectStatus {
     /// It isn't suspect.
     Unsuspected,
-    /// It runs in isolation.
+    /// It may run only in isolation.
     Suspect,
-    /// It isn't run any more.
+    /// It must not run.
     Convicted,
 }
 
@@ -104,12 +128,13 @@
 #[derive(Debug)]
 pub(super) struct Suspects {
     policy: SuspectPolicy,
+    /// Suspect and convicted requests by digest; under `CountEnds`, all recently lost ones.
     known: OrderedMap<Digest, Suspicion>,
     pending_notices: Vec<PendingNotice>,
     last_contact: OrderedMap<HostId, Time>,
     /// The suspect requests that wait for an upstream of their own.
-    pub(super) waiting: OrderedSet<Urgency>,
-    /// The one that is dispatched now.
+    pub(super) waiting: OrderedSet<QueuePosition>,
+    /// The suspect for which an upstream is held.
     pub(super) isolated: Option<IsolatedRun>,
 }
 
@@ -131,6 +156,7 @@
         match self.known.get(&digest) {
             None => SuspectStatus::Unsuspected,
             Some(suspicion) if suspicion.convicted => SuspectStatus::Convicted,
+            // Its losses are counted, but it runs like any other request.
             Some(_) if self.policy == SuspectPolicy::CountEnds => SuspectStatus::Unsuspected,
             Some(_) => SuspectStatus::Suspect,
         }
@@ -141,7 +167,8 @@
         self.known.keys().filter(|digest| self.status(**digest) == status).count()
     }
 
-    /// Returns the digests that are suspect, convicted or counted.
+    /// Returns the digests of suspect and convicted requests; under `CountEnds`, also of those whose
+    /// losses are counted.
     pub(super) fn digests(&self) -> impl Iterator<Item = Digest> {
         self.known.keys().copied()
     }
@@ -156,7 +183,7 @@
         upstream: &UpstreamId,
         digests: Vec<Digest>,
         isolation: Isolation,
-        held: RequestId,
+        waiting_request: RequestId,
     ) {
         self.record_crash(cx, upstream, &digests, isolation);
         let unacknowledged = self.peers_to_await(cx);
@@ -167,7 +194,7 @@
             unacknowledged,
             resend_at: cx.now.after(NOTICE_RESEND_INTERVAL),
             until: cx.now.after(NOTICE_TIMEOUT),
-            held: vec![held],
+            waiting_requests: vec![waiting_request],
         };
         cx.broadcast(&notice.message());
         self.pending_notices.push(notice);
@@ -175,15 +202,23 @@
 
     /// Makes a request wait for a pending notice that names it; reports whether there is
     /// one.
-    pub(super) fn join_notice(&mut self, upstream: &UpstreamId, digest: Digest, held: RequestId) -> bool {
-        let notice =
-            self.pending_notices.iter_mut().find(|t| t.upstream == *upstream && t.digests.contains(&digest));
+    pub(super) fn join_notice(
+        &mut self,
+        upstream: &UpstreamId,
+        digest: Digest,
+        waiting_request: RequestId,
+    ) -> bool {
+        let notice = self
+            .pending_notices
+            .iter_mut()
+            .find(|notice| notice.upstream == *upstream && notice.digests.contains(&digest));
         let Some(notice) = notice else { return false };
-        notice.held.push(held);
+        notice.waiting_requests.push(waiting_request);
         true
     }
 
-    /// Records suspects that this process or a peer has found.
+    /// Records a crash and the requests that were in progress at the upstream, at this process or a
+    /// peer; convicts those that are proved or counted often enough to crash upstreams.
     pub(super) fn record_crash(
         &mut self,
         cx: &mut Cx<'_>,
@@ -194,13 +229,15 @@
         for digest in digests {
             self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashes: OrderedSet::new(),
+                incarnations: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation: None });
+            suspicion
+                .incarnations
+                .insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation: None });
             let convicted =
-                isolation == Isolation::Exclusive || suspicion.crashes.len() >= CONVICTION_THRESHOLD;
+                isolation == Isolation::Exclusive || suspicion.incarnations.len() >= CONVICTION_THRESHOLD;
             if convicted && !suspicion.convicted {
                 cx.log_event("request_convicted", digest, format!("crashed {upstream}"));
             } else if !convicted {
@@ -213,7 +250,7 @@
     }
 
     /// Records requests that were lost with an incarnation of an upstream, at this process
-    /// or a peer.
+    /// or a peer (`CountEnds` only).
     ///
     /// Only incarnations that have terminated according to the host list count; a broken
     /// connection alone proves nothing about the request.
@@ -227,49 +264,53 @@
         for digest in digests {
             self.evict_if_full();
             let suspicion = self.known.entry(*digest).or_insert_with(|| Suspicion {
-                crashes: OrderedSet::new(),
+                incarnations: OrderedSet::new(),
                 convicted: false,
                 until: Time::START,
             });
-            suspicion.crashes.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation });
+            suspicion.incarnations.insert(UpstreamIncarnation { upstream: upstream.clone(), incarnation });
             suspicion.until = cx.now.after(LOSS_TTL);
         }
         self.on_host_list(cx);
     }
 
-    /// Reports whether one more loss is enough to blame the request.
+    /// Reports whether the request would be convicted if one more of its losses were counted
+    /// (`CountEnds` only).
     ///
-    /// The host list shows an upstream's termination only after a while. A request that is
-    /// one crash short of conviction would be sent again in the meantime and crash one more
-    /// upstream.
+    /// The host list shows a termination only after a while. A request that is one termination
+    /// short of conviction would be sent again in the meantime and crash one more upstream.
     pub(super) fn is_one_loss_from_conviction(&self, cx: &Cx<'_>, digest: Digest) -> bool {
         if self.policy != SuspectPolicy::CountEnds {
             return false;
         }
-        let lives = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.crashes);
-        lives.filter(|life| life.has_terminated(cx)).count() + 1 >= CONVICTION_THRESHOLD
+        let incarnations = self.known.get(&digest).into_iter().flat_map(|suspicion| &suspicion.incarnations);
+        incarnations.filter(|incarnation| incarnation.has_terminated(cx)).count() + 1 >= CONVICTION_THRESHOLD
     }
 
-    /// Convicts requests that were lost with too many terminated incarnations.
+    /// Convicts requests that were lost with too many terminated incarnations (`CountEnds` only).
     pub(super) fn on_host_list(&mut self, cx: &mut Cx<'_>) {
         if self.policy != SuspectPolicy::CountEnds {
             return;
         }
         for (digest, suspicion) in &mut self.known {
-            let ended = suspicion.crashes.iter().filter(|life| life.has_terminated(cx)).count();
-            if ended >= CONVICTION_THRESHOLD && !suspicion.convicted {
+            let terminated =
+                suspicion.incarnations.iter().filter(|incarnation| incarnation.has_terminated(cx)).count();
+            if terminated >= CONVICTION_THRESHOLD && !suspicion.convicted {
                 suspicion.convicted = true;
                 suspicion.until = cx.now.after(CONVICTION_TTL);
                 cx.log_event(
                     "request_convicted",
                     digest,
-                    format!("{ended} upstreams terminated while running it"),
+                    format!("{terminated} upstreams terminated while running it"),
                 );
             }
         }
     }
 
-    /// Clears a suspect that ran to completion; reports whether it was one.
+    /// Clears a request that ran to completion; reports whether it was suspect, so that its waiting
+    /// requests have to be requeued.
+    ///
+    /// Under `CountEnds` no request waits for isolation, and none has to be requeued.
     pub(super) fn clear(&mut self, digest: Digest) -> bool {
         if self.policy == SuspectPolicy::CountEnds {
             self.known.remove(&digest);
@@ -294,10 +335,12 @@
                 notice.unacknowledged.remove(from);
             }
         }
+        // Nothing is due at START, so this takes only acknowledged notices; the tick takes those
+        // that have timed out.
         self.take_notified(Time::START)
     }
 
-    /// Removes expired suspicions and peers that are no longer members.
+    /// Removes expired suspicions, and contacts with peers that are no longer members.
     pub(super) fn remove_expired(&mut self, cx: &Cx<'_>) {
         self.known.retain(|_, suspicion| !suspicion.until.is_due(cx.now));
         self.last_contact.retain(|host, _| cx.cache.member(host).is_some());
@@ -318,10 +361,12 @@
         self.take_notified(cx.now)
     }
 
-    /// Returns the requests whose notice is acknowledged by all peers or has timed out.
+    /// Removes the notices that all peers have acknowledged or that have timed out; returns the
+    /// requests that waited for them.
     pub(super) fn take_notified(&mut self, now: Time) -> Vec<RequestId> {
-        let is_done = |t: &mut PendingNotice| t.unacknowledged.is_empty() || t.until.is_due(now);
-        self.pending_notices.extract_if(.., is_done).flat_map(|t| t.held).collect()
+        let is_done =
+            |notice: &mut PendingNotice| notice.unacknowledged.is_empty() || notice.until.is_due(now);
+        self.pending_notices.extract_if(.., is_done).flat_map(|notice| notice.waiting_requests).collect()
     }
 
     /// Returns the peers whose acknowledgement is awaited.
