--- a/crates/skylarkshore-core/src/serving.rs
+++ b/crates/skylarkshore-core/src/serving.rs
@@ -4,6 +4,8 @@
 //!
 //! Terms used in all of them:
 //!
+//! - Each host runs one process, also called *router*, that serves requests; its *peers* are those
+//!   of the other hosts.
 //! - A *target* is what a request asks for: a model, one of its adapters or a service. An
 //!   *upstream* runs requests; it is an *engine*, which loads models and adapters, or a *replica*
 //!   of a service.
--- a/crates/skylarkshore-core/src/serving/arrival.rs
+++ b/crates/skylarkshore-core/src/serving/arrival.rs
@@ -111,8 +111,8 @@
         if self.would_dispatch_now(cx, id) {
             return self.enqueue(cx, id);
         }
-        // The request has to wait. If its key was used before, it needn't, and it must
-        // not be refused as not run later.
+        // The request has to wait, so its key is looked up first. If the key was used
+        // before, the request ends now, and is not refused as not run later.
         if let Some(request) = self.requests.get_mut(&id) {
             request.set_state(State::LookingUp, cx.now);
             self.once_claims.start_lookup(cx, key);
@@ -342,6 +342,8 @@
             OnceState::Claimed if alive && !own => {
                 (RefusalReason::KeyInProgress, Some(IN_PROGRESS_RETRY_AFTER))
             }
+            // The process that claimed the key has ended, or is this one, where no request
+            // with this key is in progress.
             OnceState::Claimed => (RefusalReason::KeyInDoubt, None),
         };
         self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after });
--- a/crates/skylarkshore-core/src/serving/attempt.rs
+++ b/crates/skylarkshore-core/src/serving/attempt.rs
@@ -71,7 +71,7 @@
         cx: &mut Cx<'_>,
         id: RequestId,
         upstream: &UpstreamId,
-        held: Option<RecordedAnswer>,
+        held_answer: Option<RecordedAnswer>,
     ) {
         self.routes.clear_backoff(upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -79,9 +79,9 @@
         let key = request.idempotency_key();
         let cleared = self.suspects.clear(digest);
         if let Some(key) = key {
-            self.once_claims.record(cx, key, held.clone());
+            self.once_claims.record(cx, key, held_answer.clone());
         }
-        match (key, held) {
+        match (key, held_answer) {
             (Some(_), Some(answer)) => {
                 let timeout_at = cx.now.after(RECORD_TIMEOUT);
                 request.set_state(State::RecordingAnswer { timeout_at, answer }, cx.now);
@@ -117,7 +117,7 @@
             // the model. If this counted as a failure, a restarting engine would
             // exhaust the attempts of a request within moments although its
             // deadline is far away.
-            self.requeue_untouched(cx, id, upstream);
+            self.reset_for_retry(cx, id, upstream);
             return self.retry(cx, id, RetryCost::Free);
         }
         self.record_failure(cx, id, upstream);
@@ -139,10 +139,10 @@
                 self.record_failure(cx, id, upstream);
             }
             // A busy upstream is back-pressure, not a failure: the request waits as
-            // it would have if the load had been known.
+            // it would have if the upstream's load had been known.
             (Rejection::Busy, _) => {
                 self.routes.back_off(cx, upstream);
-                self.requeue_untouched(cx, id, upstream);
+                self.reset_for_retry(cx, id, upstream);
                 return self.retry(cx, id, RetryCost::Free);
             }
             // The host list will show what runs at the address now.
@@ -170,22 +170,22 @@
         }
         // A reclaimed host takes its upstream with it, which is no request's fault. If
         // all its requests became suspects, each would wait for an engine of its own.
-        let died = died && !self.routes.is_leaving(cx, &run.upstream);
-        let others = if died { self.digests_at(&run.upstream) } else { Vec::new() };
+        let crashed = died && !self.routes.is_leaving(cx, &run.upstream);
+        let others = if crashed { self.digests_at(&run.upstream) } else { Vec::new() };
         let out_of_time = self.requests.get(&id).is_some_and(|r| r.arrival.deadline.is_due(cx.now));
-        if died || !out_of_time {
+        if crashed || !out_of_time {
             self.routes.back_off(cx, &run.upstream);
         }
         self.record_failure(cx, id, &run.upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.passed_on |= passed_on;
         request.runs += 1;
-        request.history = if died && run.isolation == Isolation::Exclusive {
+        request.history = if crashed && run.isolation == Isolation::Exclusive {
             RunHistory::Crashed
         } else {
             RunHistory::MayHaveRun
         };
-        if !died || cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
+        if !crashed || cx.cfg.limits.suspects == SuspectPolicy::CountEnds {
             return self.retry_or_refuse_lost(cx, id);
         }
         request.set_state(State::NotifyingPeers, cx.now);
@@ -252,16 +252,19 @@
         self.apply_disposition(cx, id, Disposition::Refuse { reason, retry_after });
     }
 
-    /// Requeues a request on which an upstream did no work.
-    fn requeue_untouched(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
+    /// Ends the isolation of a request whose attempt has ended, and marks the upstream as tried.
+    ///
+    /// The request isn't in the queue yet: [`Serving::retry`] puts it there or refuses it.
+    fn reset_for_retry(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
         self.end_isolation(cx, id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.tried.insert(upstream.clone());
         request.set_state(State::Queued, cx.now);
     }
 
+    /// Does the same for an attempt that counts as a failure.
     fn record_failure(&mut self, cx: &mut Cx<'_>, id: RequestId, upstream: &UpstreamId) {
-        self.requeue_untouched(cx, id, upstream);
+        self.reset_for_retry(cx, id, upstream);
         if let Some(request) = self.requests.get_mut(&id) {
             request.failures += 1;
         }
--- a/crates/skylarkshore-core/src/serving/budget.rs
+++ b/crates/skylarkshore-core/src/serving/budget.rs
@@ -22,7 +22,7 @@
 /// Their windows start at different times, and they learn late that one of them has left; the
 /// rest covers both.
 const SHARED_PERCENT_USED: u64 = 80;
-/// The service or pool that a retry is sent to.
+/// The service or pool that a retry is sent to; `None` for models outside of pools.
 pub(super) type Destination = Option<ServiceName>;
 
 /// Limits retries.
--- a/crates/skylarkshore-core/src/serving/demand.rs
+++ b/crates/skylarkshore-core/src/serving/demand.rs
@@ -42,6 +42,7 @@
 
 #[derive(Debug)]
 struct TargetDemand {
+    /// Requests since usage was last sent.
     arrived: u32,
     /// Answers that began after their soft deadline because of the engine.
     late: u32,
@@ -50,7 +51,7 @@
     /// When usage was last sent to the owners.
     usage_sent: Time,
     /// How many owners are asked to load, from the start of the list that `owners` returns.
-    owners_asked: usize,
+    owners_to_ask: usize,
     /// Since when requests have waited without a response from any owner.
     silent_since: Option<Time>,
     /// Since when requests have waited without interruption, whatever the owners responded.
@@ -62,12 +63,13 @@
     /// The owner that is asked although it is busy, because all are and it is expected to
     /// be the fastest.
     assigned: Option<HostId>,
-    /// When it should have loaded the target.
+    /// Until when it should have loaded the target.
     assigned_until: Time,
-    /// Requests that were told when to retry.
+    /// Refused requests whose callers were told when to retry.
     expected_retries: ExpectedRetries,
-    /// Owners that were asked and have not responded that they are busy.
-    asked_owners: OrderedSet<HostId>,
+    /// Owners that were asked and have not responded that they are busy, so that they are expected
+    /// to load the target.
+    presumed_loaders: OrderedSet<HostId>,
 }
 
 /// An owner's response that a load would take long.
@@ -119,7 +121,7 @@
             last_arrival: now,
             last_asked: None,
             usage_sent: Time::START,
-            owners_asked: 1,
+            owners_to_ask: 1,
             silent_since: None,
             waiting_since: None,
             latest_deadline: now,
@@ -128,14 +130,14 @@
             assigned: None,
             assigned_until: Time::NEVER,
             expected_retries: ExpectedRetries::default(),
-            asked_owners: OrderedSet::new(),
+            presumed_loaders: OrderedSet::new(),
         };
         self.targets.insert(target.clone(), entry);
         None
     }
 
-    /// Counts an answer that began after its soft deadline although its request had hardly waited
-    /// here.
+    /// Counts an answer that began after its soft deadline although its request spent less than half
+    /// of the time waiting here.
     pub(super) fn count_late(&mut self, target: &ModelTarget) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.late = entry.late.saturating_add(1);
@@ -172,7 +174,7 @@
         entry.latest_deadline = entry.latest_deadline.max(waiting.latest_deadline);
         let first = entry.last_asked.replace(cx.now).is_none();
         for (i, owner) in owners.iter().enumerate() {
-            let asked = i < entry.owners_asked && !entry.busy.contains_key(owner)
+            let asked = i < entry.owners_to_ask && !entry.busy.contains_key(owner)
                 || entry.assigned.as_ref() == Some(owner);
             if !asked && !first {
                 continue;
@@ -185,7 +187,7 @@
             // An owner that is sent a soft deadline may respond that it is busy. One that was asked
             // before and hasn't responded so has taken the target on. It is sent none, so that it
             // keeps the target; a second load would be wasted.
-            let may_decline = entry.asked_owners.insert(owner.clone()) || !asked;
+            let may_decline = entry.presumed_loaders.insert(owner.clone()) || !asked;
             let soft_deadline = waiting
                 .soft_deadline
                 .filter(|_| may_decline)
@@ -228,14 +230,14 @@
     /// Resets a target for which no request waits any longer.
     pub(super) fn reset(&mut self, target: &ModelTarget) {
         let Some(entry) = self.targets.get_mut(target) else { return };
-        entry.owners_asked = 1;
+        entry.owners_to_ask = 1;
         entry.silent_since = None;
         entry.waiting_since = None;
         entry.latest_deadline = Time::START;
         entry.refused.clear();
         entry.busy.clear();
         entry.assigned = None;
-        entry.asked_owners.clear();
+        entry.presumed_loaders.clear();
     }
 
     /// Records an owner's response that a load would take long.
@@ -243,7 +245,7 @@
         let Some(entry) = self.targets.get_mut(target) else { return };
         let busy = OwnerBusy { ready_at: now.after(takes), until: now.after(BUSY_TTL) };
         entry.busy.insert(from.clone(), busy);
-        entry.asked_owners.remove(from);
+        entry.presumed_loaders.remove(from);
         entry.silent_since = None;
     }
 
@@ -295,7 +297,7 @@
     pub(super) fn assign_loader(&mut self, cx: &Cx<'_>, target: &ModelTarget, loader: HostId) {
         let Some(entry) = self.targets.get_mut(target) else { return };
         entry.assigned_until = cx.now.after(LOADER_TTL);
-        entry.asked_owners.insert(loader.clone());
+        entry.presumed_loaders.insert(loader.clone());
         entry.assigned = Some(loader);
     }
 
@@ -323,10 +325,10 @@
         let latest_deadline = entry.latest_deadline;
         entry.refused.insert(from.clone(), OwnerRefusal { reason, until, latest_deadline });
         entry.silent_since = None;
-        let all_asked_refuse = owners.iter().take(entry.owners_asked).all(|o| entry.refused.contains_key(o));
-        let more = entry.owners_asked < owners.len();
+        let all_asked_refuse = owners.iter().take(entry.owners_to_ask).all(|o| entry.refused.contains_key(o));
+        let more = entry.owners_to_ask < owners.len();
         if all_asked_refuse && more {
-            entry.owners_asked += 1;
+            entry.owners_to_ask += 1;
         }
         all_asked_refuse && more
     }
--- a/crates/skylarkshore-core/src/serving/lease.rs
+++ b/crates/skylarkshore-core/src/serving/lease.rs
@@ -58,7 +58,7 @@
         cx.push(Effect::Store { call, request: StoreCall::GrantLease { ttl: RECORD_TTL } });
     }
 
-    /// Keeps a lease ready if a service has calls that may run only once.
+    /// Keeps a lease ready if a service has requests that may run only once.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         let needed = cx.document.catalogue.services.values().any(|service| !service.once_paths.is_empty());
         if needed {
--- a/crates/skylarkshore-core/src/serving/once.rs
+++ b/crates/skylarkshore-core/src/serving/once.rs
@@ -1,7 +1,8 @@
 //! Claims on idempotency keys, so that a request runs at most once under its key.
 //!
 //! A claim is a record under the key in the key-value service, written before the request is sent
-//! and only if the key has none. Later it holds the answer.
+//! and only if the key has none. When the request has run, the record holds its answer or states
+//! that the answer wasn't kept.
 //!
 //! Open [`OnceClaims`] first.
 
@@ -67,6 +68,7 @@
     claims: OrderedMap<Digest, Claim>,
     unknown_outcomes: UnknownOutcomes,
     lease: OnceLease,
+    /// Whether the last call to the key-value service other than a write failed.
     failing: bool,
     /// Number of requests that ended with an unknown outcome, whose keys stay claimed.
     pub(super) unknown_outcome_count: u64,
--- a/crates/skylarkshore-core/src/serving/once/claim.rs
+++ b/crates/skylarkshore-core/src/serving/once/claim.rs
@@ -31,7 +31,7 @@
     Unconfirmed(UnconfirmedClaim),
 }
 
-/// A claim that may take effect after it was released.
+/// A claim of which it is unknown whether it took, or will take, effect.
 #[derive(Debug)]
 pub(super) struct UnconfirmedClaim {
     /// When to look it up next.
@@ -61,7 +61,8 @@
     /// The request that waits for the claim, unless the claim was released.
     pub(super) waiter: Option<RequestId>,
     pub(super) state: ClaimState,
-    /// Whether an orphaned claim of this process, under which nothing ran, may be found.
+    /// Whether an orphaned claim of this process may be found: one that stayed or took effect after
+    /// its request was refused, so that nothing ran under it.
     pub(super) may_be_orphaned: bool,
 }
 
--- a/crates/skylarkshore-core/src/serving/others_load.rs
+++ b/crates/skylarkshore-core/src/serving/others_load.rs
@@ -30,7 +30,7 @@
 
 /// Moving mean of the load of other processes on an upstream.
 ///
-/// Reports arrive late and at all routers together. If every router trusted each report, all
+/// Reports arrive late and at all routers together. If every router acted on the last report, all
 /// would send to the engine that was empty a second ago: engines would be flooded and idle in
 /// turn while requests wait. The mean over several reports still separates a busy engine from
 /// an idle one, and a router knows its own load exactly.
--- a/crates/skylarkshore-core/src/serving/published_views.rs
+++ b/crates/skylarkshore-core/src/serving/published_views.rs
@@ -15,7 +15,7 @@
 
 /// How long a load is still expected after it should have finished.
 ///
-/// An owner that dies during a load leaves a view that promises the model. Without a limit,
+/// An owner that dies during a load leaves a view in which the model is loading. Without a limit,
 /// requests would wait for it instead of for the next owner's view.
 const OVERDUE_LOAD_TTL: Duration = Duration::from_secs(10);
 
@@ -51,14 +51,14 @@
     /// Reports whether the engine has been reserved for this host, and idle, for long
     /// enough.
     ///
-    /// When a reservation begins, other routers don't know of it yet, and the engine's
-    /// figures are older still. A suspect sent immediately could run next to an innocent
-    /// request, or be convicted of the crash that the other one caused.
+    /// When a reservation begins, other routers haven't received the view that shows it, and the
+    /// number of running requests in it is older still. A suspect sent immediately could run
+    /// next to an innocent request, or be convicted of the crash that the other one caused.
     pub(super) fn is_reserved_and_idle(&self, cx: &Cx<'_>) -> bool {
-        let settled_at = self.reserved_since.after(cx.cfg.timings.report_every * 2);
+        let known_to_all_at = self.reserved_since.after(cx.cfg.timings.report_every * 2);
         self.view.reserved_for.as_ref() == Some(&cx.cfg.host)
             && self.view.running == 0
-            && settled_at <= self.received
+            && known_to_all_at <= self.received
     }
 
     /// Reports whether the view takes precedence over the host list.
@@ -131,8 +131,8 @@
             return Freshness::Stale;
         }
         let freshness = if version == Some(view.version) { Freshness::Unchanged } else { Freshness::Newer };
-        let same_holder = known.filter(|known| known.view.reserved_for == view.reserved_for);
-        let reserved_since = same_holder.map_or(now, |known| known.reserved_since);
+        let same_reservation = known.filter(|known| known.view.reserved_for == view.reserved_for);
+        let reserved_since = same_reservation.map_or(now, |known| known.reserved_since);
         // The view includes this process's own requests, whose number is known exactly.
         let reported = view.running.saturating_sub(own);
         let same_models = known.filter(|known| has_same_ready_models(&known.view, &view));
--- a/crates/skylarkshore-core/src/serving/routing.rs
+++ b/crates/skylarkshore-core/src/serving/routing.rs
@@ -1,8 +1,7 @@
 //! Selection of the upstream for a request, by load, distance and cached prompt prefix.
 //!
 //! Open [`Routes`] first. A request for a model goes to an engine, one for a service to a replica;
-//! both are upstreams. "Load" is the number of requests at an upstream; the loading of a model is
-//! called so.
+//! both are upstreams. Load is the number of requests at an upstream, not the loading of a model.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -30,7 +29,7 @@
 /// of the whole batch, so a few requests more than on other engines slow every stream on it.
 const PREFIX_REQUEST_SLACK: u64 = 6;
 /// Load, in thousandths of the concurrency, up to which an upstream may be sent requests with a
-/// prompt prefix although it has no free slot.
+/// prompt prefix although it has no free slot; those of this process alone must not fill it.
 ///
 /// If such requests waited for the next free slot while every engine is full, they would rarely
 /// reach one that has their prompt cached, just when the saved time is needed most.
@@ -138,7 +137,7 @@
     /// The load of other processes, from the upstreams' own reports.
     reported_loads: OrderedMap<UpstreamId, OthersLoad>,
     /// Upstreams on which a suspect of this process runs, or will run, in isolation: this process
-    /// sends them nothing else. That other hosts don't either needs a reservation by the owner,
+    /// sends them nothing else. To keep other hosts away too, an engine's owner has to reserve it,
     /// which its view shows (`reserved_for`).
     held_for_suspect: OrderedSet<UpstreamId>,
 }
--- a/crates/skylarkshore-core/src/serving/supply.rs
+++ b/crates/skylarkshore-core/src/serving/supply.rs
@@ -59,8 +59,8 @@
         reason: &CannotLoad,
         retry_after: Duration,
     ) {
-        // The owner has just handed the engine over; the new one is asked as soon as it
-        // is in the cache.
+        // The host has just handed the engine over; the new owner is asked as soon as its
+        // record is in the cache.
         if *reason == CannotLoad::NotOwner {
             return;
         }
--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -4,7 +4,7 @@
 //!
 //! - A *loss* is an attempt that ended without a complete answer and with an unknown outcome, for
 //!   example because the connection broke or the time ran out. Its upstream may still run.
-//! - A *crash* is a loss after which the upstream seems to have died.
+//! - A *crash* is a loss after which the upstream seems to have died although it wasn't leaving.
 //! - An incarnation of an upstream has *terminated* when the host list no longer names the upstream
 //!   or names a later incarnation.
 //! - A *suspect* is a request that was in progress during a crash and may have caused it. It runs
--- a/crates/skylarkshore-core/src/serving/wait_estimate.rs
+++ b/crates/skylarkshore-core/src/serving/wait_estimate.rs
@@ -62,6 +62,7 @@
     /// predict a cold start.
     pub(super) fn estimate(&self, target: &Target, ahead: u32) -> Option<Duration> {
         let stats = self.targets.get(target).filter(|stats| stats.running > 0)?;
+        // The round in progress and those of the requests ahead; its own is added below.
         let rounds = ahead / stats.running + 1;
         Some(stats.mean?.saturating_mul(rounds.saturating_add(1)))
     }
