--- a/crates/skylarkshore-core/src/serving/suspect.rs
+++ b/crates/skylarkshore-core/src/serving/suspect.rs
@@ -63,7 +63,8 @@
 }
 
 impl UpstreamIncarnation {
-    /// Reports whether the host list shows that this incarnation has terminated.
+    /// Reports whether the host list shows that this incarnation has terminated; if it is unknown,
+    /// only that the upstream has left the list.
     fn has_terminated(&self, cx: &Cx<'_>) -> bool {
         let listed = cx.upstreams.get(&self.upstream);
         listed.is_none_or(|listed| self.incarnation.is_some_and(|own| own < listed.incarnation))
@@ -218,7 +219,7 @@
     }
 
     /// Records a crash and the requests that were in progress at the upstream, at this process or a
-    /// peer; convicts those that are proved or counted often enough to crash upstreams.
+    /// peer; convicts those that ran exclusively or reach [`CONVICTION_THRESHOLD`] (`RunAlone` only).
     pub(super) fn record_crash(
         &mut self,
         cx: &mut Cx<'_>,
