--- a/crates/skylarkshore-core/src/control.rs
+++ b/crates/skylarkshore-core/src/control.rs
@@ -1,7 +1,32 @@
 //! Control plane of one process: membership, engine ownership, model homes and power grants.
 //!
-//! Open [`Control`] first. It receives events from the node and runs a periodic review
-//! that lets each part decide on the same snapshot of state.
+//! Start reading at [`Control`]. It receives events from the node and runs a periodic
+//! review in which all parts decide on the same input.
+//!
+//! Terms:
+//!
+//! - **Shared keys**: the keys of the key-value service that every process caches, among
+//!   them the member, owner, homes and power keys.
+//! - **Member**: a process whose member key exists. The key is bound to the lease of the
+//!   process and is deleted when the lease expires.
+//! - **Owner**: the process named by an engine's owner record. Only the owner sends
+//!   orders to the engine.
+//! - **Fence**: a number that rises with every change of an engine's owner and that every
+//!   order carries. An engine that checks fences ([`FenceCheck::Refuses`]) refuses orders
+//!   with an older fence. For an engine that ignores them ([`FenceCheck::Ignores`]), only
+//!   leases and waiting periods keep the orders of two owners apart.
+//! - **Writer**: the process that wrote a record. The writer of an owner record is the
+//!   owner after a take-over, and the former owner after a hand-over, until the new owner
+//!   rewrites the record.
+//! - **Home**: an engine on which a model may be loaded.
+//! - **Site**: the engines under one power cap.
+//! - **Records**: changed shared keys that one process sends to another.
+//! - **News**: relayed changes, which one process reads from the key-value service and
+//!   the others forward along the relay tree.
+//! - **State** or **snapshot**: all shared keys that have a value, complete up to a revision.
+//!
+//! [`FenceCheck::Refuses`]: crate::upstream::FenceCheck::Refuses
+//! [`FenceCheck::Ignores`]: crate::upstream::FenceCheck::Ignores
 
 mod assignment;
 mod backoff;
@@ -50,10 +75,10 @@
 
 /// Interval between two reviews when nothing has changed.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Delay of the next review after a change.
+/// Minimum interval between two reviews while changes are pending.
 const REVIEW_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(100);
 /// Interval between two reviews while an engine lacks power or a model needs another home.
-const REVIEW_INTERVAL_URGENT: Duration = Duration::from_millis(250);
+const REVIEW_INTERVAL_DURING_SHORTAGE: Duration = Duration::from_millis(250);
 
 /// Membership, ownership, homes and power of one process.
 #[derive(Debug)]
@@ -114,37 +139,38 @@
     }
 
     /// Runs everything that is due.
-    pub fn on_tick(&mut self, cx: &mut Cx<'_>, engines: &dyn EngineUse) {
+    pub fn on_tick(&mut self, cx: &mut Cx<'_>, engine_use: &dyn EngineUse) {
         self.membership.on_tick(cx);
         self.peers.on_tick(cx, self.local_status());
         self.store_sync.on_tick(cx);
         self.bootstrap.on_tick(cx, &mut self.store_sync);
         self.relay.on_tick(cx);
-        if self.last_review.after(self.review_interval(engines)).is_due(cx.now) {
-            self.review(cx, engines);
+        if self.last_review.after(self.review_interval(engine_use)).is_due(cx.now) {
+            self.review(cx, engine_use);
         }
     }
 
     fn local_status(&self) -> LocalStatus {
         LocalStatus {
             frontier: self.store_sync.frontier(),
-            is_store_reachable: self.membership.is_store_reachable() && self.store_sync.is_store_reachable(),
+            is_store_reachable: self.membership.is_store_reachable() && self.store_sync.has_no_pending_read(),
             is_watching: self.store_sync.watching_since().is_some(),
             is_leaving: self.membership.is_leaving(),
         }
     }
 
-    fn review_interval(&self, engines: &dyn EngineUse) -> Duration {
+    fn review_interval(&self, engine_use: &dyn EngineUse) -> Duration {
         if self.changed {
             return REVIEW_INTERVAL_AFTER_CHANGE;
         }
         let is_underpowered =
-            self.ownership.owned_engines().keys().any(|engine| engines.power_shortfall(engine).is_some());
-        let urgent = is_underpowered || !engines.home_requests().is_empty();
-        if urgent { REVIEW_INTERVAL_URGENT } else { REVIEW_INTERVAL }
+            self.ownership.owned_engines().keys().any(|engine| engine_use.power_shortfall(engine).is_some());
+        let has_shortage = is_underpowered || !engine_use.home_requests().is_empty();
+        if has_shortage { REVIEW_INTERVAL_DURING_SHORTAGE } else { REVIEW_INTERVAL }
     }
 
-    /// Handles changes that this process has read from the store itself.
+    /// Forwards news that this process has read from the key-value service itself, and
+    /// records that the service answers.
     pub fn on_news_read(&mut self, cx: &mut Cx<'_>, news: &News) {
         self.store_sync.set_watch_answered(true);
         self.relay.on_news_read(cx, news);
@@ -156,7 +182,10 @@
         self.on_members_changed();
     }
 
-    /// Revokes the lease, if every engine is handed over or the lease is no longer valid.
+    /// Continues a shutdown once this process serves no more requests.
+    ///
+    /// Revokes the lease if no engine is left that another member could receive, or if
+    /// the lease is no longer valid.
     pub fn on_drained(&mut self, cx: &mut Cx<'_>) {
         if self.ownership.has_released_all(&self.eligible) || !self.membership.is_lease_valid(cx.cfg, cx.now)
         {
@@ -209,26 +238,28 @@
         }
     }
 
-    /// Records that a peer has sent all shared keys up to `upto`.
+    /// Records that a peer has sent the state up to `upto`.
     pub fn on_snapshot(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         self.store_sync.on_peer_state(cx, upto);
         self.bootstrap.send_pending_state(cx, &self.store_sync);
     }
 
-    /// Chooses a source for changes that news from peers have left out.
+    /// Requests the changes that are missing between two news messages from peers.
     ///
-    /// In a small cluster the process reads the store. In a large one it asks its
-    /// parent in the relay tree, since reads by every process at once would keep the
-    /// store's link busy for longer than a parent takes to answer.
-    pub fn on_news_gap(&self, cx: &mut Cx<'_>, persists: bool) {
+    /// In a small cluster the process reads the key-value service. In a large one it asks
+    /// its parent in the relay tree, since reads by every process at once would keep the
+    /// service's link busy for longer than a parent takes to answer. It asks only once it
+    /// is in sync and the gap has persisted for a while, since messages may overtake each
+    /// other.
+    pub fn on_news_gap(&self, cx: &mut Cx<'_>, gap_persists: bool) {
         if !relay::has_many_members(cx) {
             cx.push(Effect::ReadMissedNews);
-        } else if persists && self.store_sync.is_synced() {
+        } else if gap_persists && self.store_sync.is_synced() {
             self.relay.request_state_from_parent(cx);
         }
     }
 
-    /// Records that the store did not answer a watch.
+    /// Records that the key-value service did not answer a watch.
     pub fn on_watch_timed_out(&mut self) {
         self.store_sync.set_watch_answered(false);
     }
@@ -267,7 +298,9 @@
         self.bootstrap.on_peer(cx, &self.store_sync, from, message);
         match message {
             PeerMessage::News(news) => self.relay.on_news(cx, from, news),
+            // The requester regards this process as its parent and expects news from it.
             PeerMessage::StateWanted => self.relay.add_temporary_child(cx.now, from),
+            // A broadcast to all processes, which travels along the relay trees as news does.
             PeerMessage::Spread { .. } => self.relay.relay_spread(cx, from, message),
             _ => {}
         }
@@ -320,7 +353,7 @@
         self.changed = true;
     }
 
-    fn review(&mut self, cx: &mut Cx<'_>, engines: &dyn EngineUse) {
+    fn review(&mut self, cx: &mut Cx<'_>, engine_use: &dyn EngineUse) {
         let has_changed = std::mem::take(&mut self.changed);
         self.last_review = cx.now;
         self.review_members(cx);
@@ -340,9 +373,9 @@
             eligible_since: self.eligible_since,
             has_changed,
         };
-        self.ownership.review(cx, &context, engines);
-        self.homes.review(cx, &context, &self.ownership, engines);
-        self.power.review(cx, &context, &self.ownership, engines);
+        self.ownership.review(cx, &context, engine_use);
+        self.homes.review(cx, &context, &self.ownership, engine_use);
+        self.power.review(cx, &context, &self.ownership, engine_use);
         for (host, incarnation) in self.ownership.take_probes() {
             self.peers.probe(cx, &host, incarnation);
         }
@@ -372,6 +405,7 @@
 
     fn is_home(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         let Some(owned) = self.ownership.held(engine) else { return false };
+        // Listed but not live: the engine has announced that it leaves.
         let is_departing =
             self.inventory.get(engine).is_some_and(|known| known.is_listed() && !known.is_live());
         !is_departing && self.homes.is_home(engine, model, owned.acquired_revision)
@@ -380,6 +414,7 @@
     fn must_unload(&self, engine: &UpstreamId, model: &ModelName) -> bool {
         let Some(owned) = self.ownership.held(engine) else { return false };
         let Some(known) = self.inventory.get(engine) else { return false };
+        // Listed but not live: the engine has announced that it leaves.
         let is_departing = known.is_listed() && !known.is_live();
         let excluded = self.is_synced_past(owned.acquired_revision) && self.homes.is_excluded(engine, model);
         is_departing || excluded || self.power.has_to_stop(engine, known)
--- a/crates/skylarkshore-core/src/control/assignment.rs
+++ b/crates/skylarkshore-core/src/control/assignment.rs
@@ -1,6 +1,6 @@
 //! Assignment of engines to members by rendezvous hashing, and the balance of owned engines.
 //!
-//! Open [`Assignment`] first.
+//! Start reading at [`Assignment`].
 
 use super::hashing::{HashedHosts, name_hash, pair_weight};
 use crate::collections::{OrderedMap, OrderedSet};
--- a/crates/skylarkshore-core/src/control/backoff.rs
+++ b/crates/skylarkshore-core/src/control/backoff.rs
@@ -9,14 +9,14 @@
 /// The longest delay before jitter.
 ///
 /// An upstream is gone two seconds after it announces that it leaves. A process that
-/// reconnects to the store later than that would keep sending requests to it.
+/// reconnects to the key-value service later than that would keep sending requests to it.
 const MAX_DELAY: Duration = Duration::from_millis(800);
 const MAX_DOUBLINGS: u32 = 6;
 
 /// Exponential backoff with jitter.
 ///
-/// Without jitter, every process would reconnect to the store at the same moment after
-/// an outage and overload it again.
+/// Without jitter, every process would reconnect to the key-value service at the same
+/// moment after an outage and overload it again.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -1,9 +1,9 @@
 //! Initial synchronisation of a process with the shared keys.
 //!
-//! If all processes of a large cluster start together and read everything, the store's
-//! link is busy for longer than callers wait. A process of a large cluster therefore
-//! reads only the members and requests the rest from one of them; it reads everything
-//! itself if none answers. Open [`Bootstrap`] first.
+//! If all processes of a large cluster start together and read everything, the key-value
+//! service's link is busy for longer than callers wait. A process of a large cluster
+//! therefore reads only the members and requests the rest from one of them; it reads
+//! everything itself if none answers. Start reading at [`Bootstrap`].
 
 use std::time::Duration;
 
@@ -26,13 +26,13 @@
 const REGISTRATION_WAIT: Duration = Duration::from_millis(700);
 /// Minimum interval between two reads of the members caused by unknown peers.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Timeout of the read of the members, which takes several calls, as a multiple of the store timeout.
+/// Timeout of the read of the members, which takes several calls, as a multiple of `store_timeout`.
 const MEMBERS_READ_TIMEOUT_FACTOR: u32 = 8;
 /// Number of requests to the parent before another member is asked.
 const MAX_PARENT_REQUESTS: u32 = 3;
 /// How long to wait for an answer before another member is asked.
 const STATE_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How soon the full state is sent again to a member that repeats its request.
+/// How soon the state is sent again to a member that repeats its request.
 const STATE_RESEND_INTERVAL: Duration = Duration::from_secs(4);
 /// Maximum number of requests, including repeats to a member that is not in sync itself.
 const MAX_STATE_REQUESTS: u32 = 6;
@@ -72,7 +72,7 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
-    /// Handles the result of a store call.
+    /// Handles the result of a store call, which may belong to another part of the process.
     pub(super) fn on_store(
         &mut self,
         cx: &mut Cx<'_>,
@@ -116,7 +116,7 @@
 
     /// Requests the state from the next member when that is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
-        if sync.is_synced() || !sync.is_store_reachable() {
+        if sync.is_synced() || !sync.has_no_pending_read() {
             self.stage = None;
             return;
         }
@@ -135,7 +135,7 @@
         cx.push(Effect::Store { call, request: StoreCall::ReadMembers });
     }
 
-    /// Requests the state from a member, or reads it from the store after enough requests.
+    /// Requests the state from a member, or reads it from the key-value service after enough requests.
     fn request_state(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
         let host = self.next_provider(cx).filter(|_| self.state_requests < MAX_STATE_REQUESTS);
         let Some(host) = host else {
--- a/crates/skylarkshore-core/src/control/context.rs
+++ b/crates/skylarkshore-core/src/control/context.rs
@@ -1,4 +1,6 @@
 //! Input that the reviews of ownership, homes and power share.
+//!
+//! Start reading at [`ReviewContext`].
 
 use super::inventory::EngineInventory;
 use super::membership::Membership;
@@ -8,7 +10,7 @@
 use crate::id::HostId;
 use crate::time::Time;
 
-/// Number of engines for which each host provides ownership in a large cluster.
+/// Number of engines that each host owns in a cluster with more than [`MAX_ENGINES_ALL_OWNED`] engines.
 const OWNED_ENGINES_PER_HOST: usize = 4;
 /// Up to this number, all engines are owned, however few the hosts.
 const MAX_ENGINES_ALL_OWNED: usize = 512;
@@ -29,13 +31,16 @@
 }
 
 impl ReviewContext<'_> {
-    /// Reports whether there are more engines than the hosts can own.
-    pub(super) fn has_spare_engines(&self, cx: &Cx<'_>) -> bool {
+    /// Reports whether there are more engines than the hosts own together.
+    ///
+    /// The limits are [`MAX_ENGINES_ALL_OWNED`] and [`Self::ownership_capacity`]; the
+    /// number of engines must exceed both.
+    pub(super) fn exceeds_ownership_capacity(&self, cx: &Cx<'_>) -> bool {
         let engines = cx.upstreams.engines();
         engines > MAX_ENGINES_ALL_OWNED && engines > self.ownership_capacity()
     }
 
-    /// Returns how many engines the hosts own together in a large cluster, at least.
+    /// Returns how many engines the hosts own together at least, if there are more than [`MAX_ENGINES_ALL_OWNED`].
     pub(super) fn ownership_capacity(&self) -> usize {
         self.eligible.len() * OWNED_ENGINES_PER_HOST
     }
--- a/crates/skylarkshore-core/src/control/homes.rs
+++ b/crates/skylarkshore-core/src/control/homes.rs
@@ -2,7 +2,7 @@
 //!
 //! A replica is loaded only at a home, so the number of homes limits the number of
 //! replicas. Only the engine's owner gives a home up, since it knows that the model is
-//! not loaded there. Open [`Homes`] first.
+//! not loaded there. Start reading at [`Homes`].
 
 mod plan;
 
@@ -38,7 +38,7 @@
 /// A model's recorded homes and the limits that the rules set.
 #[derive(Clone, Debug)]
 struct ModelHomes {
-    /// When this process first saw these engines.
+    /// When this process first read this list of engines.
     since: Time,
     revision: StoreRevision,
     engines: Vec<UpstreamId>,
@@ -185,7 +185,7 @@
         cx: &mut Cx<'_>,
         context: &ReviewContext<'_>,
         ownership: &Ownership,
-        engines: &dyn EngineUse,
+        engine_use: &dyn EngineUse,
     ) {
         let is_full = self.next_full_review.is_due(cx.now);
         if is_full {
@@ -200,7 +200,7 @@
         }
         self.resolve_unconfirmed(cx);
         self.expire_backoffs(cx.now);
-        let requests = engines.home_requests();
+        let requests = engine_use.home_requests();
         let mut models = self.urgent_models(&requests);
         if is_full {
             models.extend(self.affected_models(cx, context, ownership));
@@ -217,7 +217,7 @@
             let review = ModelReview {
                 context,
                 ownership,
-                engines,
+                engine_use,
                 requests: &requests,
                 hosts: &hosts,
                 model: &model,
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -1,6 +1,6 @@
 //! Planning of one model's homes record.
 //!
-//! Open [`Plan`] first.
+//! Start reading at [`Plan`].
 
 use super::{Homes, is_own_turn};
 use crate::authority::{EngineUse, HomeRequest};
@@ -24,6 +24,7 @@
     pub(super) engines: Vec<UpstreamId>,
     /// The engines that the model was moved away from for lack of memory.
     pub(super) evicted_from: Vec<UpstreamId>,
+    /// The engines that lose the home.
     pub(super) closing: Vec<UpstreamId>,
     pub(super) changed: bool,
 }
@@ -33,7 +34,7 @@
 pub(super) struct ModelReview<'a> {
     pub(super) context: &'a ReviewContext<'a>,
     pub(super) ownership: &'a Ownership,
-    pub(super) engines: &'a dyn EngineUse,
+    pub(super) engine_use: &'a dyn EngineUse,
     pub(super) requests: &'a [HomeRequest],
     /// The members among which the work is distributed.
     pub(super) hosts: &'a HashedHosts<'a>,
@@ -43,7 +44,7 @@
 impl ModelReview<'_> {
     /// Reports whether this process may remove the home from the engine.
     fn may_close(&self, engine: &UpstreamId) -> bool {
-        self.ownership.held(engine).is_some() && self.engines.is_unused_by(engine, self.model)
+        self.ownership.held(engine).is_some() && self.engine_use.is_unused_by(engine, self.model)
     }
 
     /// Reports whether the engine is gone and it is this process's turn to remove it.
@@ -177,11 +178,11 @@
 
 /// Returns the maximum number of first homes of a model.
 ///
-/// Each home gives its engine an owner. If there are many more engines than the hosts
-/// can own, a model gets its share of the ownership capacity, and enough homes for its
+/// Each home gives its engine an owner. If there are more engines than the hosts own
+/// together, a model gets its share of the ownership capacity, and enough homes for its
 /// adapters. Other engines that hold the model serve requests as well.
 fn max_first_homes(cx: &Cx<'_>, review: &ModelReview<'_>) -> usize {
-    if !review.context.has_spare_engines(cx) {
+    if !review.context.exceeds_ownership_capacity(cx) {
         return usize::MAX;
     }
     let models = &cx.document.catalogue.models;
@@ -250,7 +251,7 @@
 /// assigned. If their models counted as surplus, they would be unloaded although no
 /// other engine may hold them.
 fn adopt_holders(cx: &Cx<'_>, review: &ModelReview<'_>, plan: &mut Plan, limits: &Limits) {
-    if review.context.has_spare_engines(cx) {
+    if review.context.exceeds_ownership_capacity(cx) {
         return;
     }
     for engine in review.ownership.owned_engines().keys() {
@@ -275,6 +276,7 @@
     for rank in (0..plan.engines.len()).rev() {
         let home = plan.engines[rank].clone();
         let known = review.context.inventory.get(&home);
+        // Listed but not live: the engine has announced that it leaves.
         let leaving = known.is_some_and(|engine| engine.is_listed() && !engine.is_live());
         let is_move_requested = review.has_move_request(&home);
         let may_leave = (leaving || is_move_requested) && review.may_close(&home);
--- a/crates/skylarkshore-core/src/control/inventory.rs
+++ b/crates/skylarkshore-core/src/control/inventory.rs
@@ -1,6 +1,6 @@
 //! The engines known from the host list, from records and from answered report requests.
 //!
-//! Open [`EngineInventory`] first.
+//! Start reading at [`EngineInventory`].
 
 use std::time::Duration;
 
@@ -38,7 +38,10 @@
         self.unlisted_since.is_none()
     }
 
-    /// Reports whether it may receive new work according to the host list.
+    /// Reports whether it is on the host list and may receive new work.
+    ///
+    /// An engine that is listed but not live has announced that it leaves. Whether this
+    /// process reaches the engine does not matter here.
     pub(super) fn is_live(&self) -> bool {
         self.is_listed() && self.status == UpstreamStatus::Live
     }
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -1,6 +1,6 @@
 //! The lease and the member key that announce this process to the others.
 //!
-//! Open [`Membership`] first.
+//! Start reading at [`Membership`].
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 
 /// Deadline of one write of the member key.
 const WRITE_DEADLINE: Duration = Duration::from_secs(5);
-/// Timeout of a lease call, as a multiple of the store timeout.
+/// Timeout of a lease call, as a multiple of `store_timeout`.
 const CALL_TIMEOUT_FACTOR: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
-    /// When the last confirmed call was sent; the store cannot have counted from an earlier time.
+    /// When the last confirmed call was sent; the key-value service cannot have counted from an earlier time.
     confirmed_at: Time,
     ttl: Duration,
 }
--- a/crates/skylarkshore-core/src/control/owned_engine.rs
+++ b/crates/skylarkshore-core/src/control/owned_engine.rs
@@ -15,7 +15,7 @@
         to: HostId,
         /// The revision of the record that it replaces.
         based_on: StoreRevision,
-        /// When to repeat the write if its outcome is unknown.
+        /// When to repeat the write; [`Time::NEVER`] until an attempt ends with an unknown outcome.
         retry_at: Time,
     },
 }
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -1,6 +1,6 @@
 //! Engine ownership: take-over, confirmation, hand-over, and permission to send orders.
 //!
-//! Open [`Ownership`] first.
+//! Start reading at [`Ownership`].
 
 mod handover;
 
@@ -29,27 +29,33 @@
 
 /// Minimum interval between two scans of all engines.
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Minimum interval between two scans in a cluster with more engines than its hosts can own.
-const SCAN_INTERVAL_LARGE: Duration = Duration::from_secs(1);
+/// Minimum interval between two scans if there are more engines than the hosts own together.
+const SCAN_INTERVAL_OVER_CAPACITY: Duration = Duration::from_secs(1);
 /// Interval between two checks of vacant engines that are assigned to other processes.
+///
+/// This process takes such an engine over if the assignee, and then each process that
+/// ranks before this one, has let its turn pass (see [`vacancy`]).
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A take-over whose owner record was sent to the store and may have been written.
+/// A take-over whose owner record was sent to the key-value service and may have been written.
 #[derive(Clone, Copy, Debug)]
 struct TakeOver {
     fence: Fence,
     based_on: StoreRevision,
     late_orders_until: Time,
-    /// Whether the engine had no owner before, or an earlier incarnation on this host.
-    from_same_host: bool,
+    /// Whether the engine had no owner before, or its former owner ran on this host.
+    needs_no_order_gap: bool,
 }
 
 /// The engines that this process owns or tries to take over.
+///
+/// An engine is *held* if it is owned and no hand-over of it is in progress, and *vacant*
+/// if it has no live owner. Its *assignee* is the member that should own it.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
     owned_engines: OrderedMap<UpstreamId, OwnedEngine>,
     take_overs: OrderedMap<UpstreamId, TakeOver>,
-    /// Engines with a write of their owner record in flight.
+    /// Engines whose owner record is being written.
     writes_in_flight: OrderedSet<UpstreamId>,
     /// Engines whose last write failed, and when they may be written again.
     backing_off: OrderedMap<UpstreamId, Time>,
@@ -95,7 +101,7 @@
         self.vacancies.take_probes()
     }
 
-    /// Reports whether there is nothing left that could be handed over.
+    /// Reports whether no engine is left to hand over, or no member could receive one.
     pub(super) fn has_released_all(&self, eligible: &[HostId]) -> bool {
         self.retired || self.owned_engines.is_empty() || eligible.is_empty()
     }
@@ -122,16 +128,18 @@
     ) -> Option<Permit> {
         let owned = self.held(engine)?;
         if inventory.fence_check(engine) == FenceCheck::Refuses {
+            // The engine refuses orders with an older fence, so no time limit is needed.
             return Some(Permit { fence: owned.fence, not_after: Time::NEVER });
         }
-        // A successor that saw the member key deleted starts its waiting period at that
-        // moment. If the key was registered again since, only an owner record written
-        // after the registration makes the successor's write fail. Until then both
-        // could act on the engine.
+        // This process may have lost its lease and registered again. Another process that
+        // saw the member key deleted starts its waiting period at that moment and then
+        // takes the engine over. Its write fails only if this process has rewritten the
+        // owner record since it registered again. Until then both could act on the engine.
         let registered = membership.registration_revision()?;
         let not_after = membership.lease_valid_until(cfg)?;
-        // The former owner, on another host, may have sent an order shortly before; the
-        // orders of the two owners must be at least `order_gap` apart.
+        // A former owner on another host may have sent an order shortly before; the orders
+        // of the two owners must be at least `order_gap` apart. This also applies if it is
+        // not known where the former owner ran.
         let is_order_gap_over = owned.orders_allowed_from.is_due(now);
         let safe = owned.revision > registered && is_order_gap_over && !not_after.is_due(now);
         safe.then_some(Permit { fence: owned.fence, not_after })
@@ -144,8 +152,8 @@
             .filter(|(_, owner)| owner.host == cx.cfg.host && owner.incarnation == cx.cfg.incarnation)
             .filter(|_| !self.retired)
             .map(|(revision, owner)| OwnRecord { revision, fence: owner.fence });
-        let held = self.owned_engines.get_mut(engine);
-        match (own, held) {
+        let owned = self.owned_engines.get_mut(engine);
+        match (own, owned) {
             (Some(own), Some(owned)) if owned.fence == own.fence => owned.renew(own.revision),
             (Some(own), Some(_)) => {
                 self.drop_ownership(cx, engine);
@@ -179,7 +187,8 @@
         let Phase::Transferring { retry_at, .. } = &mut owned.phase else { return };
         match outcome {
             WriteOutcome::Unknown => *retry_at = next_try,
-            // An earlier attempt may still reach the store, so that the outcome stays
+            // An earlier attempt ended with an unknown outcome (otherwise `retry_at` would
+            // be `NEVER`) and may still reach the key-value service, so the outcome stays
             // open until a newer record is read.
             WriteOutcome::NotDone if *retry_at != Time::NEVER => *retry_at = next_try,
             WriteOutcome::NotDone => owned.phase = Phase::Held,
@@ -189,7 +198,12 @@
 
     /// Runs what is due: advances hand-overs, confirms records, takes over vacant
     /// engines and starts hand-overs.
-    pub(super) fn review(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>, engines: &dyn EngineUse) {
+    pub(super) fn review(
+        &mut self,
+        cx: &mut Cx<'_>,
+        context: &ReviewContext<'_>,
+        engine_use: &dyn EngineUse,
+    ) {
         if self.retired {
             return;
         }
@@ -199,11 +213,12 @@
         }
         if self.is_scan_due && self.next_scan.is_due(cx.now) {
             self.is_scan_due = false;
-            let is_large = context.has_spare_engines(cx);
-            self.next_scan = cx.now.after(if is_large { SCAN_INTERVAL_LARGE } else { SCAN_INTERVAL });
+            let is_over_capacity = context.exceeds_ownership_capacity(cx);
+            self.next_scan =
+                cx.now.after(if is_over_capacity { SCAN_INTERVAL_OVER_CAPACITY } else { SCAN_INTERVAL });
             self.scan(cx, context);
         }
-        self.advance_handovers(cx, context, engines);
+        self.advance_handovers(cx, context, engine_use);
         if !context.may_decide(cx) {
             return;
         }
@@ -217,8 +232,7 @@
 
     fn acquire(&mut self, cx: &mut Cx<'_>, inventory: &EngineInventory, engine: &UpstreamId, own: OwnRecord) {
         let late_orders_until = self.late_orders_until(cx, inventory, engine, own.fence);
-        let gap =
-            if self.was_owned_by_this_host(cx, engine) { Duration::ZERO } else { cx.cfg.timings.order_gap };
+        let gap = if self.needs_no_order_gap(cx, engine) { Duration::ZERO } else { cx.cfg.timings.order_gap };
         let owned = OwnedEngine {
             orders_allowed_from: cx.now.after(gap),
             fence: own.fence,
@@ -234,17 +248,23 @@
         self.changes.push(OwnershipChange::Acquired { engine: engine.clone(), fence, late_orders_until });
     }
 
-    /// Reports whether the engine's previous owner, if any, ran on this host.
+    /// Reports whether the engine is known to have had no owner before, or one on this host.
     ///
-    /// This is known only if this process wrote the take-over itself.
-    fn was_owned_by_this_host(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
+    /// This is known only if this process wrote the take-over itself; otherwise the
+    /// result is `false`.
+    fn needs_no_order_gap(&self, cx: &Cx<'_>, engine: &UpstreamId) -> bool {
         let entry = cx.cache.get(&Key::Owner(engine.clone()));
         let writer = entry.and_then(|entry| entry.writer.as_ref());
         let is_own = writer.is_some_and(|writer| writer.host == cx.cfg.host);
-        is_own && self.take_overs.get(engine).is_some_and(|take_over| take_over.from_same_host)
+        is_own && self.take_overs.get(engine).is_some_and(|take_over| take_over.needs_no_order_gap)
     }
 
     /// Returns until when an order of the former owner may still reach the engine.
+    ///
+    /// [`Time::START`] means that no such order has to be expected: the engine checks
+    /// fences, never had an owner, or was handed over after the last order had ended.
+    /// [`Time::NEVER`] means that the end is unknown: the former owner's process may
+    /// still run, or this process has no record of the take-over.
     fn late_orders_until(
         &self,
         cx: &Cx<'_>,
@@ -257,6 +277,7 @@
         }
         let entry = cx.cache.get(&Key::Owner(engine.clone()));
         let writer = entry.and_then(|entry| entry.writer.as_ref());
+        // A record written by another host is a hand-over by the former owner.
         let taken_over = writer.is_none_or(|writer| writer.host == cx.cfg.host);
         if !taken_over {
             return Time::START;
@@ -264,7 +285,7 @@
         self.take_overs
             .get(engine)
             .filter(|take_over| take_over.fence == fence)
-            .map_or(Time::NEVER, |i| i.late_orders_until)
+            .map_or(Time::NEVER, |take_over| take_over.late_orders_until)
     }
 
     fn drop_ownership(&mut self, cx: &mut Cx<'_>, engine: &UpstreamId) {
@@ -347,14 +368,14 @@
 
     fn take_over_vacant(&mut self, cx: &mut Cx<'_>, context: &ReviewContext<'_>) {
         let hosts = HashedHosts::new(context.eligible);
-        let includes_others = self.next_fallback_check.is_due(cx.now);
-        if includes_others {
+        let is_fallback_check_due = self.next_fallback_check.is_due(cx.now);
+        if is_fallback_check_due {
             self.next_fallback_check = cx.now.after(FALLBACK_CHECK_INTERVAL);
         }
         for engine in self.vacant_engines.clone() {
             let assignee = self.assignment.owner(&engine);
             let is_own = assignee == Some(&cx.cfg.host);
-            if self.owned_engines.contains_key(&engine) || !is_own && !includes_others {
+            if self.owned_engines.contains_key(&engine) || !is_own && !is_fallback_check_due {
                 continue;
             }
             let Some(vacant) = self.vacancies.check(cx, context, &hosts, &engine, assignee) else { continue };
@@ -369,9 +390,9 @@
         let fence = next_fence(cx, former.as_ref());
         let based_on = former.as_ref().map_or(StoreRevision(0), |former| former.revision);
         let late_orders_until = former.as_ref().map_or(Time::START, |former| late_order_deadline(cx, former));
-        let from_same_host = former.as_ref().is_none_or(|former| former.owner.host == cx.cfg.host);
+        let needs_no_order_gap = former.as_ref().is_none_or(|former| former.owner.host == cx.cfg.host);
         self.take_overs
-            .insert(engine.clone(), TakeOver { fence, based_on, late_orders_until, from_same_host });
+            .insert(engine.clone(), TakeOver { fence, based_on, late_orders_until, needs_no_order_gap });
         if let Some(former) = &former {
             let why = if former.ended { "its process has ended" } else { "its member key was deleted" };
             let detail = format!("from {}, because {why}; fence {fence}", former.owner.host);
@@ -396,11 +417,11 @@
 /// Returns the engines that need an owner.
 ///
 /// Each owned engine costs periodic report requests and a record that every process reads.
-/// If there are many more engines than the hosts can own, only homes and engines with an
+/// If there are more engines than the hosts own together, only homes and engines with an
 /// owner record count; requests still use the models that the other engines hold.
 fn ownable_engines(cx: &Cx<'_>, context: &ReviewContext<'_>) -> OrderedSet<UpstreamId> {
     let mut engines: OrderedSet<UpstreamId> = cx.cache.owners().map(|(engine, _)| engine.clone()).collect();
-    if context.has_spare_engines(cx) {
+    if context.exceeds_ownership_capacity(cx) {
         let homes = cx.cache.all_homes().flat_map(|(_, homes)| &homes.engines);
         engines.extend(homes.cloned());
     } else {
@@ -436,7 +457,9 @@
 /// Returns a fence above every earlier one of the engine.
 ///
 /// The record of a gone engine is deleted, but the engine may come back and still
-/// enforce its last fence. No fence exceeds the revision of its own record, so a later
+/// enforce its last fence. The first fence of an engine is a store revision, and each
+/// further one is higher by one and comes with a new record, which raises the revision by
+/// at least one. No fence therefore exceeds the revision of its own record, so a later
 /// store revision is above all of them.
 fn next_fence(cx: &Cx<'_>, former: Option<&FormerOwner>) -> Fence {
     former.map_or(Fence(cx.cache.latest_revision().0.max(1)), |former| former.owner.fence.next())
--- a/crates/skylarkshore-core/src/control/ownership/handover.rs
+++ b/crates/skylarkshore-core/src/control/ownership/handover.rs
@@ -19,7 +19,7 @@
 /// How many engines beyond the mean a process must own before it hands one over, if the
 /// engine receives no orders during the order gap.
 const MIN_EXCESS_WITH_ORDER_GAP: usize = 3;
-/// Pause between two rounds of hand-overs, before jitter.
+/// Interval between two rounds of hand-overs, before jitter.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Ownership {
@@ -71,17 +71,17 @@
         &mut self,
         cx: &mut Cx<'_>,
         context: &ReviewContext<'_>,
-        engines: &dyn EngineUse,
+        engine_use: &dyn EngineUse,
     ) {
         let ids: Vec<UpstreamId> = self
             .owned_engines
             .iter()
-            .filter(|(_, h)| !h.is_held())
+            .filter(|(_, owned)| !owned.is_held())
             .map(|(engine, _)| engine.clone())
             .collect();
         for engine in ids {
             if self.can_write(&engine) {
-                self.advance_handover(cx, context, engines, &engine);
+                self.advance_handover(cx, context, engine_use, &engine);
             }
         }
     }
@@ -90,19 +90,19 @@
         &mut self,
         cx: &mut Cx<'_>,
         context: &ReviewContext<'_>,
-        engines: &dyn EngineUse,
+        engine_use: &dyn EngineUse,
         engine: &UpstreamId,
     ) {
         let Some(owned) = self.owned_engines.get_mut(engine) else { return };
         let (to, based_on) = match owned.phase.clone() {
             Phase::Held => return,
             Phase::Draining { to, until } => {
-                let called_off = until.is_due(cx.now) && !context.membership.is_leaving();
-                if called_off || !context.eligible.contains(&to) {
+                let is_cancelled = until.is_due(cx.now) && !context.membership.is_leaving();
+                if is_cancelled || !context.eligible.contains(&to) {
                     owned.phase = Phase::Held;
                     return;
                 }
-                if !engines.has_no_open_orders(engine) {
+                if !engine_use.has_no_open_orders(engine) {
                     return;
                 }
                 let based_on = owned.revision;
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -1,6 +1,6 @@
 //! Failure detector: heartbeats, probes, and what they show about the other processes.
 //!
-//! Open [`Peers`] first.
+//! Start reading at [`Peers`].
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     /// Every lower incarnation has definitely ended.
     min_incarnation: Incarnation,
     next_probe: Time,
-    /// When it registered, or last reported that it reaches the store.
+    /// When it registered, or last reported that it reaches the key-value service.
     store_reached_at: Time,
     last_seen: Time,
 }
@@ -96,7 +96,7 @@
         self.by_host.get(host).and_then(|peer| peer.last_heartbeat).map(|heartbeat| heartbeat.at)
     }
 
-    /// Returns when a process last reported that it reaches the store, or registered.
+    /// Returns when a process last reported that it reaches the key-value service, or registered.
     pub(super) fn store_reached_at(&self, host: &HostId) -> Time {
         self.by_host.get(host).map_or(Time::START, |peer| peer.store_reached_at)
     }
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -1,6 +1,6 @@
 //! Choice of the engine for a model's next home.
 //!
-//! Open [`Placement`] first.
+//! Start reading at [`Placement`].
 
 use std::cmp::Reverse;
 
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -3,7 +3,7 @@
 //! All grants of a site are one record. Only an engine's owner changes its grant. It
 //! raises the engine's draw after the record contains the higher grant, and lowers the
 //! draw before the record contains the lower one. The engines therefore never draw more
-//! than recorded, and the recorded sum never exceeds the cap. Open [`Power`] first.
+//! than recorded, and the recorded sum never exceeds the cap. Start reading at [`Power`].
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -47,7 +47,7 @@
 /// State of one site.
 #[derive(Clone, Debug, Default)]
 struct Site {
-    /// When this process first saw the recorded grants.
+    /// When the recorded grants last changed in this process's cache.
     since: Time,
     revision: StoreRevision,
     record: PowerRecord,
@@ -59,6 +59,7 @@
     request: Option<PowerRequest>,
     shortage_until: Time,
     next_request: Time,
+    /// Since when the maximum draw of the site, with all grants, has exceeded the cap.
     over_since: Option<Time>,
     /// Working engines that must stop because the cap was lowered.
     must_stop: OrderedSet<UpstreamId>,
@@ -140,7 +141,7 @@
         cx: &mut Cx<'_>,
         context: &ReviewContext<'_>,
         ownership: &Ownership,
-        engines: &dyn EngineUse,
+        engine_use: &dyn EngineUse,
     ) {
         let mut engines_by_site: OrderedMap<SiteName, Vec<UpstreamId>> = OrderedMap::new();
         for id in ownership.owned_engines().keys() {
@@ -152,7 +153,7 @@
             self.update(cx, &name);
             let Some(cap) = cx.document.power_caps.get(&name).copied() else { continue };
             let review =
-                SiteReview { context, ownership, engines, name: &name, own_engines: &own_engines, cap };
+                SiteReview { context, ownership, engine_use, name: &name, own_engines: &own_engines, cap };
             if let Some(site) = self.sites.get_mut(&name) {
                 site.review(cx, &review);
             }
@@ -179,7 +180,7 @@
 struct SiteReview<'a> {
     context: &'a ReviewContext<'a>,
     ownership: &'a Ownership,
-    engines: &'a dyn EngineUse,
+    engine_use: &'a dyn EngineUse,
     name: &'a SiteName,
     /// The engines of the site that this process owns.
     own_engines: &'a [UpstreamId],
@@ -200,7 +201,7 @@
 
     /// Reports whether the engine draws no more than its sleep power.
     fn is_asleep(&self, id: &UpstreamId) -> bool {
-        self.engine(id).is_some_and(|engine| self.engines.power_draw(id) <= engine.sleep_watts)
+        self.engine(id).is_some_and(|engine| self.engine_use.power_draw(id) <= engine.sleep_watts)
     }
 
     fn is_gone(&self, cx: &Cx<'_>, id: &UpstreamId) -> bool {
@@ -216,7 +217,7 @@
             .filter(|id| self.ownership.held(id).is_some())
             .filter_map(|id| self.engine(id).map(|engine| (id, engine)))
             .filter(|(id, engine)| engine.is_live() && budget.grant(id) < engine.active_watts)
-            .map(|(id, engine)| Underpowered { id, engine, shortfall: self.engines.power_shortfall(id) })
+            .map(|(id, engine)| Underpowered { id, engine, shortfall: self.engine_use.power_shortfall(id) })
             .collect();
         underpowered.sort_by_key(|underpowered| {
             (Reverse(underpowered.shortfall.is_some()), underpowered.shortfall.map(|(_, order)| order))
@@ -277,7 +278,7 @@
             let is_engine_gone = review.is_gone(cx, id);
             let is_power_needed = budget.exceeds_cap() || self.is_requested(budget);
             let is_idle =
-                is_power_needed && review.is_asleep(id) && review.engines.power_shortfall(id).is_none();
+                is_power_needed && review.is_asleep(id) && review.engine_use.power_shortfall(id).is_none();
             if !(is_already_revoked || is_engine_gone || is_idle) {
                 continue;
             }
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -1,10 +1,10 @@
 //! Forwarding of store changes and broadcasts along the relay tree.
 //!
-//! If every process polled the store, each change would cost one call per process. With
-//! the relay, the root of a data centre's tree reads the changes and each process
-//! forwards them to its children. A process that receives nothing for a while reads the
-//! store itself and forwards the result, so that a failed parent delays its children
-//! only for that time. Open [`Relay`] first.
+//! If every process polled the key-value service, each change would cost one call per
+//! process. With the relay, the root of a data centre's tree reads the changes and each
+//! process forwards them to its children. A process that receives nothing for a while
+//! reads the service itself and forwards the result, so that a failed parent delays its
+//! children only for that time. Start reading at [`Relay`].
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 const TREE_UPDATE_INTERVAL_AT_START: Duration = Duration::from_millis(200);
 /// How long a process counts as just started.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
-/// Maximum number of members that contact each other and the store directly.
+/// Maximum number of members that contact each other and the key-value service directly.
 const MAX_DIRECT_MEMBERS: usize = 64;
 
 /// How long a process that requested the state receives news in addition to the children.
@@ -110,7 +110,8 @@
     }
 }
 
-/// Reports whether there are too many members for all of them to act on a peer or the store at once.
+/// Reports whether there are too many members for all of them to contact a peer or the
+/// key-value service at once.
 pub(super) fn has_many_members(cx: &Cx<'_>) -> bool {
     cx.cache.members().nth(MAX_DIRECT_MEMBERS).is_some()
 }
--- a/crates/skylarkshore-core/src/control/relay_tree.rs
+++ b/crates/skylarkshore-core/src/control/relay_tree.rs
@@ -3,7 +3,7 @@
 //! Members are ordered by capacity, the largest first, and each has as many children as
 //! its capacity allows. The load of one process does not grow with the cluster, and
 //! news takes as many hops as the tree is deep. All processes that know the same
-//! members compute the same tree. Open [`RelayTree`] first.
+//! members compute the same tree. Start reading at [`RelayTree`].
 
 use super::hashing::ranking_by_capacity;
 use crate::cx::Cx;
@@ -20,7 +20,7 @@
 /// The position of a process in the tree of its data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct RelayTree {
-    /// Whether the process is the root, which reads the store for all others.
+    /// Whether the process is the root, which reads the key-value service for all others.
     pub(super) is_root: bool,
     pub(super) parent: Option<HostId>,
     pub(super) children: Vec<HostId>,
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -1,9 +1,15 @@
-//! Synchronisation of the shared keys: reads and watches of the key-value store, and
+//! Synchronisation of the shared keys: reads and watches of the key-value service, and
 //! anti-entropy between peers.
 //!
-//! By default one process per data centre watches the store and forwards changes.
-//! Heartbeats carry each process's frontier, so that a process that lags behind or cannot
-//! reach the store asks a peer for the missing records. Open [`StoreSync`] first.
+//! Start reading at [`StoreSync`]. [`Watchers`] selects which processes watch the service:
+//!
+//! - `OnePerDataCentre`, the default: one process per data centre watches and sends
+//!   records to the others. Heartbeats carry each process's frontier, so that a process
+//!   that lags behind or cannot reach the service asks a peer for the missing records.
+//! - `All`: every process watches; heartbeats work in the same way.
+//! - `Relayed`: every process has a watch, which takes the news that arrives along the
+//!   relay tree. It reads the service only at the root of the tree or while no news
+//!   arrives. A process that the service does not answer asks a peer for the state.
 
 use std::time::Duration;
 
@@ -24,16 +30,17 @@
 /// How long a process must have watched before it forwards changes.
 ///
 /// When a whole data centre starts, each process considers itself the watcher until it
-/// receives heartbeats from the others. If all of them forwarded changes, the number of
-/// messages would grow with the cube of the hosts.
+/// receives heartbeats from the others. Each process also writes a member key. If all of
+/// them forwarded each of these changes to all others, the number of messages would grow
+/// with the cube of the hosts.
 const WATCH_WARM_UP: Duration = Duration::from_secs(1);
 /// Minimum interval between two requests for missing records.
 const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a peer may lag behind before it is sent the missing records unasked.
 const TOLERATED_LAG: Duration = Duration::from_millis(1500);
-/// Minimum interval between two requests for the full state by a process that the store does not answer.
+/// Minimum interval between two requests for the state if the key-value service does not answer.
 const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
-/// Timeout of the read of all shared keys, as a multiple of the store timeout.
+/// Timeout of the read of all shared keys, as a multiple of `store_timeout`.
 const READ_TIMEOUT_FACTOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -56,17 +63,19 @@
     frontier: StoreRevision,
     /// The revision of the first complete snapshot; deletions before it are unknown here.
     first_snapshot: Option<StoreRevision>,
-    /// An earlier value of `frontier` that peers should have reached by now.
-    expected: StoreRevision,
-    next_expected_update: Time,
+    /// The value of `frontier` at the last update; peers that are below it are sent records.
+    lag_limit: StoreRevision,
+    next_lag_limit_update: Time,
     watch: Option<Watch>,
     read: Option<Read>,
     read_backoff: Backoff,
     is_read_pending: bool,
+    /// The revision of the latest complete snapshot.
     last_snapshot: Option<StoreRevision>,
+    /// When the first complete snapshot was received.
     synced_at: Time,
     next_records_request: Time,
-    /// Whether the store left the last watch unanswered.
+    /// Whether the key-value service left the last watch unanswered.
     is_watch_unanswered: bool,
     next_state_request: Time,
 }
@@ -86,18 +95,19 @@
         self.last_snapshot
     }
 
-    /// Reports whether no read of the shared keys is pending.
-    pub(super) const fn is_store_reachable(&self) -> bool {
+    /// Reports whether no read of all shared keys is in progress or waiting for its next attempt.
+    pub(super) const fn has_no_pending_read(&self) -> bool {
         !self.is_read_pending
     }
 
-    /// Returns since when this process has watched the store.
+    /// Returns since when this process has watched the key-value service.
     pub(super) fn watching_since(&self) -> Option<Time> {
         self.watch.map(|watch| watch.since)
     }
 
-    /// Reads all shared keys from the store instead of waiting for a peer to send them.
+    /// Reads all shared keys from the key-value service instead of waiting for a peer to send them.
     pub(super) fn read(&mut self, cx: &mut Cx<'_>) {
+        // Ends the watch that `await_peer_state` started.
         if !self.is_synced() {
             self.stop(cx);
         }
@@ -105,14 +115,17 @@
         self.read_when_due(cx);
     }
 
-    /// Waits for a peer to send all shared keys, and for news after that.
+    /// Waits for a peer to send the state, and for news after that.
+    ///
+    /// The watch starts at revision 0 because this process knows nothing yet.
+    /// [`Effect::ExtendStateWait`] lets the watch wait for the peer.
     pub(super) fn await_peer_state(&mut self, cx: &mut Cx<'_>) {
         self.watch = Some(Watch { upto: StoreRevision(0), since: cx.now });
         cx.push(Effect::ExtendStateWait);
         cx.push(Effect::Watch { from: StoreRevision(0) });
     }
 
-    /// Records that a peer has sent all shared keys up to `upto`.
+    /// Records that a peer has sent the state up to `upto`.
     pub(super) fn on_peer_state(&mut self, cx: &mut Cx<'_>, upto: StoreRevision) {
         if let Some(watch) = &mut self.watch {
             watch.upto = watch.upto.max(upto);
@@ -123,9 +136,9 @@
 
     /// Runs what is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) {
-        if self.next_expected_update.is_due(cx.now) {
-            self.expected = self.frontier;
-            self.next_expected_update = cx.now.after(TOLERATED_LAG);
+        if self.next_lag_limit_update.is_due(cx.now) {
+            self.lag_limit = self.frontier;
+            self.next_lag_limit_update = cx.now.after(TOLERATED_LAG);
         }
         if self.read.take_if(|read| read.timeout_at.is_due(cx.now)).is_some() {
             self.read_backoff.record_failure(cx);
@@ -133,10 +146,10 @@
         self.read_when_due(cx);
     }
 
-    /// Handles the result of a store call.
+    /// Handles the result of a store call, which may belong to another part of the process.
     pub(super) fn on_store(&mut self, cx: &mut Cx<'_>, call: CallId, result: &StoreResult) {
         if self.read.take_if(|read| read.call == call).is_none() {
-            // The store answers again, so the remaining backoff is skipped.
+            // Another call succeeded, so the remaining backoff of the read is skipped.
             if result.is_ok() {
                 self.read_backoff.reset();
                 self.read_when_due(cx);
@@ -152,7 +165,7 @@
         self.record_snapshot(cx, *revision);
     }
 
-    /// Records whether the store answered a watch.
+    /// Records whether the key-value service answered a watch.
     pub(super) const fn set_watch_answered(&mut self, is_answered: bool) {
         self.is_watch_unanswered = !is_answered;
     }
@@ -213,7 +226,7 @@
                 self.request_state_if_cut_off(cx, from, *store);
             }
             PeerMessage::Heartbeat { store, .. } if *store > self.frontier => self.request_records(cx, from),
-            PeerMessage::Heartbeat { store, .. } if *store < self.expected => self.reply(cx, from, *store),
+            PeerMessage::Heartbeat { store, .. } if *store < self.lag_limit => self.reply(cx, from, *store),
             PeerMessage::RecordsWanted { after } => self.reply(cx, from, *after),
             _ => {}
         }
@@ -235,7 +248,7 @@
         }
     }
 
-    /// Requests the full state from a peer that is ahead, if the store does not answer.
+    /// Requests the state from a peer that is ahead, if the key-value service does not answer.
     fn request_state_if_cut_off(&mut self, cx: &mut Cx<'_>, from: &HostId, store: StoreRevision) {
         if store <= self.frontier || !self.is_synced() {
             return;
@@ -257,7 +270,7 @@
     /// Sends the records that a peer is missing.
     ///
     /// A process does not know the keys that were deleted before its first snapshot. A
-    /// peer that is behind that revision receives the full state, since a list of
+    /// peer that is behind that revision receives the state, since a list of
     /// changes would leave deleted members and owners in its cache.
     fn reply(&self, cx: &mut Cx<'_>, to: &HostId, after: StoreRevision) {
         let Some(first_snapshot) = self.first_snapshot.filter(|_| after < self.frontier) else { return };
@@ -299,12 +312,14 @@
         }
     }
 
-    /// Reports whether this process watches the store for its data centre.
+    /// Reports whether this process should watch the key-value service.
     ///
-    /// The watcher is the first process of a ranking that reaches the store. If it died
-    /// unnoticed, its data centre would receive no more changes, including the deletion
-    /// of its member key. It therefore sends heartbeats to the whole data centre, and
-    /// the next process of the ranking takes over when they stop.
+    /// With `OnePerDataCentre`, the watcher is the first process of a ranking that reaches
+    /// the service. If a watcher died unnoticed, its data centre would receive no more
+    /// changes, including the deletion of the watcher's own member key. The watcher
+    /// therefore sends heartbeats to the whole data centre, which report whether it
+    /// reaches the service, and the next process of the ranking takes over when these
+    /// reports stop.
     fn is_watcher(&self, cx: &Cx<'_>, peers: &Peers, eligible: &[HostId]) -> bool {
         if cx.cfg.watchers != Watchers::OnePerDataCentre {
             return true;
@@ -320,6 +335,7 @@
         let Some(last) = before.iter().map(|host| peers.store_reached_at(host)).max() else { return true };
         let step_delay = WATCHER_FAILOVER_STEP.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
         let failover_delay = cx.cfg.timings.peer_timeout + step_delay;
+        // A process that has just synced gives the others the full delay to report.
         last.max(self.synced_at).after(failover_delay).is_due(cx.now)
     }
 }
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -1,6 +1,6 @@
 //! Engines without a live owner, and when this process may take them over.
 //!
-//! Open [`Vacancies`] first.
+//! Start reading at [`Vacancies`].
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 /// How long a live member whose key was deleted may take to register again.
 const RETURN_GRACE: Duration = Duration::from_secs(15);
-/// Delay between two processes of the ranking that try to take an engine over.
+/// Delay between the turns of two processes that may take an engine over, the assignee first.
 const RANK_DELAY: Duration = Duration::from_secs(5);
 /// How long the members must stay the same before engines that were never owned are assigned.
 ///
@@ -40,7 +40,7 @@
     Uncertain,
 }
 
-/// An engine whose recorded owner is gone.
+/// An engine whose recorded owner is gone, as of `record_revision`.
 #[derive(Clone, Debug)]
 struct Vacancy {
     host: HostId,
@@ -72,7 +72,9 @@
     orphaned: OrderedMap<UpstreamId, Vacancy>,
     /// Engines that never had an owner, and when each became known.
     never_owned: OrderedMap<UpstreamId, Time>,
+    /// When each uncertain member key may be read again.
     reads: OrderedMap<HostId, Time>,
+    /// The incarnations to probe.
     probes: OrderedMap<HostId, Incarnation>,
 }
 
--- a/crates/skylarkshore-core/tests/control/homes.rs
+++ b/crates/skylarkshore-core/tests/control/homes.rs
@@ -61,8 +61,9 @@
 
 /// Guards against two replicas where the rules allow one.
 ///
-/// The answer to a write that moves a home is lost, and the store becomes unreachable. The
-/// old engine cannot know whether the model has moved, so it must not load the model.
+/// The answer to a write that moves a home is lost, and the key-value service becomes
+/// unreachable. The old engine cannot know whether the model has moved, so it must not
+/// load the model.
 #[test]
 fn a_home_with_an_unconfirmed_move_may_not_load_the_model() {
     for is_executed in [true, false] {
--- a/crates/skylarkshore-core/tests/control/leases.rs
+++ b/crates/skylarkshore-core/tests/control/leases.rs
@@ -22,7 +22,7 @@
 
 /// Guards against a process that takes its own record for that of another and restarts over and over.
 ///
-/// Every second answer of the store is lost after its write took effect.
+/// Every second answer of the key-value service is lost after its write took effect.
 #[test]
 fn a_process_registers_and_acquires_engines_despite_lost_answers() {
     for seed in 0..20 {
@@ -63,7 +63,7 @@
     assert_eq!(member(&cluster, "a"), Some(later));
 }
 
-/// Guards against missed changes after the only process that watches the store is killed.
+/// Guards against missed changes after the only process that watches the key-value service is killed.
 #[test]
 fn another_process_takes_over_the_watch_when_the_watcher_dies() {
     let mut cluster = cluster_with_owners(12, &["a", "b", "c"], 3, FenceCheck::Refuses);
@@ -82,7 +82,7 @@
     processes.filter(|(_, process)| process.is_watching()).map(|(host, _)| host.to_string()).collect()
 }
 
-/// Guards against outdated rules on a process that reaches its peers but not the store.
+/// Guards against outdated rules on a process that reaches its peers but not the key-value service.
 #[test]
 fn a_process_cut_off_from_the_store_receives_new_rules_from_peers() {
     let mut cluster = cluster_with_owners(13, &["a", "b", "c"], 3, FenceCheck::Refuses);
@@ -164,8 +164,8 @@
 
 /// Guards against requests to upstreams that have left during a store outage.
 ///
-/// The store is away for eight seconds. Upstreams stop two seconds after they announce
-/// that they leave, so each process must watch again within that time.
+/// The key-value service is away for eight seconds. Upstreams stop two seconds after they
+/// announce that they leave, so each process must watch again within that time.
 #[test]
 fn a_process_resumes_watching_soon_after_a_store_outage() {
     for seed in 0..10 {
--- a/crates/skylarkshore-core/tests/control/ownership.rs
+++ b/crates/skylarkshore-core/tests/control/ownership.rs
@@ -114,8 +114,8 @@
 
 /// Guards against take-overs of all engines after a store outage.
 ///
-/// The store is away for a minute, so every lease has expired when it returns. During
-/// the outage only engines that check fences receive orders.
+/// The key-value service is away for a minute, so every lease has expired when it
+/// returns. During the outage only engines that check fences receive orders.
 #[test]
 fn a_store_outage_that_expires_all_leases_moves_no_engine() {
     for fence_check in [FenceCheck::Refuses, FenceCheck::Ignores] {
--- a/crates/skylarkshore-core/tests/control/stale.rs
+++ b/crates/skylarkshore-core/tests/control/stale.rs
@@ -91,7 +91,8 @@
 /// Guards against a former owner that removes its successor's home.
 ///
 /// A process loses its lease and its engines without being notified, while its writes
-/// still reach the store. A write answer shows it the homes record of its successor.
+/// still reach the key-value service. A write answer shows it the homes record of its
+/// successor.
 #[test]
 fn a_former_owner_without_updates_does_not_remove_its_successors_home() {
     let mut cluster = cluster(42, FenceCheck::Refuses, UNLIMITED_POWER);
--- a/crates/skylarkshore-core/tests/control/storm.rs
+++ b/crates/skylarkshore-core/tests/control/storm.rs
@@ -191,10 +191,10 @@
 
 /// Guards the invariants of the control plane against any combination of faults.
 ///
-/// Processes are killed, replaced, frozen and cut off. The store goes away, loses calls
-/// and answers, and executes writes long after they were given up. No engine may have
-/// two acting owners, no model more replicas than allowed, and no site may draw more
-/// than its cap. After the faults end, everything must work again.
+/// Processes are killed, replaced, frozen and cut off. The key-value service goes away,
+/// loses calls and answers, and executes writes long after they were given up. No engine
+/// may have two acting owners, no model more replicas than allowed, and no site may draw
+/// more than its cap. After the faults end, everything must work again.
 #[test]
 fn random_faults_never_violate_ownership_replica_or_power_limits() {
     let loads: usize = std::thread::scope(|scope| {
--- a/crates/skylarkshore-core/tests/support/cluster.rs
+++ b/crates/skylarkshore-core/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of control planes with a simulated key-value store, engines and injected faults.
+//! A cluster of control planes with a simulated key-value service, engines and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -40,11 +40,11 @@
     pub lost_calls: u32,
     pub lost_answers: u32,
     pub lost_messages: u32,
-    /// Writes whose call fails although they reach the store much later.
+    /// Writes whose call fails although they reach the key-value service much later.
     pub delayed_writes: u32,
     /// How late they reach it; random if not set.
     pub write_delay: Option<Duration>,
-    /// Whether the store is unreachable for all processes.
+    /// Whether the key-value service is unreachable for all processes.
     pub outage: bool,
 }
 
