--- a/crates/skylarkshore-core/src/control/assignment.rs
+++ b/crates/skylarkshore-core/src/control/assignment.rs
@@ -15,7 +15,8 @@
 /// Above it each engine is assigned by itself without a bound, and hand-overs balance the numbers.
 const MAX_BOUNDED_PAIRS: usize = 100_000;
 
-/// Returns the maximum number of engines that one of `hosts` processes should own.
+/// Returns the maximum number of engines that one of `hosts` processes should own: a
+/// quarter more than the mean.
 pub(super) fn max_owned(engines: usize, hosts: usize) -> usize {
     (engines * 5).div_ceil(hosts.max(1) * 4)
 }
--- a/crates/skylarkshore-core/src/control/bootstrap.rs
+++ b/crates/skylarkshore-core/src/control/bootstrap.rs
@@ -116,6 +116,7 @@
 
     /// Requests the state from the next member when that is due.
     pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>, sync: &mut StoreSync) {
+        // The state has arrived, or this process is reading it from the key-value service.
         if sync.is_synced() || !sync.has_no_pending_read() {
             self.stage = None;
             return;
--- a/crates/skylarkshore-core/src/control/homes/plan.rs
+++ b/crates/skylarkshore-core/src/control/homes/plan.rs
@@ -180,7 +180,7 @@
 ///
 /// Each home gives its engine an owner. If there are more engines than the hosts own
 /// together, a model gets its share of the ownership capacity, and enough homes for its
-/// adapters. Other engines that hold the model serve requests as well.
+/// adapters. Other engines that have the model loaded serve requests as well.
 fn max_first_homes(cx: &Cx<'_>, review: &ModelReview<'_>) -> usize {
     if !review.context.exceeds_ownership_capacity(cx) {
         return usize::MAX;
@@ -245,7 +245,7 @@
     }
 }
 
-/// Adds engines of this process that already hold the model as homes.
+/// Adds engines of this process that have the model loaded as homes.
 ///
 /// In a large cluster some engines are listed only after the first homes were
 /// assigned. If their models counted as surplus, they would be unloaded although no
--- a/crates/skylarkshore-core/src/control/membership.rs
+++ b/crates/skylarkshore-core/src/control/membership.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: LeaseId,
-    /// When the last confirmed call was sent; the key-value service cannot have counted from an earlier time.
+    /// When the last confirmed call was sent; the lease cannot count from an earlier time.
     confirmed_at: Time,
     ttl: Duration,
 }
@@ -42,6 +42,7 @@
     timeout_at: Time,
 }
 
+/// State of this process's member key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Registration {
     Absent,
@@ -54,6 +55,7 @@
     Registered {
         lease: LeaseId,
         leaving: bool,
+        /// The first revision under the lease.
         first: StoreRevision,
     },
 }
@@ -78,6 +80,7 @@
     stage: Stage,
     lease: Option<HeldLease>,
     call: Option<LeaseCall>,
+    /// Delays the next lease call, after a failure or until the next renewal is due.
     call_backoff: Backoff,
     registration: Registration,
     write_backoff: Backoff,
@@ -219,6 +222,7 @@
     pub(super) fn on_write(&mut self, cx: &mut Cx<'_>, outcome: &WriteOutcome) {
         let Registration::Writing { lease, leaving, first } = self.registration else { return };
         let WriteOutcome::Done(written) = outcome else {
+            // If the key exists, only a change of `leaving` was written, so it keeps the other value.
             self.registration = first.map_or(Registration::Absent, |first| Registration::Registered {
                 lease,
                 leaving: !leaving,
--- a/crates/skylarkshore-core/src/control/ownership.rs
+++ b/crates/skylarkshore-core/src/control/ownership.rs
@@ -418,7 +418,7 @@
 ///
 /// Each owned engine costs periodic report requests and a record that every process reads.
 /// If there are more engines than the hosts own together, only homes and engines with an
-/// owner record count; requests still use the models that the other engines hold.
+/// owner record count; requests still use the models that the other engines have loaded.
 fn ownable_engines(cx: &Cx<'_>, context: &ReviewContext<'_>) -> OrderedSet<UpstreamId> {
     let mut engines: OrderedSet<UpstreamId> = cx.cache.owners().map(|(engine, _)| engine.clone()).collect();
     if context.exceeds_ownership_capacity(cx) {
--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -52,6 +52,7 @@
     next_probe: Time,
     /// When it registered, or last reported that it reaches the key-value service.
     store_reached_at: Time,
+    /// When it last sent a message, refused a connection or had its member key changed.
     last_seen: Time,
 }
 
@@ -69,6 +70,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     by_host: OrderedMap<HostId, Peer>,
+    /// When member keys were recently deleted.
     recent_expiries: VecDeque<Time>,
     next_heartbeat: Time,
     /// The other members in hash ring order, starting after this process.
@@ -113,7 +115,8 @@
         recent >= MASS_EXPIRY_MIN_MEMBERS && recent >= cx.cache.members().count()
     }
 
-    /// Returns the live members that may become owners.
+    /// Returns the live members that may become owners: those that neither leave nor have
+    /// been replaced or ended.
     pub(super) fn eligible(&self, cx: &Cx<'_>, membership: &Membership) -> Vec<HostId> {
         let leaves = |host: &HostId, member: &MemberRecord| {
             member.leaving || (*host == cx.cfg.host && membership.is_leaving())
--- a/crates/skylarkshore-core/src/control/placement.rs
+++ b/crates/skylarkshore-core/src/control/placement.rs
@@ -39,7 +39,7 @@
         Self { document: cx.document, cache: cx.cache, upstreams: cx.upstreams, inventory, table: None }
     }
 
-    /// Returns how many live engines hold the model.
+    /// Returns how many live engines have the model loaded.
     pub(super) fn holders(&mut self, model: &ModelName) -> usize {
         self.table().engines_with(model).iter().filter(|entry| entry.residency == Residency::Held).count()
     }
@@ -84,7 +84,7 @@
                 best.offer(found);
             }
         }
-        // Engines that hold the model or a copy are preferred to all others.
+        // Engines that have the model loaded or have a copy are preferred to all others.
         if !best.is_full() {
             let is_with_model =
                 |index: &usize| with_model.binary_search_by_key(index, |entry| entry.index).is_ok();
@@ -126,7 +126,7 @@
     }
 }
 
-/// An engine that holds a model or has a copy of its weights.
+/// An engine that has a model loaded or has a copy of its weights.
 #[derive(Clone, Copy, Debug)]
 struct EngineWithModel {
     index: usize,
--- a/crates/skylarkshore-core/src/control/power.rs
+++ b/crates/skylarkshore-core/src/control/power.rs
@@ -57,6 +57,7 @@
     /// Engines whose grant this process has given up, whatever the record contains.
     revoked: OrderedSet<UpstreamId>,
     request: Option<PowerRequest>,
+    /// Until when no power is granted in advance.
     shortage_until: Time,
     next_request: Time,
     /// Since when the maximum draw of the site, with all grants, has exceeded the cap.
--- a/crates/skylarkshore-core/src/control/power_budget.rs
+++ b/crates/skylarkshore-core/src/control/power_budget.rs
@@ -22,10 +22,10 @@
         record: &PowerRecord,
         inventory: &EngineInventory,
     ) -> Self {
-        let here = inventory.iter().filter(|(id, engine)| {
+        let engines_at_site = inventory.iter().filter(|(id, engine)| {
             engine.site == *site && (engine.is_listed() || record.grants.contains_key(*id))
         });
-        let sleep = here.map(|(id, engine)| (id.clone(), engine.sleep_watts)).collect();
+        let sleep = engines_at_site.map(|(id, engine)| (id.clone(), engine.sleep_watts)).collect();
         Self { cap, sleep, grants: record.grants.clone() }
     }
 
--- a/crates/skylarkshore-core/src/control/relay.rs
+++ b/crates/skylarkshore-core/src/control/relay.rs
@@ -28,7 +28,7 @@
 
 /// How long a process that requested the state receives news in addition to the children.
 ///
-/// It regards this process as its parent, although other members may not know it yet.
+/// The requester regards this process as its parent, although other members may not know it yet.
 const TEMPORARY_CHILD_TTL: Duration = Duration::from_secs(5);
 
 /// This process's position in the relay tree and its forwarding state.
--- a/crates/skylarkshore-core/src/control/store_sync.rs
+++ b/crates/skylarkshore-core/src/control/store_sync.rs
@@ -303,6 +303,7 @@
             Some(_) if !should_watch => self.stop(cx),
             None if should_watch && self.is_synced() && !self.is_read_pending => {
                 self.watch = Some(Watch { upto: self.frontier, since: cx.now });
+                // Lets the watch wait for the parent in the relay tree.
                 if cx.cfg.watchers == Watchers::Relayed && RelayTree::of(cx).parent.is_some() {
                     cx.push(Effect::ExtendStateWait);
                 }
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -69,6 +69,7 @@
 /// The engines without a live owner.
 #[derive(Debug, Default)]
 pub(super) struct Vacancies {
+    /// Engines whose recorded owner is gone.
     orphaned: OrderedMap<UpstreamId, Vacancy>,
     /// Engines that never had an owner, and when each became known.
     never_owned: OrderedMap<UpstreamId, Time>,
@@ -242,10 +243,14 @@
 
 fn takeable_at(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId, owner: &OwnerRecord) -> Time {
     let timings = &cx.cfg.timings;
+    // The former owner may rely on its lease, and send orders, for `hold` after a renewal.
     let hold = match context.inventory.fence_check(engine) {
         FenceCheck::Refuses => Duration::ZERO,
         FenceCheck::Ignores => timings.hold + timings.hold_margin,
     };
+    // An owner that has probably lost only its lease gets time to register again: this
+    // process lost its own lease recently too, the owner still sends heartbeats, or many
+    // leases expired at once.
     let has_re_registered =
         context.membership.re_registered_at().is_some_and(|at| !at.after(RETURN_GRACE).is_due(cx.now));
     let may_return = has_re_registered
