--- a/crates/skylarkshore-core/src/control/peers.rs
+++ b/crates/skylarkshore-core/src/control/peers.rs
@@ -1,6 +1,6 @@
 //! Failure detector: heartbeats, probes, and what they show about the other processes.
 //!
-//! Open [`Peers`] first.
+//! Start reading at [`Peers`].
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -50,8 +50,9 @@
     /// Every lower incarnation has definitely ended.
     min_incarnation: Incarnation,
     next_probe: Time,
-    /// When it registered, or last reported that it reaches the store.
+    /// When it registered, or last reported that it reaches the key-value service.
     store_reached_at: Time,
+    /// When it last sent a message, refused a connection or had its member key changed.
     last_seen: Time,
 }
 
@@ -69,6 +70,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     by_host: OrderedMap<HostId, Peer>,
+    /// When member keys were recently deleted.
     recent_expiries: VecDeque<Time>,
     next_heartbeat: Time,
     /// The other members in hash ring order, starting after this process.
@@ -96,7 +98,7 @@
         self.by_host.get(host).and_then(|peer| peer.last_heartbeat).map(|heartbeat| heartbeat.at)
     }
 
-    /// Returns when a process last reported that it reaches the store, or registered.
+    /// Returns when a process last reported that it reaches the key-value service, or registered.
     pub(super) fn store_reached_at(&self, host: &HostId) -> Time {
         self.by_host.get(host).map_or(Time::START, |peer| peer.store_reached_at)
     }
@@ -113,7 +115,8 @@
         recent >= MASS_EXPIRY_MIN_MEMBERS && recent >= cx.cache.members().count()
     }
 
-    /// Returns the live members that may become owners.
+    /// Returns the live members that may become owners: those that neither leave nor have
+    /// been replaced or ended.
     pub(super) fn eligible(&self, cx: &Cx<'_>, membership: &Membership) -> Vec<HostId> {
         let leaves = |host: &HostId, member: &MemberRecord| {
             member.leaving || (*host == cx.cfg.host && membership.is_leaving())
--- a/crates/skylarkshore-core/src/control/vacancy.rs
+++ b/crates/skylarkshore-core/src/control/vacancy.rs
@@ -1,6 +1,6 @@
 //! Engines without a live owner, and when this process may take them over.
 //!
-//! Open [`Vacancies`] first.
+//! Start reading at [`Vacancies`].
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 /// How long a live member whose key was deleted may take to register again.
 const RETURN_GRACE: Duration = Duration::from_secs(15);
-/// Delay between two processes of the ranking that try to take an engine over.
+/// Delay between the turns of two processes that may take an engine over, the assignee first.
 const RANK_DELAY: Duration = Duration::from_secs(5);
 /// How long the members must stay the same before engines that were never owned are assigned.
 ///
@@ -40,7 +40,7 @@
     Uncertain,
 }
 
-/// An engine whose recorded owner is gone.
+/// An engine whose recorded owner is gone, as of `record_revision`.
 #[derive(Clone, Debug)]
 struct Vacancy {
     host: HostId,
@@ -69,10 +69,13 @@
 /// The engines without a live owner.
 #[derive(Debug, Default)]
 pub(super) struct Vacancies {
+    /// Engines whose recorded owner is gone.
     orphaned: OrderedMap<UpstreamId, Vacancy>,
     /// Engines that never had an owner, and when each became known.
     never_owned: OrderedMap<UpstreamId, Time>,
+    /// When each uncertain member key may be read again.
     reads: OrderedMap<HostId, Time>,
+    /// The incarnations to probe.
     probes: OrderedMap<HostId, Incarnation>,
 }
 
@@ -240,10 +243,14 @@
 
 fn takeable_at(cx: &Cx<'_>, context: &ReviewContext<'_>, engine: &UpstreamId, owner: &OwnerRecord) -> Time {
     let timings = &cx.cfg.timings;
+    // The former owner may rely on its lease, and send orders, for `hold` after a renewal.
     let hold = match context.inventory.fence_check(engine) {
         FenceCheck::Refuses => Duration::ZERO,
         FenceCheck::Ignores => timings.hold + timings.hold_margin,
     };
+    // An owner that has probably lost only its lease gets time to register again: this
+    // process lost its own lease recently too, the owner still sends heartbeats, or many
+    // leases expired at once.
     let has_re_registered =
         context.membership.re_registered_at().is_some_and(|at| !at.after(RETURN_GRACE).is_due(cx.now));
     let may_return = has_re_registered
