--- a/crates/skylarkshore-core/src/authority.rs
+++ b/crates/skylarkshore-core/src/authority.rs
@@ -59,7 +59,7 @@
     fn granted_power(&self, engine: &UpstreamId) -> Watts;
 }
 
-/// A model that needs another home.
+/// A model that needs another home, that is, another engine on which it may be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeRequest {
     /// The model.
--- a/crates/skylarkshore-core/src/cx.rs
+++ b/crates/skylarkshore-core/src/cx.rs
@@ -33,13 +33,13 @@
     pub cfg: &'a NodeConfig,
     /// Active operator document (rules and catalogue).
     pub document: &'a Document,
-    /// Local cache of the shared keys.
+    /// Local cache of the shared keys: every [`Key`](crate::store::Key) but `Key::Once`.
     pub cache: &'a StoreCache,
-    /// Upstreams of the host list.
+    /// Upstreams (engines and service replicas), which the host list names.
     pub upstreams: &'a UpstreamList,
     /// Collected effects.
     pub effects: &'a mut Vec<Effect>,
-    /// Collected write requests.
+    /// Write requests collected from the handler, which are queued when it returns.
     pub writes: &'a mut Vec<WriteRequest>,
     /// Last allocated identifiers.
     pub counters: &'a mut Counters,
--- a/crates/skylarkshore-core/src/effect.rs
+++ b/crates/skylarkshore-core/src/effect.rs
@@ -109,21 +109,24 @@
 /// An action for the runtime to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Call the key-value service.
+    /// Call the key-value service; answered by [`Event::Store`](crate::Event::Store).
     Store {
         /// Identifies the result.
         call: CallId,
         /// The operation.
         request: StoreCall,
     },
-    /// Start watching the shared keys.
+    /// Start watching the shared keys; changes arrive in [`Event::Watched`](crate::Event::Watched).
     Watch {
         /// First revision to deliver.
         from: StoreRevision,
     },
     /// Stop watching.
     Unwatch,
-    /// Apply changes that a peer read and relayed.
+    /// Decode changes that a peer read and relayed, which only the platform adapter can do.
+    ///
+    /// The changes arrive in [`Event::Watched`](crate::Event::Watched); if earlier ones are missing,
+    /// [`Event::NewsMissed`](crate::Event::NewsMissed) reports it.
     ApplyNews(News),
     /// Poll for changes at the short interval of a relay root (`true`) or for this process alone (`false`).
     ReadNewsForOthers(bool),
@@ -138,18 +141,20 @@
         /// The shared keys; the platform adapter adds its own keys.
         records: Vec<Versioned>,
     },
-    /// Apply a part of the full state that a peer sent.
+    /// Decode a part of the full state that a peer sent; the last missing part is answered by
+    /// [`Event::State`](crate::Event::State).
     ApplyStatePart(StatePart),
     /// Keep waiting for the full state from a peer.
     ExtendStateWait,
-    /// Read the changes that are missing from the relayed ones.
+    /// Read the changes that are missing from the relayed ones from the key-value service.
     ReadMissedNews,
     /// Send a message to a peer.
     Peer(Envelope),
     /// Check whether an incarnation of a process has certainly ended.
     ///
     /// This is proved by a refused connection to its address or by an answer from
-    /// a later incarnation there; a time-out proves nothing.
+    /// a later incarnation there; a time-out proves nothing. If proved, answered by
+    /// [`Event::PeerConnectionRefused`](crate::Event::PeerConnectionRefused).
     Probe {
         /// The host.
         host: HostId,
@@ -158,7 +163,7 @@
         /// Its address for callers.
         address: SocketAddr,
     },
-    /// Send an order to an engine.
+    /// Send an order to an engine, such as to load a model; answered by [`Event::Order`](crate::Event::Order).
     Order {
         /// The engine.
         upstream: UpstreamId,
@@ -173,12 +178,13 @@
         /// The order.
         action: Order,
     },
-    /// Request a status report from an engine.
+    /// Request a status report from an engine; answered by [`Event::Report`](crate::Event::Report).
     RequestReport {
         /// The engine.
         upstream: UpstreamId,
     },
-    /// Send a request to an upstream and forward its answer.
+    /// Send a request to an upstream and forward its answer; answered by
+    /// [`Event::AttemptEnded`](crate::Event::AttemptEnded).
     Send {
         /// The request.
         request: RequestId,
@@ -192,15 +198,15 @@
         order: ServiceOrder,
         /// Whether to resume the interrupted stream of an earlier attempt.
         resume: bool,
-        /// Whether to hold back the answer until it is recorded.
+        /// Whether to return the answer in the event instead of forwarding it, so that it is recorded first.
         hold: bool,
         /// Whether the request may run at most once.
         once: bool,
-        /// Whether to keep an answer that reports a failure of the upstream, because
-        /// another upstream may be tried.
+        /// Whether to buffer an answer that reports a failure of the upstream instead of forwarding it,
+        /// because another upstream may be tried.
         keep_failure: bool,
     },
-    /// Forward the kept failure answer of a request's last attempt.
+    /// Forward the buffered failure answer of a request's last attempt.
     ForwardHeldAnswer {
         /// The request.
         request: RequestId,
--- a/crates/skylarkshore-core/src/event.rs
+++ b/crates/skylarkshore-core/src/event.rs
@@ -24,37 +24,41 @@
     Service(ServiceName),
 }
 
-/// How often a request may run.
+/// Whether and how a request may be retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// May be retried when the outcome of an attempt is unknown.
+    /// May be retried, also when the outcome of an attempt is unknown.
     Allowed,
-    /// Runs at most once per idempotency key.
+    /// Runs at most once per idempotency key, however often it arrives with that key.
     Once {
         /// Digest of the idempotency key, the caller and the service.
         key: Digest,
     },
-    /// Runs at most once per arrival; a retry by the caller is a new request.
+    /// Has no idempotency key: runs at most once per arrival, and a retry by the caller is a new request.
     AtMostOnce,
 }
 
-/// Limits that the operators set for a class of requests.
+/// Limits of one request, derived from what the operators set for its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestPolicy {
-    /// Maximum number of upstreams on which the request may run.
+    /// Maximum number of attempts that may have run the request; attempts that the upstream rejected don't
+    /// count.
     pub max_runs: u32,
     /// Soft deadline: a later answer has reduced value.
     pub soft_deadline: Time,
     /// Deadline for the first byte of the answer, after which the caller gives up.
+    ///
+    /// A request that is still queued then is refused; an attempt in progress continues.
     pub first_byte_deadline: Time,
-    /// Offset added to the order of service from the rules; negative values are served earlier.
+    /// Offset added to the [`ServiceOrder`](crate::rules::ServiceOrder) from the rules; lower orders are served
+    /// first.
     pub order_offset: i16,
     /// Whether another upstream may resume an interrupted stream.
     pub resumable: bool,
 }
 
 impl RequestPolicy {
-    /// Returns the default limits.
+    /// Returns a policy with no limit but the deadline of the complete answer.
     pub const fn plain(deadline: Time, resumable: bool) -> Self {
         Self {
             max_runs: u32::MAX,
@@ -73,7 +77,7 @@
     pub caller: CallerId,
     /// Destination of the request.
     pub target: Target,
-    /// How often it may run.
+    /// Whether and how it may be retried.
     pub repeat: Repeat,
     /// Digest of method, path and body.
     pub digest: Digest,
@@ -81,7 +85,7 @@
     pub prefix: Option<Digest>,
     /// Deadline for the complete answer.
     pub deadline: Time,
-    /// Limits of its class.
+    /// Its limits.
     pub policy: RequestPolicy,
     /// Client account and cost to charge, if client accounts are in use.
     pub charge: Option<Charge>,
@@ -90,15 +94,17 @@
 /// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The complete answer was received, and forwarded unless it is held here.
+    /// The complete answer was received, and forwarded unless it is in `held`.
     Completed {
-        /// The answer, if it is held back until it is recorded.
+        /// The answer, if it has to be recorded before it is forwarded.
         held: Option<RecordedAnswer>,
     },
-    /// The complete answer exceeds the size that may be held and was forwarded directly.
+    /// The complete answer was too large to be recorded first and was forwarded directly.
     CompletedTooLarge,
-    /// The complete answer reports a failure of the upstream and is kept, to be
-    /// forwarded if no other upstream is tried.
+    /// The complete answer reports a failure of the upstream.
+    ///
+    /// The runtime buffers it; [`Effect::ForwardHeldAnswer`](crate::Effect::ForwardHeldAnswer) forwards it if
+    /// no other upstream is tried.
     CompletedWithFailure,
     /// No part of the request reached the upstream.
     NotSent,
@@ -156,6 +162,12 @@
 }
 
 /// An input to the state machine of a process.
+///
+/// Changes at the key-value service come in two forms. [`Event::Watched`]
+/// carries decoded changes, which the state machine applies to its cache.
+/// [`News`] carries changes in the platform adapter's encoding. The state machine
+/// relays it to other processes, and has the adapter decode the news of others,
+/// whose changes then arrive in `Watched`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Timer tick, about twenty times a second.
@@ -167,7 +179,7 @@
     Settings(Box<Settings>),
     /// Shutdown was requested.
     Shutdown,
-    /// The complete host list was read.
+    /// The complete host list was read, which names the upstreams (engines and service replicas).
     HostList(Vec<Upstream>),
     /// Some entries of the host list changed.
     Upstreams(UpstreamChanges),
@@ -178,28 +190,33 @@
         /// Its result.
         result: StoreResult,
     },
-    /// A process connected with a certificate that no known member has published.
+    /// A process connected with a certificate that isn't in any cached member record; the cache may
+    /// be out of date.
     UnknownPeer,
-    /// A peer sent the full state of the key-value service.
+    /// A peer sent the full state of the key-value service; the answer to
+    /// [`Effect::ApplyStatePart`](crate::Effect::ApplyStatePart) for the last missing part.
     State {
-        /// Revision up to which the state is complete.
+        /// Revision up to which no change is missing.
         upto: StoreRevision,
         /// Every shared key that has a value.
         records: Vec<Versioned>,
     },
-    /// Changes relayed by peers have a gap.
+    /// The [`News`] relayed by peers has a gap, or this process's own reads time out.
     NewsMissed {
-        /// Whether the gap persists; reordered messages cause short gaps.
+        /// Whether this has persisted for a while; reordered messages cause short gaps.
         lasts: bool,
     },
-    /// The watch delivered changes.
+    /// The watch on the key-value service delivered changes, which it read itself or decoded from a
+    /// peer's [`News`].
     Watched {
         /// The changes.
         changes: Vec<Versioned>,
-        /// Revision up to which the state is complete.
+        /// Revision up to which no change is missing.
         upto: StoreRevision,
     },
-    /// The watch read changes to relay to other processes.
+    /// The watch of this process read changes itself, which are to be relayed to other processes.
+    ///
+    /// `Watched` delivers the same changes to this process.
     NewsRead(News),
     /// The watch call timed out and is repeated from the same revision.
     WatchTimedOut,
@@ -212,15 +229,15 @@
         /// The message.
         message: PeerMessage,
     },
-    /// A running host refuses connections to the address of this incarnation of its process, which has
-    /// therefore ended.
+    /// An [`Effect::Probe`](crate::Effect::Probe) proved that an incarnation of a process has ended, by a
+    /// refused connection or by an answer from a later incarnation.
     PeerConnectionRefused {
         /// The host.
         host: HostId,
         /// The incarnation that ended.
         incarnation: Incarnation,
     },
-    /// An order to an engine was answered or lost.
+    /// An order to an engine, such as to load a model, was answered, or its answer was lost.
     Order {
         /// The engine.
         upstream: UpstreamId,
--- a/crates/skylarkshore-core/src/id.rs
+++ b/crates/skylarkshore-core/src/id.rs
@@ -170,7 +170,7 @@
     LeaseId
 }
 
-/// The SHA-256 digest of a request's body or of an idempotency key.
+/// A SHA-256 digest, such as that of a request, an idempotency key or a certificate.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{}", self.to_hex())]
 pub struct Digest(pub [u8; 32]);
--- a/crates/skylarkshore-core/src/node.rs
+++ b/crates/skylarkshore-core/src/node.rs
@@ -31,14 +31,14 @@
 #[derive(Debug)]
 pub struct Node {
     cfg: NodeConfig,
-    at: MinuteOfDay,
+    minute_of_day: MinuteOfDay,
     document: Arc<Document>,
     cache: StoreCache,
     upstreams: UpstreamList,
     removal_grace: RemovalGrace,
     counters: Counters,
     rng: SmallRng,
-    writes: WriteQueue,
+    write_queue: WriteQueue,
     control: Control,
     loading: Loading,
     serving: Serving,
@@ -48,18 +48,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shutdown {
     NotRequested,
-    /// Callers may use a cached address of this host until `until`.
-    Draining {
+    /// Requests are still accepted, because callers may use a cached address of this host until `until`.
+    AwaitingAddressExpiry {
         until: Time,
     },
-    /// New connections and requests are no longer accepted.
-    Closed,
+    /// No new connections and requests are accepted, and queued requests are refused. The process exits once
+    /// its running requests are completed, its engines handed over if possible, and its lease ended.
+    Draining,
     Exited,
 }
 
-/// Subsystems that an event handler may modify, alongside the context it reads.
+/// Subsystems that an event handler may modify, alongside its context.
 struct Parts<'a> {
-    writes: &'a mut WriteQueue,
+    write_queue: &'a mut WriteQueue,
     control: &'a mut Control,
     loading: &'a mut Loading,
     serving: &'a mut Serving,
@@ -69,14 +70,14 @@
     /// Creates the state of a process and returns it with its initial effects.
     pub fn start(cfg: NodeConfig, now: Time) -> (Self, Vec<Effect>) {
         let mut node = Self {
-            at: MinuteOfDay::default(),
+            minute_of_day: MinuteOfDay::default(),
             document: Arc::new(Document { rules: cfg.default_rules.clone(), ..Document::default() }),
             cache: StoreCache::default(),
             upstreams: UpstreamList::default(),
             removal_grace: RemovalGrace::new(),
             counters: Counters::default(),
             rng: SmallRng::seed_from_u64(cfg.seed),
-            writes: WriteQueue::default(),
+            write_queue: WriteQueue::default(),
             control: Control::new(&cfg),
             loading: Loading::new(&cfg),
             serving: Serving::new(&cfg),
@@ -107,12 +108,12 @@
         &self.cfg
     }
 
-    /// Returns the local cache of the shared keys.
+    /// Returns the local cache of the shared keys: every [`Key`] but [`Key::Once`].
     pub const fn cache(&self) -> &StoreCache {
         &self.cache
     }
 
-    /// Returns the upstreams of the host list.
+    /// Returns the upstreams (engines and service replicas), which the host list names.
     pub const fn upstreams(&self) -> &UpstreamList {
         &self.upstreams
     }
@@ -168,8 +169,8 @@
             }
             Event::Store { call, result } => {
                 match &result {
-                    Ok(_) => self.removal_grace.record_success(now),
-                    Err(_failure) => self.removal_grace.record_failure(),
+                    Ok(_) => self.removal_grace.record_store_success(now),
+                    Err(_failure) => self.removal_grace.record_store_failure(),
                 }
                 if let Ok(StoreAnswer::Shared { revision, records }) = &result {
                     self.apply_snapshot(now, *revision, records.clone(), effects);
@@ -177,6 +178,7 @@
                 if let Ok(StoreAnswer::Members(records)) = &result {
                     self.apply_records(now, records.clone(), effects);
                 }
+                // The cache holds only shared keys; `Key::Once` belongs to a single request.
                 if let Ok(StoreAnswer::One(found)) = &result
                     && !matches!(found.key, Key::Once(_))
                 {
@@ -185,7 +187,7 @@
                 let outcome = self.with_cx(now, effects, |cx, parts| {
                     parts.control.on_store_result(cx, call, &result);
                     parts.serving.on_store(cx, call, &result);
-                    parts.writes.on_result(cx, call, &result)
+                    parts.write_queue.on_result(cx, call, &result)
                 });
                 if let Some((key, outcome)) = outcome {
                     self.on_write_outcome(now, &key, &outcome, effects);
@@ -209,11 +211,11 @@
                 self.with_cx(now, effects, |cx, parts| parts.control.on_news_gap(cx, lasts));
             }
             Event::WatchTimedOut => {
-                self.removal_grace.record_failure();
+                self.removal_grace.record_store_failure();
                 self.control.on_watch_timed_out();
             }
             Event::WatchBroken => {
-                self.removal_grace.record_failure();
+                self.removal_grace.record_store_failure();
                 self.with_cx(now, effects, |cx, parts| parts.control.on_watch_broken(cx));
             }
             Event::Peer { from, message } => self.on_peer(now, &from, message, effects),
@@ -249,9 +251,9 @@
         }
     }
 
-    fn on_tick(&mut self, now: Time, at: MinuteOfDay, effects: &mut Vec<Effect>) {
-        self.at = at;
-        let outcomes = self.with_cx(now, effects, |cx, parts| parts.writes.on_tick(cx));
+    fn on_tick(&mut self, now: Time, minute_of_day: MinuteOfDay, effects: &mut Vec<Effect>) {
+        self.minute_of_day = minute_of_day;
+        let outcomes = self.with_cx(now, effects, |cx, parts| parts.write_queue.on_tick(cx));
         for (key, outcome) in outcomes {
             self.on_write_outcome(now, &key, &outcome, effects);
         }
@@ -268,24 +270,24 @@
         if self.is_leaving() {
             return;
         }
-        self.shutdown = Shutdown::Draining { until: now.after(self.cfg.timings.entry_kept) };
+        self.shutdown = Shutdown::AwaitingAddressExpiry { until: now.after(self.cfg.timings.entry_kept) };
         self.with_cx(now, effects, |cx, parts| {
             parts.control.on_shutdown(cx);
             parts.serving.on_shutdown(cx);
         });
     }
 
-    /// Closes the intake when callers' cached addresses have expired, and exits when no request is in
-    /// progress and no engine is owned.
+    /// Stops accepting requests when callers' cached addresses have expired, and exits when no request is in
+    /// progress and this process is deregistered.
     fn exit_when_done(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if let Shutdown::Draining { until } = self.shutdown
+        if let Shutdown::AwaitingAddressExpiry { until } = self.shutdown
             && until.is_due(now)
         {
-            self.shutdown = Shutdown::Closed;
+            self.shutdown = Shutdown::Draining;
             effects.push(Effect::CloseIntake);
             self.with_cx(now, effects, |cx, parts| parts.serving.on_intake_closed(cx));
         }
-        if self.shutdown != Shutdown::Closed || !self.serving.is_idle() {
+        if self.shutdown != Shutdown::Draining || !self.serving.is_idle() {
             return;
         }
         self.with_cx(now, effects, |cx, parts| parts.control.on_drained(cx));
@@ -317,9 +319,11 @@
             self.apply_batch(now, from, batch, effects);
             return;
         }
+        // Only the platform adapter can decode news; the changes return in `Event::Watched`.
         if let PeerMessage::News(news) = &message {
             effects.push(Effect::ApplyNews(news.clone()));
         }
+        // Control relays a broadcast; its inner message is then handled as if it came from the origin.
         if let PeerMessage::Spread { origin, message: inner } = &message {
             let is_from_self = *origin == self.cfg.host;
             let inner = (**inner).clone();
@@ -338,6 +342,7 @@
 
     fn apply_batch(&mut self, now: Time, from: &HostId, batch: RecordBatch, effects: &mut Vec<Effect>) {
         let RecordBatch { after, upto, records } = batch;
+        // Without `after`, the batch holds every shared key.
         if after.is_some() {
             self.apply_records(now, records, effects);
         } else {
@@ -391,11 +396,15 @@
         }
     }
 
-    /// Activates the cached document and catalogue if their own revisions are higher.
+    /// Activates the cached document and catalogue if the operators' revision in them is higher than the
+    /// active one's.
     ///
-    /// A key-value service that was restored from a backup or is stale can return
-    /// an older document under a newer store revision. Comparing the operators'
-    /// own revision keeps withdrawn rules from taking effect again.
+    /// Besides its operators' revision, a document has the revision of its key at
+    /// the key-value service. A service that was restored from a backup or is stale
+    /// can return an older document under a newer store revision. Comparing the
+    /// operators' revision keeps withdrawn rules from taking effect again.
+    ///
+    /// A catalogue under its own key replaces the one in the document.
     fn activate_newer_document(&mut self) {
         let mut document = Arc::clone(&self.document);
         if let Some(Record::Document(newer)) = self.record(&Key::Document)
@@ -447,7 +456,7 @@
         let mut write_requests: Vec<WriteRequest> = Vec::new();
         let mut cx = Cx {
             now,
-            at: self.at,
+            at: self.minute_of_day,
             cfg: &self.cfg,
             document: &self.document,
             cache: &self.cache,
@@ -458,14 +467,14 @@
             rng: &mut self.rng,
         };
         let parts = Parts {
-            writes: &mut self.writes,
+            write_queue: &mut self.write_queue,
             control: &mut self.control,
             loading: &mut self.loading,
             serving: &mut self.serving,
         };
         let value = f(&mut cx, parts);
         for req in std::mem::take(cx.writes) {
-            self.writes.begin(&mut cx, req);
+            self.write_queue.begin(&mut cx, req);
         }
         value
     }
--- a/crates/skylarkshore-core/src/peer.rs
+++ b/crates/skylarkshore-core/src/peer.rs
@@ -21,7 +21,7 @@
     Memory,
     /// The site's power is allocated to other engines.
     Power,
-    /// The receiver doesn't own a home of the model.
+    /// The process that was asked owns no home of the model, that is, no engine on which it may be loaded.
     NotOwner,
     /// The owner can't confirm its lease and therefore may not act.
     OwnershipInDoubt,
@@ -109,7 +109,7 @@
         /// The longest time that the waiting requests can still wait.
         max_wait: Duration,
     },
-    /// The load is queued for a slot; also shows that the gate is alive.
+    /// The load is queued for a slot; also shows that the process that grants the slots is alive.
     LoadSlotQueued {
         /// The loading engine.
         upstream: UpstreamId,
@@ -152,7 +152,7 @@
         /// Whether they ran in isolation; a request that crashes an upstream in isolation is convicted.
         alone: bool,
     },
-    /// Acknowledges the receiver's suspects.
+    /// Acknowledges suspects that the receiver reported.
     SuspectsNoted {
         /// The digests.
         requests: Vec<Digest>,
@@ -193,15 +193,19 @@
     },
     /// Credit of client accounts.
     Credit(CreditMessage),
-    /// Changes at the key-value service, read or relayed by the sender.
+    /// Changes at the key-value service, read or relayed by the sender; the receiver applies them and
+    /// relays them to its children if they are new.
     News(News),
     /// Requests the full state of the key-value service, after a start or a gap.
     StateWanted,
-    /// Acknowledges the request; the state follows when the sender has it.
+    /// Acknowledges [`PeerMessage::StateWanted`]; the state follows when the sender has it.
     StateComing,
     /// A part of the full state of the key-value service.
     State(StatePart),
-    /// A broadcast; a process that receives it from its parent in the relay tree forwards it to its children.
+    /// A message for all processes, sent down the relay tree.
+    ///
+    /// Each receiver handles the inner message; the root, and a receiver that got it from its parent, forwards
+    /// it to its children.
     Spread {
         /// The original sender.
         origin: HostId,
@@ -210,7 +214,7 @@
     },
 }
 
-/// Changes at the key-value service, in the order it delivered them.
+/// Changes at the key-value service, in the order it delivered them, encoded for relaying to other processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct News {
     /// Revision that precedes the changes.
--- a/crates/skylarkshore-core/src/removal_grace.rs
+++ b/crates/skylarkshore-core/src/removal_grace.rs
@@ -1,4 +1,4 @@
-//! Grace period for upstreams that disappear from the host list around an outage of its source.
+//! Grace period for upstreams that disappear from the host list around an outage of the key-value service.
 //!
 //! [`RemovalGrace`] filters changes of the host list before they are applied.
 
@@ -9,10 +9,10 @@
 use crate::time::Time;
 use crate::upstream::{Upstream, UpstreamChanges, UpstreamList, UpstreamStatus};
 
-/// Availability of the source of the host list.
+/// Availability of the key-value service, where upstreams register themselves for the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Source {
-    /// Calls have succeeded since this time; `Time::START` if none has failed yet.
+enum StoreAvailability {
+    /// Calls have succeeded since this time; [`Time::START`] if none has failed yet.
     Available { since: Time },
     /// The last call failed.
     Unavailable,
@@ -21,31 +21,32 @@
 /// Upstreams that are missing from the host list but kept for a grace period.
 ///
 /// Upstreams register themselves on the list and can't renew their entries
-/// while the service that holds it is down, so the first list after an outage
-/// lacks live upstreams. Removing them at once would refuse every request for
-/// the second or two until they are registered again. An upstream that is still
-/// missing after the grace period is removed.
+/// while the key-value service is down, so the first list after an outage
+/// lacks upstreams that still run. Removing them at once would refuse every
+/// request for the second or two until they are registered again. The grace
+/// period starts when the service is available again; upstreams that are still
+/// missing when it ends are removed.
 #[derive(Debug)]
 pub(crate) struct RemovalGrace {
-    source: Source,
+    store: StoreAvailability,
     missing: OrderedSet<UpstreamId>,
 }
 
 impl RemovalGrace {
     /// Creates the state of a process that has not read the list yet.
     pub(crate) const fn new() -> Self {
-        Self { source: Source::Available { since: Time::START }, missing: OrderedSet::new() }
+        Self { store: StoreAvailability::Available { since: Time::START }, missing: OrderedSet::new() }
     }
 
-    /// Records a failed call to the source of the list.
-    pub(crate) fn record_failure(&mut self) {
-        self.source = Source::Unavailable;
+    /// Records a failed call to the key-value service.
+    pub(crate) fn record_store_failure(&mut self) {
+        self.store = StoreAvailability::Unavailable;
     }
 
-    /// Records a successful call to the source of the list.
-    pub(crate) fn record_success(&mut self, now: Time) {
-        if self.source == Source::Unavailable {
-            self.source = Source::Available { since: now };
+    /// Records a successful call to the key-value service.
+    pub(crate) fn record_store_success(&mut self, now: Time) {
+        if self.store == StoreAvailability::Unavailable {
+            self.store = StoreAvailability::Available { since: now };
         }
     }
 
@@ -63,7 +64,8 @@
         self.filter_changes(now, grace, UpstreamChanges { changed: list, gone }, current)
     }
 
-    /// Returns the changes to apply, holding back removals of live upstreams during the grace period.
+    /// Returns the changes to apply, holding back removals of upstreams that were last listed as live while
+    /// the grace period is active.
     pub(crate) fn filter_changes(
         &mut self,
         now: Time,
@@ -76,8 +78,8 @@
         }
         let is_grace_active = self.is_grace_active(now, grace);
         changes.gone.retain(|id| {
-            let is_live = current.get(id).is_some_and(|known| known.status == UpstreamStatus::Live);
-            let is_held_back = is_grace_active && is_live;
+            let was_listed_live = current.get(id).is_some_and(|known| known.status == UpstreamStatus::Live);
+            let is_held_back = is_grace_active && was_listed_live;
             if is_held_back {
                 self.missing.insert(id.clone());
             } else {
@@ -88,7 +90,7 @@
         changes
     }
 
-    /// Removes and returns the missing upstreams when the grace period has passed.
+    /// Returns and forgets the missing upstreams if the grace period isn't active any more.
     pub(crate) fn take_expired(&mut self, now: Time, grace: Duration) -> OrderedSet<UpstreamId> {
         if self.missing.is_empty() || self.is_grace_active(now, grace) {
             return OrderedSet::new();
@@ -96,10 +98,12 @@
         std::mem::take(&mut self.missing)
     }
 
+    /// Reports whether removals are held back: during an outage and for `grace` after it, but not if no call
+    /// has failed yet or `grace` is zero.
     fn is_grace_active(&self, now: Time, grace: Duration) -> bool {
-        match self.source {
-            Source::Unavailable => !grace.is_zero(),
-            Source::Available { since } => since != Time::START && !since.after(grace).is_due(now),
+        match self.store {
+            StoreAvailability::Unavailable => !grace.is_zero(),
+            StoreAvailability::Available { since } => since != Time::START && !since.after(grace).is_due(now),
         }
     }
 }
--- a/crates/skylarkshore-core/tests/fleet_size.rs
+++ b/crates/skylarkshore-core/tests/fleet_size.rs
@@ -1,4 +1,6 @@
 //! How the work of each process grows with the size of the fleet.
+//!
+//! [`News`] holds changes at the key-value service, which processes relay to one another along a tree.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/skylarkshore-core/tests/support/process.rs
+++ b/crates/skylarkshore-core/tests/support/process.rs
@@ -74,10 +74,12 @@
     pub document: Arc<Document>,
     pub upstreams: UpstreamList,
     pub changes: Vec<OwnershipChange>,
+    /// Logged events with their subjects.
     pub notes: Vec<(&'static str, String)>,
     pub writes: WriteQueue,
     pub counters: Counters,
     pub rng: SmallRng,
+    /// Revision up to which the watch has delivered changes, if the process watches.
     pub watched: Option<StoreRevision>,
     /// The process is paused; messages to it are delayed.
     pub frozen: bool,
