--- a/crates/skylarkshore-wire/src/accounts.rs
+++ b/crates/skylarkshore-wire/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts, with the digests of their keys.
+//! Client accounts with the digests of their API keys; start with [`AccountWire`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 /// Why client accounts aren't valid.
 #[derive(Debug, Display, Error, From, PartialEq, Eq)]
 pub enum InvalidAccount {
-    /// A key's digest is none.
+    /// An API key's digest can't be parsed.
     #[display("the key of a client account: {_0}")]
     Key(InvalidDigest),
-    /// Two accounts share something.
+    /// Two accounts conflict with each other.
     #[display("{_0}")]
     Ambiguous(AmbiguousAccount),
 }
@@ -23,27 +23,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountWire {
-    /// The SHA-256 digests of its keys, in hexadecimal.
+    /// SHA-256 digests of its API keys, in hexadecimal.
     #[serde(default)]
     pub key_digests: BTreeSet<String>,
-    /// How urgent its requests are, before their routes.
+    /// Priority of its requests, compared before the priority of the route.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
-    /// What a request counts that tells no tokens; absent where each request counts as one.
+    /// Cost of a request that states no token count; if absent, each request counts as one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plain_tokens: Option<u64>,
-    /// How much it may use.
+    /// Usage limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<AccountLimitWire>,
 }
 
-/// How much a client account may use, in tokens or requests.
+/// Usage limit of a client account, in tokens or requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountLimitWire {
-    /// How much comes in a thousand seconds.
+    /// Credit added in a thousand seconds.
     pub per_kilosecond: u64,
-    /// How much can be saved up.
+    /// Maximum credit that can accumulate.
     pub burst: u64,
 }
 
--- a/crates/skylarkshore-wire/src/caller.rs
+++ b/crates/skylarkshore-wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send and get: headers, refusals, lists of models and of entry hosts.
+//! Formats used with callers: headers, refusals, and the lists of models and entry hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 use skylarkshore_core::effect::{Refusal, RefusalOutcome, RefusalReason};
 use skylarkshore_core::id::DataCentre;
 
-/// How long the caller waits at most, in milliseconds.
+/// Maximum time that the caller waits, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
-/// Who the caller is.
+/// Identifies the caller.
 pub const CALLER_HEADER: &str = "x-caller";
-/// Names the client account to the upstream.
+/// Passes the client account to the upstream.
 pub const ACCOUNT_HEADER: &str = "x-client-account";
-/// The caller's name for the request; echoed on every answer.
+/// Request id chosen by the caller; echoed on every answer.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Names a request that may not be repeated.
+/// Identifies a request that must run at most once.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// The time-out of a request that names none.
+/// Timeout of a request that doesn't specify one.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
-/// The longest time-out that is accepted.
+/// Maximum timeout of a request.
 pub const MAX_TIMEOUT: Duration = Duration::from_hours(1);
-/// The longest request id and idempotency key, in bytes.
+/// Maximum length of a request id or an idempotency key, in bytes.
 pub const MAX_TOKEN_LEN: usize = 256;
 
-/// The last event of a stream that is whole.
+/// Data of the last event of a complete stream.
 pub const DONE_DATA: &str = "[DONE]";
 
 /// Whether a refused request was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeWire {
-    /// It was not run, and won't be.
+    /// It was not run and will not be.
     NotRun,
     /// It may have been run.
     Unknown,
-    /// It was run, and failed.
+    /// It was run and failed.
     Failed,
 }
 
@@ -45,54 +45,54 @@
 pub struct RefusalBody {
     /// Whether the request was run.
     pub outcome: OutcomeWire,
-    /// A short fixed word for the reason.
+    /// Stable code of the reason.
     pub reason: String,
-    /// The reason and the remedy in a sentence.
+    /// The reason and the remedy in one sentence.
     pub message: String,
-    /// When to ask again, in milliseconds.
+    /// Delay before the next attempt, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of the answer to a request that is wrong in itself.
+/// The body of the answer to an invalid request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// Always `not_run`.
     pub outcome: OutcomeWire,
-    /// A short fixed word for the reason.
+    /// Stable code of the reason.
     pub reason: String,
-    /// What is wrong, and the remedy.
+    /// The problem and its remedy.
     pub error: ErrorText,
 }
 
-/// What is wrong with a request, and the remedy.
+/// The problem of an invalid request and its remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorText {
-    /// What is wrong.
+    /// The problem.
     pub message: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
-/// One entry host.
+/// An entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHost {
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
 }
 
-/// The answer to the question which hosts to use.
+/// The answer that lists the entry hosts to use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAnswer {
-    /// The hosts, the first one to be used first.
+    /// The hosts in order of preference.
     pub hosts: Vec<EntryHost>,
-    /// How long the answer may be kept, in seconds.
+    /// Maximum time to cache the answer, in seconds.
     pub max_age_s: u64,
 }
 
-/// The answer to the question which models there are.
+/// The answer that lists the available models.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelsAnswer {
     /// Always `list`.
@@ -104,11 +104,11 @@
 /// A model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
-    /// The name by which requests ask for it.
+    /// Name to use in requests.
     pub id: String,
     /// Always `model`.
     pub object: String,
-    /// The base model, where this is an adapter.
+    /// The base model, if this is an adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
 }
@@ -127,15 +127,15 @@
     fn from(refusal: &Refusal) -> Self {
         Self {
             outcome: refusal.outcome.into(),
-            reason: reason_word(&refusal.reason).to_owned(),
+            reason: reason_code(&refusal.reason).to_owned(),
             message: refusal.reason.to_string(),
             retry_after_ms: refusal.retry_after.map(|d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX)),
         }
     }
 }
 
-/// Returns the short fixed word for a reason; programs may rely on it.
-pub const fn reason_word(reason: &RefusalReason) -> &'static str {
+/// Returns the stable code of a reason; clients may rely on it.
+pub const fn reason_code(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Rule(_) => "rule",
         RefusalReason::ColdStartTooLong => "cold_start_too_long",
--- a/crates/skylarkshore-wire/src/catalogue.rs
+++ b/crates/skylarkshore-wire/src/catalogue.rs
@@ -1,4 +1,6 @@
-//! A catalogue that is configured apart from the rules, as processes pass it on to one another.
+//! A catalogue that is configured separately from the rules and shared between processes.
+//!
+//! Start with [`CatalogueWire`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,20 +16,20 @@
 use crate::document::{ModelWire, ServiceWire};
 use crate::peer::millis;
 
-/// A catalogue.
+/// A catalogue with its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueWire {
-    /// Counts the accepted changes.
+    /// Number of accepted changes.
     pub revision: CatalogueRevision,
     /// The base models.
     pub models: BTreeMap<ModelName, ModelWire>,
-    /// The plain services.
+    /// Services other than models.
     pub services: BTreeMap<ServiceName, ServiceWire>,
-    /// How requests are told apart.
+    /// Routes by which requests are classified.
     pub routes: Vec<RouteWire>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub caller_limits: Option<CallerLimitsWire>,
-    /// How many loads from the weight store may begin in a thousand seconds.
+    /// Maximum number of loads from the weight store that may start in a thousand seconds.
     pub load_rate: Option<LoadRate>,
     /// The client accounts.
     #[serde(default)]
@@ -37,32 +39,32 @@
 /// A route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteWire {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// The host name that requests name.
+    /// Host name that a request must carry.
     pub host: String,
-    /// What the path begins with.
+    /// Path prefix.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether a request may run more than once.
     pub kind: RouteKindWire,
-    /// How long a request may be kept.
+    /// Maximum duration of a request.
     pub timeout_ms: u64,
-    /// Within which time an answer has its full value.
+    /// Latency up to which an answer has its full value.
     pub target_latency_ms: u64,
-    /// The longest pause between two events of an answer that has its full value.
+    /// Longest gap between two events of an answer up to which it has its full value.
     pub target_gap_ms: Option<u64>,
-    /// How urgent it is.
+    /// Priority of requests on this route.
     pub priority: u8,
-    /// On how many upstreams a request may run.
+    /// Maximum number of upstreams on which a request may run.
     pub tries: u32,
-    /// Where it goes, with weights.
+    /// Destination services with their weights.
     pub destinations: Vec<(ServiceName, u32)>,
-    /// Whether it needs no client account.
+    /// Whether the route is open to callers without a client account.
     #[serde(default)]
     pub is_public: bool,
 }
 
-/// What may be done with a request whose outcome isn't known.
+/// How a request whose outcome is unknown may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKindWire {
@@ -76,16 +78,16 @@
     ResumableStream,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimitsWire {
-    /// The largest head in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_len: usize,
-    /// The largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_len: usize,
-    /// How long a head may take.
+    /// Maximum time to receive a request head.
     pub head_timeout_ms: u64,
-    /// How long a connection may stay idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/skylarkshore-wire/src/document.rs
+++ b/crates/skylarkshore-wire/src/document.rs
@@ -1,4 +1,6 @@
 //! The operators' document: models, services, power caps and rules, as JSON with comments.
+//!
+//! Start with [`DocumentWire`].
 
 mod check;
 
@@ -24,30 +26,31 @@
 
 pub use check::{Finding, Severity, check};
 
-/// The largest document in bytes; the key-value service takes a mebibyte, keys and bookkeeping included.
+/// Maximum size of a document in bytes; the key-value service limits a write to a mebibyte, including keys
+/// and metadata.
 pub const MAX_DOCUMENT_LEN: usize = 1_000_000;
 
-/// The operators' document as it is written.
+/// The operators' document in its JSON form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DocumentWire {
-    /// Counts the accepted changes; the one that was edited.
+    /// Number of accepted changes; in a file, the revision that the file was edited from.
     #[serde(default)]
     pub revision: u64,
-    /// Watts for each site.
+    /// Power cap of each site in watts.
     pub power_caps: BTreeMap<SiteName, u64>,
     /// The base models.
     pub models: BTreeMap<ModelName, ModelWire>,
-    /// The plain services.
+    /// Services other than models.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, ServiceWire>,
-    /// The client accounts; where there are none, callers need no key.
+    /// Client accounts; if there are none, callers need no API key.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub accounts: BTreeMap<AccountName, AccountWire>,
-    /// The rules, the first one first.
+    /// The rules in order of precedence.
     #[serde(default)]
     pub rules: Vec<RuleWire>,
-    /// What holds where no rule matches.
+    /// The outcome if no rule matches.
     #[serde(default)]
     pub otherwise: OutcomeWire,
 }
@@ -56,26 +59,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelWire {
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: ModelVersion,
-    /// The memory of the weights.
+    /// Memory for the weights in MiB.
     pub weights_mib: u64,
-    /// The memory reserved for the KV cache.
+    /// Memory reserved for the KV cache in MiB.
     pub kv_cache_mib: u64,
-    /// How long a load usually takes.
+    /// Typical duration of a load.
     pub load_time_ms: u64,
-    /// How long loads from copies take, where engines keep copies.
+    /// Typical duration of a load from a local copy of the weights, if engines keep copies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub copy_load_times_ms: Option<CopyLoadTimesWire>,
-    /// The pool of engines that may hold it.
+    /// Pool of engines that may load the model; any engine if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<ServiceName>,
-    /// The adapters with the memory each takes, in MiB.
+    /// Adapters with their memory in MiB.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub adapters: BTreeMap<AdapterName, u64>,
 }
 
-/// How long loads from copies take, in milliseconds.
+/// Duration of loads from a local copy of the weights, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CopyLoadTimesWire {
@@ -100,24 +103,24 @@
     }
 }
 
-/// A plain service.
+/// A service other than a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceWire {
-    /// Path prefixes whose calls may not be repeated.
+    /// Path prefixes of calls that must run at most once.
     #[serde(default)]
     pub once_paths: Vec<String>,
-    /// How many requests one replica handles at a time.
+    /// Number of requests that one replica handles concurrently.
     pub concurrency: u32,
 }
 
-/// Rules without anything else.
+/// The rules on their own, without models, services or accounts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RulesWire {
-    /// The rules, the first one first.
+    /// The rules in order of precedence.
     pub rules: Vec<RuleWire>,
-    /// What holds where no rule matches.
+    /// The outcome if no rule matches.
     pub otherwise: OutcomeWire,
 }
 
@@ -134,16 +137,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleWire {
-    /// The operators' name for it.
+    /// Name given by the operators.
     pub name: String,
-    /// When it matches.
+    /// Condition under which the rule matches.
     #[serde(default)]
     pub when: ConditionWire,
-    /// What it decides.
+    /// Outcome if the rule matches.
     pub then: OutcomeWire,
 }
 
-/// What must hold; an absent part always holds.
+/// The condition of a rule; an absent field always matches.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConditionWire {
@@ -159,7 +162,7 @@
     /// The service is one of these.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<ServiceName>>,
-    /// The deciding process runs in one of these data centres.
+    /// The process that evaluates the rule runs in one of these data centres.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_centres: Option<Vec<DataCentre>>,
     /// The time of day in UTC.
@@ -174,44 +177,44 @@
     /// No request for at least this many seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_for_s: Option<u64>,
-    /// At least this many requests wait.
+    /// At least this many requests are queued.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub queue_at_least: Option<u32>,
 }
 
-/// A span of the day.
+/// A daily time interval.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HoursWire {
-    /// The first minute that belongs to it, such as `07:30`.
+    /// Start of the interval, inclusive, such as `07:30`.
     pub from: String,
-    /// The first minute that no longer belongs to it.
+    /// End of the interval, exclusive.
     pub to: String,
 }
 
-/// What a rule decides; an absent part has its default value.
+/// The outcome of a rule; an absent field has its default value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OutcomeWire {
-    /// Replicas that are kept loaded.
+    /// Minimum number of replicas to keep loaded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub replicas_min: Option<u32>,
-    /// Replicas at most.
+    /// Maximum number of replicas.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub replicas_max: Option<u32>,
     /// When an unused replica is unloaded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_after: Option<IdleAfterWire>,
-    /// Whom to serve first; lower numbers come first.
+    /// Service order; lower values are served first.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub order: Option<u16>,
-    /// The reason with which requests are refused.
+    /// Refuses requests with this reason.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<String>,
-    /// The weight of a second of cold start.
+    /// Weight of one second of cold start in the cost.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cold_start_weight: Option<u32>,
-    /// The weight of a second of an idle accelerator.
+    /// Weight of one second of an idle accelerator in the cost.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_weight: Option<u32>,
 }
@@ -220,21 +223,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IdleAfterWire {
-    /// When waiting longer costs more than it is expected to save.
+    /// When keeping it loaded costs more than it is expected to save.
     Adaptive,
     /// Never.
     Never,
-    /// After this many seconds.
+    /// After this many idle seconds.
     Seconds(u64),
 }
 
-/// Why a part of the document isn't valid.
+/// Why the condition of a rule isn't valid.
 #[derive(Debug, Display, Error, From)]
-pub enum InvalidPart {
-    /// A time of day is wrong.
+pub enum InvalidCondition {
+    /// Invalid time of day.
     #[display("{_0}")]
     Time(InvalidMinuteOfDay),
-    /// A percentage is wrong.
+    /// Invalid percentage.
     #[display("{_0}")]
     Percent(InvalidPercent),
 }
@@ -242,38 +245,40 @@
 /// Why a document isn't valid.
 #[derive(Debug, Display, Error)]
 pub enum InvalidDocument {
-    /// It is no JSON with comments.
-    #[display("the document is not JSON with comments: {_0}; mend the place named")]
+    /// The text isn't JSON with comments.
+    #[display("the document is not JSON with comments: {_0}; correct the text at that position")]
     Syntax(#[error(not(source))] Box<ParseError>),
-    /// It has a wrong shape.
-    #[display("the document has a wrong shape: {_0}; see the page OPERATIONS for the keys and their values")]
+    /// A key or value doesn't fit the schema.
+    #[display(
+        "the document does not match the schema: {_0}; see the page OPERATIONS for the keys and their values"
+    )]
     Shape(serde_json::Error),
-    /// It is too large for the key-value service.
+    /// The text exceeds [`MAX_DOCUMENT_LEN`].
     #[display("the document has {len} bytes; shorten it to at most {MAX_DOCUMENT_LEN}")]
     TooLarge {
-        /// Its size.
+        /// Size in bytes.
         len: usize,
     },
-    /// A client account is wrong.
+    /// Invalid client account.
     #[display("{_0}")]
     Account(InvalidAccount),
-    /// A rule has a wrong value.
+    /// A rule has an invalid value.
     #[display("rule '{rule}': {reason}")]
     Rule {
-        /// The rule's name.
+        /// Name of the rule.
         rule: String,
-        /// What is wrong with it.
-        reason: InvalidPart,
+        /// The invalid value.
+        reason: InvalidCondition,
     },
 }
 
 impl DocumentWire {
-    /// Reads JSON with comments.
+    /// Parses JSON with comments.
     ///
     /// # Errors
     ///
-    /// The text is too large, isn't JSON with comments, or lacks or has keys
-    /// that the format doesn't.
+    /// The text is too large, isn't JSON with comments, or has missing or
+    /// unknown keys.
     pub fn parse(text: &str) -> Result<Self, InvalidDocument> {
         if text.len() > MAX_DOCUMENT_LEN {
             return Err(InvalidDocument::TooLarge { len: text.len() });
@@ -286,22 +291,22 @@
         Self::deserialize(value).map_err(InvalidDocument::Shape)
     }
 
-    /// Writes plain JSON.
+    /// Serializes the document as compact JSON.
     ///
     /// # Panics
     ///
-    /// Never, as names and numbers can always be written.
+    /// Never: names and numbers always serialize.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("names and numbers can always be written as JSON")
+        serde_json::to_string(self).expect("names and numbers always serialize as JSON")
     }
 
-    /// Writes JSON on many lines, to be read and edited.
+    /// Serializes the document as indented JSON for reading and editing.
     ///
     /// # Panics
     ///
-    /// Never, as names and numbers can always be written.
+    /// Never: names and numbers always serialize.
     pub fn to_pretty_json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("names and numbers can always be written as JSON")
+        serde_json::to_string_pretty(self).expect("names and numbers always serialize as JSON")
     }
 }
 
@@ -397,24 +402,24 @@
     }
 }
 
-fn set<T: Ord>(list: Option<Vec<T>>) -> Option<OrderedSet<T>> {
+fn to_set<T: Ord>(list: Option<Vec<T>>) -> Option<OrderedSet<T>> {
     list.map(|list| list.into_iter().collect())
 }
 
-fn list<T: Clone>(set: Option<&OrderedSet<T>>) -> Option<Vec<T>> {
+fn to_list<T: Clone>(set: Option<&OrderedSet<T>>) -> Option<Vec<T>> {
     set.map(|set| set.iter().cloned().collect())
 }
 
 impl TryFrom<ConditionWire> for Condition {
-    type Error = InvalidPart;
+    type Error = InvalidCondition;
 
     fn try_from(wire: ConditionWire) -> Result<Self, Self::Error> {
         Ok(Self {
-            models: set(wire.models),
-            adapters: set(wire.adapters),
-            callers: set(wire.callers),
-            services: set(wire.services),
-            data_centres: set(wire.data_centres),
+            models: to_set(wire.models),
+            adapters: to_set(wire.adapters),
+            callers: to_set(wire.callers),
+            services: to_set(wire.services),
+            data_centres: to_set(wire.data_centres),
             hours: wire.hours.map(Hours::try_from).transpose()?,
             power_pressure: wire.power_pressure.map(TryInto::try_into).transpose()?,
             memory_pressure: wire.memory_pressure.map(TryInto::try_into).transpose()?,
@@ -427,11 +432,11 @@
 impl From<&Condition> for ConditionWire {
     fn from(condition: &Condition) -> Self {
         Self {
-            models: list(condition.models.as_ref()),
-            adapters: list(condition.adapters.as_ref()),
-            callers: list(condition.callers.as_ref()),
-            services: list(condition.services.as_ref()),
-            data_centres: list(condition.data_centres.as_ref()),
+            models: to_list(condition.models.as_ref()),
+            adapters: to_list(condition.adapters.as_ref()),
+            callers: to_list(condition.callers.as_ref()),
+            services: to_list(condition.services.as_ref()),
+            data_centres: to_list(condition.data_centres.as_ref()),
             hours: condition.hours.map(HoursWire::from),
             power_pressure: condition.power_pressure.map(|p| p.get().into()),
             memory_pressure: condition.memory_pressure.map(|p| p.get().into()),
--- a/crates/skylarkshore-wire/src/document/check.rs
+++ b/crates/skylarkshore-wire/src/document/check.rs
@@ -1,49 +1,49 @@
-//! What an operator ought to know of a document before it is applied.
+//! Checks a document before it is applied; start with [`check`].
 
 use derive_more::Display;
 use skylarkshore_core::catalogue::{Catalogue, Document};
 use skylarkshore_core::id::{AdapterName, ModelName};
 use skylarkshore_core::rules::Rule;
 
-/// Whether a finding stands in the way.
+/// Whether a finding prevents the document from being applied.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Severity {
     /// The document can't be applied.
     #[display("error")]
     Error,
-    /// It can be applied, but hardly means what was intended.
+    /// The document can be applied, but probably doesn't do what was intended.
     #[display("warning")]
     Warning,
 }
 
-/// Something wrong with a document.
+/// A problem in a document.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-#[display("{severity}: {place}: {problem}; {remedy}")]
+#[display("{severity}: {location}: {problem}; {remedy}")]
 pub struct Finding {
-    /// Whether it stands in the way.
+    /// Whether it prevents the document from being applied.
     pub severity: Severity,
-    /// Where it is.
-    pub place: String,
-    /// What is wrong.
+    /// Path of the value, or the rule's name.
+    pub location: String,
+    /// Description of the problem.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: &'static str,
 }
 
 impl Finding {
-    fn error(place: &str, problem: String, remedy: &'static str) -> Self {
-        Self { severity: Severity::Error, place: place.to_owned(), problem, remedy }
+    fn error(location: &str, problem: String, remedy: &'static str) -> Self {
+        Self { severity: Severity::Error, location: location.to_owned(), problem, remedy }
     }
 
-    fn warning(place: &str, problem: String, remedy: &'static str) -> Self {
-        Self { severity: Severity::Warning, place: place.to_owned(), problem, remedy }
+    fn warning(location: &str, problem: String, remedy: &'static str) -> Self {
+        Self { severity: Severity::Warning, location: location.to_owned(), problem, remedy }
     }
 }
 
-/// Finds everything that is wrong with a document.
+/// Returns all problems of a document.
 pub fn check(document: &Document) -> Vec<Finding> {
     let mut findings = Vec::new();
-    check_names(&document.catalogue, &mut findings);
+    check_adapter_names(&document.catalogue, &mut findings);
     if document.power_caps.is_empty() {
         let problem = "no site has a power cap".to_owned();
         findings.push(Finding::error("power_caps", problem, "name each site with its watts"));
@@ -51,43 +51,47 @@
     for (i, rule) in document.rules.list.iter().enumerate() {
         check_rule(&document.catalogue, rule, &mut findings);
         check_power_pressure(rule, &mut findings);
-        check_reach(&document.rules.list[..i], rule, &mut findings);
+        check_reachability(&document.rules.list[..i], rule, &mut findings);
     }
     findings
 }
 
-fn check_names(catalogue: &Catalogue, findings: &mut Vec<Finding>) {
-    let bases: Vec<(&ModelName, &AdapterName)> = catalogue
+fn check_adapter_names(catalogue: &Catalogue, findings: &mut Vec<Finding>) {
+    let adapters: Vec<(&ModelName, &AdapterName)> = catalogue
         .models
         .iter()
         .flat_map(|(model, spec)| spec.adapters.keys().map(move |adapter| (model, adapter)))
         .collect();
-    for (i, (model, adapter)) in bases.iter().enumerate() {
-        let place = format!("models.{model}.adapters.{adapter}");
+    for (i, (model, adapter)) in adapters.iter().enumerate() {
+        let location = format!("models.{model}.adapters.{adapter}");
         if catalogue.models.keys().any(|name| name.as_str() == adapter.as_str()) {
             let problem = "a model has the same name".to_owned();
-            findings.push(Finding::error(&place, problem, "choose another name for the adapter"));
+            findings.push(Finding::error(&location, problem, "choose another name for the adapter"));
         }
-        if let Some((other, _)) = bases[..i].iter().find(|(_, earlier)| earlier == adapter) {
+        if let Some((other, _)) = adapters[..i].iter().find(|(_, earlier)| earlier == adapter) {
             let problem = format!("the model {other} has an adapter of the same name");
-            findings.push(Finding::error(&place, problem, "choose another name for one of them"));
+            findings.push(Finding::error(&location, problem, "choose another name for one of them"));
         }
     }
 }
 
 fn check_rule(catalogue: &Catalogue, rule: &Rule, findings: &mut Vec<Finding>) {
-    let place = format!("rule '{}'", rule.name);
+    let location = format!("rule '{}'", rule.name);
     for model in rule.when.models.iter().flatten() {
         if !catalogue.models.contains_key(model) {
             let problem = format!("there is no model '{model}'");
-            findings.push(Finding::error(&place, problem, "correct the name or add the model under models"));
+            findings.push(Finding::error(
+                &location,
+                problem,
+                "correct the name or add the model under models",
+            ));
         }
     }
     for adapter in rule.when.adapters.iter().flatten() {
         if !catalogue.models.values().any(|model| model.adapters.contains_key(adapter)) {
             let problem = format!("there is no adapter '{adapter}'");
             findings.push(Finding::error(
-                &place,
+                &location,
                 problem,
                 "correct the name or add the adapter to its model",
             ));
@@ -97,7 +101,7 @@
         if !catalogue.services.contains_key(service) {
             let problem = format!("there is no service '{service}'");
             findings.push(Finding::error(
-                &place,
+                &location,
                 problem,
                 "correct the name or add the service under services",
             ));
@@ -108,32 +112,32 @@
             "replicas_min {} is above replicas_max {}",
             rule.then.replicas_min, rule.then.replicas_max
         );
-        findings.push(Finding::error(&place, problem, "raise replicas_max or lower replicas_min"));
+        findings.push(Finding::error(&location, problem, "raise replicas_max or lower replicas_min"));
     }
 }
 
-/// Tells of a condition that no process can answer yet.
+/// Warns about a condition that no process can evaluate yet.
 ///
-/// Grants are taken ahead of need, so the share that is granted says little of
-/// the power in use, and nothing tells every process what the others draw.
+/// Power is granted ahead of need, so the granted share doesn't show the power
+/// in use, and processes aren't informed of the power drawn elsewhere.
 fn check_power_pressure(rule: &Rule, findings: &mut Vec<Finding>) {
     if rule.when.power_pressure.is_none() {
         return;
     }
-    let place = format!("rule '{}'", rule.name);
+    let location = format!("rule '{}'", rule.name);
     let problem = "power_pressure isn't measured yet, so the rule never matches".to_owned();
-    findings.push(Finding::warning(&place, problem, "use queue_at_least, or order and refuse without it"));
+    findings.push(Finding::warning(&location, problem, "use queue_at_least, or order and refuse without it"));
 }
 
-fn check_reach(earlier: &[Rule], rule: &Rule, findings: &mut Vec<Finding>) {
-    let place = format!("rule '{}'", rule.name);
+fn check_reachability(earlier: &[Rule], rule: &Rule, findings: &mut Vec<Finding>) {
+    let location = format!("rule '{}'", rule.name);
     if rule.when.is_unsatisfiable() {
         let problem = "it can never match, since nothing fulfils all of its conditions".to_owned();
-        findings.push(Finding::warning(&place, problem, "remove a condition or the rule"));
+        findings.push(Finding::warning(&location, problem, "remove a condition or the rule"));
         return;
     }
     if let Some(other) = earlier.iter().find(|other| other.when.covers(&rule.when)) {
         let problem = format!("it can never match, since '{}' matches first wherever it would", other.name);
-        findings.push(Finding::warning(&place, problem, "move it up or remove it"));
+        findings.push(Finding::warning(&location, problem, "move it up or remove it"));
     }
 }
--- a/crates/skylarkshore-wire/src/engine.rs
+++ b/crates/skylarkshore-wire/src/engine.rs
@@ -1,4 +1,4 @@
-//! What is said to a model engine, and what it answers.
+//! The HTTP interface of a model engine: [`OrderRequest`], [`Report`] and [`CacheEvents`].
 
 use std::time::Duration;
 
@@ -11,59 +11,59 @@
     EngineReport, LoadState, Order, OrderAnswer, ReportedAdapter, ReportedModel, WeightCopies,
 };
 
-/// Where orders are posted.
+/// Path to which orders are posted.
 pub const ORDERS_PATH: &str = "/admin/orders";
-/// Where an engine tells how it stands.
+/// Path of the engine's status report.
 pub const REPORT_PATH: &str = "/admin/report";
-/// Where an engine tells what its prefix cache has stored and removed.
+/// Path of the changes of the engine's prefix cache.
 pub const CACHE_EVENTS_PATH: &str = "/admin/cache-events";
-/// Names a request; an engine echoes it, so that a crossed answer is noticed.
+/// Request id; the engine echoes it so that an answer to another request is detected.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// The order of service; lower numbers come first.
+/// Service order; lower values are served first.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// How many milliseconds are left for the whole answer.
+/// Milliseconds left for the whole answer.
 pub const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
-/// How many data events of a stream the caller has already; the engine goes on after them.
+/// Number of data events of a stream that the caller already has; the engine resumes after them.
 pub const RESUME_HEADER: &str = "x-resume-offset";
-/// What the last data event of a whole stream holds.
+/// Data of the last event of a complete stream.
 pub const STREAM_END: &str = "[DONE]";
 
 /// The body of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The order's number, unique under its fence; the same one again changes nothing.
+    /// Order number, unique within its fence; repeating an order has no effect.
     pub order: OrderId,
-    /// The fencing number of the engine's owner.
+    /// Fencing token of the engine's owner.
     pub fence: Fence,
-    /// What to do.
+    /// The requested action.
     pub action: OrderAction,
 }
 
-/// What an engine is told to do.
+/// An action requested of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Take note of the fence and change nothing.
+    /// Record the fence without any other change.
     RaiseFence,
     /// Load a base model.
     Load {
         /// The model.
         model: ModelName,
-        /// Which weights.
+        /// Version of the weights.
         version: ModelVersion,
-        /// The memory for weights and KV cache.
+        /// Memory for weights and KV cache.
         memory_mib: Mebibytes,
     },
-    /// Load an adapter on a loaded base model.
+    /// Load an adapter for a loaded base model.
     LoadAdapter {
         /// The base model.
         model: ModelName,
         /// The adapter.
         adapter: AdapterName,
-        /// The memory it takes.
+        /// Memory in use.
         memory_mib: Mebibytes,
     },
-    /// Unload a model with its adapters.
+    /// Unload a model and its adapters.
     Unload {
         /// The model.
         model: ModelName,
@@ -75,23 +75,23 @@
         /// The adapter.
         adapter: AdapterName,
     },
-    /// Change what the engine is used for.
+    /// Change the engine's role.
     SetRole {
         /// The new role.
         role: EngineRole,
     },
 }
 
-/// What an engine is used for.
+/// The role of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// It reads prompts and generates.
+    /// Processes prompts and generates tokens.
     #[default]
     Mixed,
-    /// It reads prompts and exports the KV cache.
+    /// Processes prompts and exports the KV cache.
     Prefill,
-    /// It imports KV cache and generates.
+    /// Imports the KV cache and generates tokens.
     Decode,
 }
 
@@ -109,13 +109,13 @@
     }
 }
 
-/// An action that the core has no order for.
+/// The action has no equivalent order in the core.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("this order only changes the engine's role; send it to the engine directly")]
-pub struct RoleOrder;
+pub struct UnsupportedAction;
 
 impl TryFrom<OrderAction> for Order {
-    type Error = RoleOrder;
+    type Error = UnsupportedAction;
 
     fn try_from(action: OrderAction) -> Result<Self, Self::Error> {
         Ok(match action {
@@ -128,28 +128,28 @@
             }
             OrderAction::Unload { model } => Self::Unload { model },
             OrderAction::UnloadAdapter { model, adapter } => Self::UnloadAdapter { model, adapter },
-            OrderAction::SetRole { .. } => return Err(RoleOrder),
+            OrderAction::SetRole { .. } => return Err(UnsupportedAction),
         })
     }
 }
 
-/// The body of an order's answer.
+/// The body of the answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderReply {
-    /// The engine carries it out; always `true`.
+    /// The engine executes the order; always `true`.
     Accepted(bool),
-    /// The engine has seen a higher fence and did nothing.
+    /// The engine has seen a higher fence and ignored the order.
     FenceTooLow {
-        /// The fence it has seen.
+        /// Highest fence seen by the engine.
         seen: Fence,
     },
-    /// The engine did nothing, for this reason.
+    /// The engine refused the order for this reason.
     Refused(String),
 }
 
 impl OrderReply {
-    /// Returns the HTTP status that goes with the body.
+    /// Returns the HTTP status of the answer.
     pub const fn status(&self) -> u16 {
         match self {
             Self::Accepted(_) => 200,
@@ -170,75 +170,75 @@
     }
 }
 
-/// How an engine stands.
+/// Status report of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Which life of the engine answers; a restart has a higher number.
+    /// Incarnation of the engine; each restart increases it.
     pub incarnation: Incarnation,
-    /// The highest fence it has seen; 0 when it keeps none.
+    /// Highest fence seen; 0 if the engine doesn't track fences.
     #[serde(default)]
     pub fence: Fence,
-    /// The accelerator memory in all.
+    /// Total accelerator memory.
     pub memory_mib: Mebibytes,
-    /// The power it draws now.
+    /// Current power draw.
     #[serde(default)]
     pub watts: Watts,
-    /// What it holds.
+    /// Models in its memory.
     pub models: Vec<ModelReport>,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait inside the engine.
+    /// Number of requests queued in the engine.
     pub waiting: u32,
-    /// Whether it is about to go.
+    /// Whether the engine is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// How old the load figures may be, in milliseconds.
+    /// Maximum age of the load figures, in milliseconds.
     #[serde(default)]
     pub lag_ms: u64,
-    /// The orders under the highest fence that it has settled lately, newest last.
+    /// Recently finished orders under the highest fence, newest last.
     #[serde(default)]
     pub settled: Vec<OrderId>,
 }
 
-/// A model as its engine reports it.
+/// A model in an engine's report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelReport {
     /// The model.
     pub model: ModelName,
-    /// Which weights.
+    /// Version of the weights.
     pub version: ModelVersion,
-    /// Where it stands.
+    /// Load state of the model.
     pub state: ModelState,
-    /// The memory it takes, adapters not counted.
+    /// Memory in use, excluding adapters.
     pub memory_mib: Mebibytes,
-    /// Requests in progress, running and waiting.
+    /// Number of requests in progress, running or queued.
     #[serde(default)]
     pub running: u32,
-    /// Its adapters.
+    /// Loaded adapters.
     #[serde(default)]
     pub adapters: Vec<AdapterReport>,
 }
 
-/// Where a model stands on an engine.
+/// Load state of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
-    /// Its weights are on their way.
+    /// The model is being loaded.
     Loading,
-    /// It answers requests.
+    /// The model serves requests.
     Ready,
-    /// It is on its way out, its memory still taken.
+    /// The model is being unloaded; its memory is still in use.
     Unloading,
 }
 
-/// An adapter as its engine reports it.
+/// An adapter in an engine's report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterReport {
     /// The adapter.
     pub adapter: AdapterName,
-    /// The memory it takes.
+    /// Memory in use.
     pub memory_mib: Mebibytes,
-    /// Whether it answers requests yet.
+    /// Whether the adapter serves requests.
     pub ready: bool,
 }
 
@@ -293,58 +293,58 @@
 /// Changes of an engine's prefix cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Which life of the engine answers; another one began with an empty cache.
+    /// Incarnation of the engine; each one starts with an empty cache.
     pub incarnation: Incarnation,
-    /// The changes after the number that was asked for; a missing number was lost.
+    /// Changes after the requested number; a gap in the numbers means lost changes.
     pub events: Vec<CacheEvent>,
-    /// The number to ask from next time.
+    /// Number to pass with the next query.
     pub newest: u64,
 }
 
 /// One change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one with each change.
+    /// Sequence number; each change increases it by one.
     pub number: u64,
     /// The model.
     pub model: ModelName,
-    /// The SHA-256 of the prompt's first 1024 bytes, or of all when it is shorter.
+    /// SHA-256 of the prompt's first 1024 bytes, or of the whole prompt if it is shorter.
     pub prefix: Digest,
-    /// What happened.
+    /// Kind of the change.
     pub change: CacheChange,
 }
 
-/// What happened to a prefix.
+/// Kind of a change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It is in the cache now.
+    /// The prefix was added to the cache.
     Stored,
-    /// It is in the cache no more.
+    /// The prefix was removed from the cache.
     Removed,
 }
 
-/// The body of an answer that says that nothing was run.
+/// The body of the answer to a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotRun {
-    /// Why.
+    /// The reason.
     pub error: NotRunReason,
 }
 
-/// Why an upstream ran nothing.
+/// Why an upstream didn't run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// The model or adapter isn't loaded there.
+    /// The model or adapter isn't loaded on the upstream.
     NotLoaded,
-    /// It is about to go.
+    /// The upstream is shutting down.
     Leaving,
-    /// It has too much to do.
+    /// The upstream is overloaded.
     Busy,
 }
 
 impl NotRunReason {
-    /// Returns the HTTP status that goes with the body.
+    /// Returns the HTTP status of the answer.
     pub const fn status(self) -> u16 {
         match self {
             Self::NotLoaded | Self::Leaving => 409,
--- a/crates/skylarkshore-wire/src/etcd.rs
+++ b/crates/skylarkshore-wire/src/etcd.rs
@@ -1,7 +1,7 @@
-//! The bodies of the etcd v3 JSON gateway, as far as they are used.
+//! The subset of the etcd v3 JSON gateway that the system uses.
 //!
-//! Keys and values are base64, 64-bit numbers are decimal text, and fields
-//! that are zero or empty are left out.
+//! Keys and values are base64, 64-bit numbers are decimal strings, and fields
+//! that are zero or empty are omitted. Start with [`TxnRequest`] and [`RangeRequest`].
 
 mod lease;
 mod watch;
@@ -14,25 +14,25 @@
 pub use lease::{LeaseGrantRequest, LeaseRequest, LeaseResponse};
 pub use watch::{Streamed, WatchCreateRequest, WatchEvent, WatchEventKind, WatchRequest, WatchResponse};
 
-/// Where keys are read.
+/// Path for reading keys.
 pub const RANGE_PATH: &str = "/v3/kv/range";
-/// Where keys are compared and written.
+/// Path for transactions.
 pub const TXN_PATH: &str = "/v3/kv/txn";
-/// Where a lease is begun.
+/// Path for granting a lease.
 pub const LEASE_GRANT_PATH: &str = "/v3/lease/grant";
-/// Where a lease is renewed.
+/// Path for renewing a lease.
 pub const LEASE_KEEPALIVE_PATH: &str = "/v3/lease/keepalive";
-/// Where a lease is ended.
+/// Path for revoking a lease.
 pub const LEASE_REVOKE_PATH: &str = "/v3/lease/revoke";
-/// Where changes are watched.
+/// Path for watching changes.
 pub const WATCH_PATH: &str = "/v3/watch";
 
-/// A 64-bit number, written as decimal text.
+/// A 64-bit number, serialized as a decimal string.
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Int64(pub u64);
 
 impl Int64 {
-    /// Tells whether the number is zero, and so left out.
+    /// Reports whether the number is zero and therefore omitted.
     #[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes the field by reference")]
     const fn is_zero(&self) -> bool {
         self.0 == 0
@@ -49,31 +49,31 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Raw {
+        enum StringOrNumber {
             Text(String),
             Number(u64),
         }
-        match Raw::deserialize(deserializer)? {
-            Raw::Number(number) => Ok(Self(number)),
-            Raw::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
+        match StringOrNumber::deserialize(deserializer)? {
+            StringOrNumber::Number(number) => Ok(Self(number)),
+            StringOrNumber::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
         }
     }
 }
 
-/// Bytes, written as base64.
+/// Bytes, serialized as base64.
 #[derive(Clone, Debug, Default, From, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bytes64(pub Vec<u8>);
 
 impl Bytes64 {
-    /// Tells whether there are no bytes, which are left out.
+    /// Reports whether there are no bytes.
     pub const fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the end of the range of all keys that begin with these bytes.
+    /// Returns the exclusive end of the range of all keys with this prefix.
     ///
-    /// The empty prefix and one of nothing but the highest byte end at a single
-    /// zero byte, which stands for the end of all keys.
+    /// For an empty prefix or one of only `0xff` bytes this is a single zero
+    /// byte, which etcd treats as the end of the key space.
     #[must_use]
     pub fn prefix_end(&self) -> Self {
         let mut end = self.0.clone();
@@ -106,32 +106,32 @@
     }
 }
 
-/// What every answer begins with.
+/// The common header of all answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseHeader {
-    /// The service's revision when it answered.
+    /// Revision of the service at the time of the answer.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub revision: Int64,
 }
 
-/// A key with its value.
+/// A key with its value and metadata.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// The key.
     pub key: Bytes64,
-    /// The revision that created it.
+    /// Revision at which the key was created.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub create_revision: Int64,
-    /// The revision of its last change.
+    /// Revision of its last change.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub mod_revision: Int64,
-    /// How often it was written since it was created.
+    /// Number of writes since the key was created.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub version: Int64,
     /// The value.
     #[serde(default, skip_serializing_if = "Bytes64::is_empty")]
     pub value: Bytes64,
-    /// The lease with which it vanishes, or 0.
+    /// Lease that the key is attached to, or 0.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub lease: Int64,
 }
@@ -141,13 +141,13 @@
 pub struct RangeRequest {
     /// The first key.
     pub key: Bytes64,
-    /// The key after the last one; empty for the first key alone.
+    /// Exclusive end of the range; empty to select only the first key.
     #[serde(default, skip_serializing_if = "Bytes64::is_empty")]
     pub range_end: Bytes64,
-    /// The most keys to return; 0 for all.
+    /// Maximum number of keys to return; 0 for all.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub limit: Int64,
-    /// Whether a lagging member may answer from an old state.
+    /// Whether a member may answer from possibly stale data.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub serializable: bool,
 }
@@ -158,13 +158,13 @@
     /// The service's revision.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// The keys found, in their order.
+    /// The keys found, in key order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit left keys out.
+    /// Whether the limit cut off the result.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub more: bool,
-    /// How many keys lie in the range.
+    /// Number of keys in the range.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub count: Int64,
 }
@@ -177,7 +177,7 @@
     /// The value.
     #[serde(default, skip_serializing_if = "Bytes64::is_empty")]
     pub value: Bytes64,
-    /// The lease with which it vanishes, or 0.
+    /// Lease that the key is attached to, or 0.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub lease: Int64,
 }
@@ -187,7 +187,7 @@
 pub struct DeleteRangeRequest {
     /// The first key.
     pub key: Bytes64,
-    /// The key after the last one; empty for the first key alone.
+    /// Exclusive end of the range; empty to select only the first key.
     #[serde(default, skip_serializing_if = "Bytes64::is_empty")]
     pub range_end: Bytes64,
 }
@@ -198,46 +198,46 @@
     /// The service's revision.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// How many keys were deleted.
+    /// Number of deleted keys.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub deleted: Int64,
 }
 
-/// What a comparison looks at.
+/// The attribute that a comparison checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareTarget {
-    /// How often the key was written; 0 when absent.
+    /// Number of writes to the key; 0 if absent.
     Version,
-    /// The revision that created the key; 0 when absent.
+    /// Revision at which the key was created; 0 if absent.
     Create,
-    /// The revision of the key's last change; 0 when absent.
+    /// Revision of the key's last change; 0 if absent.
     Mod,
 }
 
-/// How a comparison compares.
+/// The operator of a comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
     /// Equal.
     #[default]
     Equal,
-    /// The key's number is greater.
+    /// The key's attribute is greater.
     Greater,
-    /// The key's number is less.
+    /// The key's attribute is less.
     Less,
     /// Not equal.
     NotEqual,
 }
 
-/// A comparison on which a transaction depends.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
     /// The key.
     pub key: Bytes64,
-    /// What is looked at.
+    /// The attribute to compare.
     pub target: CompareTarget,
-    /// How it is compared.
+    /// The operator.
     #[serde(default)]
     pub result: CompareResult,
     /// The number to compare with, for [`CompareTarget::Version`].
@@ -252,7 +252,7 @@
 }
 
 impl Compare {
-    /// Holds when the key was last changed at `revision`; 0 stands for an absent key.
+    /// Requires that the key was last changed at `revision`, or doesn't exist if that is 0.
     pub fn unchanged_since(key: Bytes64, revision: u64) -> Self {
         Self {
             key,
@@ -265,7 +265,7 @@
     }
 }
 
-/// One step of a transaction.
+/// An operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOp {
     /// Read keys.
@@ -279,21 +279,21 @@
     DeleteRange(DeleteRangeRequest),
 }
 
-/// Does the steps of one list or the other, all at one revision.
+/// Executes one of two lists of operations atomically, at a single revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnRequest {
-    /// What must hold for `success` to be done.
+    /// Preconditions; `success` runs if all of them hold.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub compare: Vec<Compare>,
-    /// Done when every comparison holds.
+    /// Operations to run if every comparison holds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub success: Vec<RequestOp>,
-    /// Done otherwise.
+    /// Operations to run otherwise.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failure: Vec<RequestOp>,
 }
 
-/// The answer to one step of a transaction.
+/// The answer to one operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseOp {
     /// To [`RequestOp::Range`].
@@ -310,13 +310,13 @@
 /// The answer to [`TxnRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// The service's revision, which is that of the writes.
+    /// The service's revision; writes of the transaction have this revision.
     #[serde(default)]
     pub header: ResponseHeader,
     /// Whether every comparison held.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub succeeded: bool,
-    /// One answer for each step that was done.
+    /// One answer per executed operation.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<ResponseOp>,
 }
@@ -324,7 +324,7 @@
 /// The body of a failed call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What is wrong.
+    /// Error message.
     #[serde(default)]
     pub message: String,
     /// The gRPC status code.
@@ -333,6 +333,6 @@
 }
 
 impl ErrorResponse {
-    /// The gRPC status code for what doesn't exist, such as a lease that has ended.
+    /// The gRPC status code for an object that doesn't exist, such as an expired lease.
     pub const NOT_FOUND: u32 = 5;
 }
--- a/crates/skylarkshore-wire/src/etcd/lease.rs
+++ b/crates/skylarkshore-wire/src/etcd/lease.rs
@@ -1,18 +1,18 @@
-//! Leases, with which keys vanish.
+//! Leases: keys attached to one are deleted when it expires.
 
 use serde::{Deserialize, Serialize};
 
 use crate::etcd::{Int64, ResponseHeader};
 
-/// Begins a lease.
+/// Grants a lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// How many seconds it lives without being renewed.
+    /// Time to live in seconds unless renewed.
     #[serde(rename = "TTL")]
     pub ttl: Int64,
 }
 
-/// Names a lease, to renew or to end it.
+/// Identifies a lease to renew or revoke.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The lease.
@@ -20,7 +20,7 @@
     pub id: Int64,
 }
 
-/// How a lease stands; renewing answers with one under `result`.
+/// The state of a lease; the answer to a renewal wraps it in `result`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// The service's revision.
@@ -29,7 +29,7 @@
     /// The lease.
     #[serde(rename = "ID", default, skip_serializing_if = "Int64::is_zero")]
     pub id: Int64,
-    /// How many seconds it lives; 0 when there is no such lease any more.
+    /// Time to live in seconds; 0 if the lease no longer exists.
     #[serde(rename = "TTL", default, skip_serializing_if = "Int64::is_zero")]
     pub ttl: Int64,
 }
--- a/crates/skylarkshore-wire/src/etcd/watch.rs
+++ b/crates/skylarkshore-wire/src/etcd/watch.rs
@@ -1,67 +1,67 @@
-//! Watches, which stream changes.
+//! Watches: streams of changes to a range of keys.
 
 use serde::{Deserialize, Serialize};
 
 use crate::etcd::{Bytes64, Int64, KeyValue, ResponseHeader};
 
-/// Begins a watch.
+/// Starts a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// The watched range and options.
     pub create_request: WatchCreateRequest,
 }
 
-/// What to watch.
+/// The watched range and options.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchCreateRequest {
     /// The first key.
     pub key: Bytes64,
-    /// The key after the last one; empty for the first key alone.
+    /// Exclusive end of the range; empty to select only the first key.
     #[serde(default, skip_serializing_if = "Bytes64::is_empty")]
     pub range_end: Bytes64,
-    /// The first revision to be told of; 0 for what is yet to come.
+    /// First revision to report; 0 for future changes only.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub start_revision: Int64,
-    /// Whether to be told the revision now and then when nothing changes.
+    /// Whether the service also reports its revision periodically when nothing changes.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub progress_notify: bool,
 }
 
-/// One part of a streamed answer, on a line of its own.
+/// One item of a streamed answer, on a line of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Streamed<T> {
-    /// The part.
+    /// The item.
     pub result: T,
 }
 
-/// News of a watch.
+/// An item of a watch stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The service's revision; nothing up to it is missing.
+    /// Revision of the service; all changes up to it have been reported.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// Whether this is the first part, which tells that the watch stands.
+    /// Whether this is the first item, which confirms that the watch was created.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub created: bool,
-    /// Whether this is the last part.
+    /// Whether this is the last item.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub canceled: bool,
-    /// The first revision that can still be watched, where the asked one can't.
+    /// Oldest revision that can still be watched, if the requested one was compacted.
     #[serde(default, skip_serializing_if = "Int64::is_zero")]
     pub compact_revision: Int64,
-    /// The changes, in their order.
+    /// The changes in order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<WatchEvent>,
 }
 
-/// What happened to a key.
+/// Kind of a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum WatchEventKind {
-    /// It was written.
+    /// The key was written.
     #[default]
     Put,
-    /// It was deleted, or its lease ended.
+    /// The key was deleted, or its lease expired.
     Delete,
 }
 
@@ -72,12 +72,12 @@
     }
 }
 
-/// A change.
+/// A change of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// What happened; left out for a write.
+    /// Kind of the change; omitted for a write.
     #[serde(rename = "type", default, skip_serializing_if = "WatchEventKind::is_put")]
     pub kind: WatchEventKind,
-    /// The key; after a deletion it has no value, and the revision is the deletion's.
+    /// The key; after a deletion it has no value and the revision of the deletion.
     pub kv: KeyValue,
 }
--- a/crates/skylarkshore-wire/src/hostlist.rs
+++ b/crates/skylarkshore-wire/src/hostlist.rs
@@ -1,4 +1,4 @@
-//! The platform's list of upstreams.
+//! The platform's list of upstreams; start with [`HostList`] and [`CheckedHostList`].
 
 use std::net::SocketAddr;
 
@@ -10,89 +10,89 @@
     EngineSpec, FenceCheck, OrderMode, Upstream, UpstreamKind, UpstreamStatus, WeightCopies,
 };
 
-/// Where the list is read.
+/// Path of the list.
 pub const HOSTS_PATH: &str = "/hosts";
 
 /// The body of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The upstreams that the platform knows.
+    /// The upstreams known to the platform.
     pub hosts: Vec<HostEntry>,
 }
 
 /// One upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its name, never given to another.
+    /// Unique id, never reused.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the upstream.
     pub data_centre: DataCentre,
-    /// The site whose power it draws.
+    /// Site whose power cap applies.
     pub site: SiteName,
-    /// What it is.
+    /// Kind of the upstream.
     #[serde(flatten)]
     pub kind: HostKind,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub state: HostState,
 }
 
-/// What an upstream is, with what belongs to it.
+/// Kind of an upstream with its properties.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum HostKind {
     /// A model engine.
     Engine {
-        /// The accelerator memory in all.
+        /// Total accelerator memory.
         memory_mib: Mebibytes,
-        /// What it draws with nothing loaded.
+        /// Power draw with no model loaded.
         sleep_watts: Watts,
-        /// The most that it draws with anything loaded or loading.
+        /// Maximum power draw with a model loaded or loading.
         active_watts: Watts,
-        /// Whether it refuses orders that carry an old fence.
+        /// Whether it refuses orders with an outdated fence.
         checks_fences: bool,
-        /// How many requests it runs at a time.
+        /// Number of requests that it runs concurrently.
         concurrency: u32,
     },
-    /// A replica of a plain service.
+    /// A replica of a service other than a model.
     Service {
         /// The service.
         service: ServiceName,
     },
 }
 
-/// What the platform says of an upstream.
+/// State of an upstream according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It may get new work.
+    /// It may receive new requests.
     Live,
-    /// It is about to go.
+    /// It is shutting down.
     Leaving,
 }
 
-/// A list that can't be read at all.
+/// The list as a whole can't be parsed.
 #[derive(Debug, Display, Error)]
-#[display("the host list is no JSON object with a list named 'hosts': {source}; check its address")]
+#[display("the host list is not a JSON object with an array 'hosts': {source}; check its address")]
 pub struct InvalidHostList {
     source: serde_json::Error,
 }
 
-/// An entry that can't be understood.
+/// An entry of the list can't be parsed.
 #[derive(Debug, Display, Error)]
-#[display("entry {index} of the host list is left out: {source}; have the platform correct it")]
+#[display("entry {index} of the host list is ignored: {source}; correct the entry in the platform")]
 pub struct InvalidEntry {
     index: usize,
     source: serde_json::Error,
 }
 
-/// What was understood of a list.
+/// A parsed list.
 #[derive(Debug, Default)]
 pub struct CheckedHostList {
-    /// The upstreams.
+    /// Upstreams from valid entries.
     pub upstreams: Vec<Upstream>,
-    /// The entries that were left out.
+    /// Entries that were skipped.
     pub invalid: Vec<InvalidEntry>,
 }
 
@@ -104,7 +104,7 @@
 impl TryFrom<&[u8]> for CheckedHostList {
     type Error = InvalidHostList;
 
-    /// Reads a list; an entry that can't be understood doesn't hide the others.
+    /// Parses a list; invalid entries are collected and don't affect the others.
     fn try_from(body: &[u8]) -> Result<Self, Self::Error> {
         let raw: RawHostList = serde_json::from_slice(body).map_err(|source| InvalidHostList { source })?;
         let mut list = Self::default();
--- a/crates/skylarkshore-wire/src/keys.rs
+++ b/crates/skylarkshore-wire/src/keys.rs
@@ -1,7 +1,7 @@
-//! The system's own keys and values in the key-value service.
+//! Keys ([`KeyText`]) and values ([`StoredValue`]) in the key-value service.
 //!
-//! A value is JSON: `{"writer": {...}, "value": {...}}`. The writer lets a process
-//! whose write lost its answer tell its own value from another's.
+//! A value is JSON: `{"writer": {...}, "value": {...}}`. If the answer to a write
+//! is lost, the process compares the writer to find out whether its write succeeded.
 
 mod value;
 
@@ -18,50 +18,50 @@
     StoredValue, WriterWire,
 };
 
-/// What every key begins with that all processes keep a copy of.
+/// Prefix of all keys that every process replicates.
 pub const SHARED_PREFIX: &str = "skylarkshore/shared/";
-/// What the key of every live process begins with.
+/// Prefix of the keys of live processes.
 pub const MEMBERS_PREFIX: &str = "skylarkshore/shared/members/";
-/// What every key begins with that belongs to a request that may not be repeated.
+/// Prefix of the keys of requests that must run at most once.
 pub const ONCE_PREFIX: &str = "skylarkshore/once/";
-/// The key of a catalogue that is configured apart from the document.
+/// Key of a catalogue that is configured separately from the document.
 pub const CATALOGUE_KEY: &str = "skylarkshore/shared/catalogue";
-/// The key of the operators' document.
+/// Key of the operators' document.
 pub const DOCUMENT_KEY: &str = "skylarkshore/shared/document";
 
-const MEMBERS: &str = "members/";
-const OWNERS: &str = "owners/";
-const HOMES: &str = "homes/";
-const POWER: &str = "power/";
+const MEMBERS_FOLDER: &str = "members/";
+const OWNERS_FOLDER: &str = "owners/";
+const HOMES_FOLDER: &str = "homes/";
+const POWER_FOLDER: &str = "power/";
 
-/// A key as the key-value service has it.
+/// A key in its stored text form.
 ///
-/// Names in it are percent-encoded, so that one with a slash stays one part.
+/// Names are percent-encoded, so that a name with a slash stays a single path segment.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, From)]
 #[display("{_0}")]
 pub struct KeyText(String);
 
-/// A text that is none of the system's keys.
+/// A text that isn't one of the system's keys.
 #[derive(Debug, Display, Error)]
-#[display("'{key}' is none of the system's keys ({reason}); delete it, or upgrade this process")]
+#[display("'{key}' is not one of the system's keys ({reason}); delete it, or upgrade this process")]
 pub struct InvalidKey {
     key: String,
-    reason: KeyFault,
+    reason: InvalidKeyReason,
 }
 
-/// What is wrong with a key.
+/// Why a key isn't valid.
 #[derive(Debug, Display, Error, From)]
-pub enum KeyFault {
-    /// It begins with none of the known prefixes.
+pub enum InvalidKeyReason {
+    /// Unknown prefix.
     #[display("unknown prefix")]
     Prefix,
     /// A percent sign isn't followed by two hexadecimal digits.
     #[display("{_0}")]
     Encoding(InvalidEncoding),
-    /// Its last part is no name.
+    /// The last segment isn't a valid name.
     #[display("{_0}")]
     Name(InvalidName),
-    /// Its last part is no digest.
+    /// The last segment isn't a valid digest.
     #[display("{_0}")]
     Digest(InvalidDigest),
 }
@@ -78,10 +78,10 @@
         Self(match key {
             Key::Document => DOCUMENT_KEY.to_owned(),
             Key::Catalogue => CATALOGUE_KEY.to_owned(),
-            Key::Member(host) => shared(MEMBERS, host.as_str()),
-            Key::Owner(engine) => shared(OWNERS, engine.as_str()),
-            Key::Homes(model) => shared(HOMES, model.as_str()),
-            Key::Power(site) => shared(POWER, site.as_str()),
+            Key::Member(host) => shared_key(MEMBERS_FOLDER, host.as_str()),
+            Key::Owner(engine) => shared_key(OWNERS_FOLDER, engine.as_str()),
+            Key::Homes(model) => shared_key(HOMES_FOLDER, model.as_str()),
+            Key::Power(site) => shared_key(POWER_FOLDER, site.as_str()),
             Key::Once(digest) => format!("{ONCE_PREFIX}{digest}"),
         })
     }
@@ -95,11 +95,11 @@
     }
 }
 
-fn shared(folder: &str, name: &str) -> String {
+fn shared_key(folder: &str, name: &str) -> String {
     format!("{SHARED_PREFIX}{folder}{}", percent::encode(name))
 }
 
-fn parse(text: &str) -> Result<Key, KeyFault> {
+fn parse(text: &str) -> Result<Key, InvalidKeyReason> {
     if text == DOCUMENT_KEY {
         return Ok(Key::Document);
     }
@@ -109,22 +109,22 @@
     if let Some(digest) = text.strip_prefix(ONCE_PREFIX) {
         return Ok(Key::Once(digest.parse::<Digest>()?));
     }
-    let rest = text.strip_prefix(SHARED_PREFIX).ok_or(KeyFault::Prefix)?;
-    if let Some(name) = rest.strip_prefix(MEMBERS) {
-        return Ok(Key::Member(name_in::<HostId>(name)?));
+    let rest = text.strip_prefix(SHARED_PREFIX).ok_or(InvalidKeyReason::Prefix)?;
+    if let Some(name) = rest.strip_prefix(MEMBERS_FOLDER) {
+        return Ok(Key::Member(decode_name::<HostId>(name)?));
     }
-    if let Some(name) = rest.strip_prefix(OWNERS) {
-        return Ok(Key::Owner(name_in::<UpstreamId>(name)?));
+    if let Some(name) = rest.strip_prefix(OWNERS_FOLDER) {
+        return Ok(Key::Owner(decode_name::<UpstreamId>(name)?));
     }
-    if let Some(name) = rest.strip_prefix(HOMES) {
-        return Ok(Key::Homes(name_in::<ModelName>(name)?));
+    if let Some(name) = rest.strip_prefix(HOMES_FOLDER) {
+        return Ok(Key::Homes(decode_name::<ModelName>(name)?));
     }
-    if let Some(name) = rest.strip_prefix(POWER) {
-        return Ok(Key::Power(name_in::<SiteName>(name)?));
+    if let Some(name) = rest.strip_prefix(POWER_FOLDER) {
+        return Ok(Key::Power(decode_name::<SiteName>(name)?));
     }
-    Err(KeyFault::Prefix)
+    Err(InvalidKeyReason::Prefix)
 }
 
-fn name_in<T: FromStr<Err = InvalidName>>(encoded: &str) -> Result<T, KeyFault> {
+fn decode_name<T: FromStr<Err = InvalidName>>(encoded: &str) -> Result<T, InvalidKeyReason> {
     Ok(percent::decode(encoded)?.parse()?)
 }
--- a/crates/skylarkshore-wire/src/keys/value.rs
+++ b/crates/skylarkshore-wire/src/keys/value.rs
@@ -1,4 +1,4 @@
-//! The JSON values under the system's keys.
+//! The JSON values of the system's keys; start with [`StoredValue`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,34 +21,34 @@
 use crate::catalogue::CatalogueWire;
 use crate::document::{DocumentWire, InvalidDocument};
 
-/// Who wrote a value.
+/// The writer of a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterWire {
     /// The host.
     pub host: HostId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// The write within that life.
+    /// Number of the write within that incarnation.
     pub call: CallId,
 }
 
 /// The value of a member key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberWire {
-    /// Which life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Where it runs.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// The SHA-256 of its certificate, in hexadecimal digits.
+    /// SHA-256 of its certificate, in hexadecimal.
     pub fingerprint: String,
-    /// Whether it is about to go.
+    /// Whether the process is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// The share of a core that the host has, in thousandths.
+    /// CPU capacity of the host, in thousandths of a core.
     #[serde(default)]
     pub capacity: Capacity,
 }
@@ -58,18 +58,18 @@
 pub struct OwnerWire {
     /// The owning host.
     pub host: HostId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Rises with every change of owner.
+    /// Fencing token, increased with every change of owner.
     pub fence: Fence,
 }
 
 /// The value of a homes key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomesWire {
-    /// The engines, the preferred one first.
+    /// Engines in order of preference.
     pub engines: Vec<UpstreamId>,
-    /// The engines that the model left last for want of memory.
+    /// Engines from which the model was last moved for lack of memory.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub left: Vec<UpstreamId>,
 }
@@ -77,11 +77,11 @@
 /// The value of a power key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PowerWire {
-    /// The watts that each engine may draw.
+    /// Power granted to each engine, in watts.
     pub grants: BTreeMap<UpstreamId, u64>,
 }
 
-/// An answer that is kept to be given again.
+/// A recorded answer that is returned when the request is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerWire {
     /// The HTTP status.
@@ -93,57 +93,57 @@
     pub body: String,
 }
 
-/// How far a request that may not be repeated has come.
+/// Progress of a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnceStateWire {
-    /// A host holds it; it may have run.
+    /// A host has claimed it; it may have run.
     Claimed,
-    /// It has run, and this was the answer.
+    /// It has run with this answer.
     Answered(AnswerWire),
-    /// It has run, and its answer wasn't kept.
+    /// It has run, but its answer wasn't recorded.
     AnswerNotKept,
 }
 
-/// The value of a key of a request that may not be repeated.
+/// The value of the key of a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceWire {
-    /// The digest of method, path and body, in hexadecimal digits.
+    /// Digest of method, path and body, in hexadecimal.
     pub request: String,
     /// The host that claimed it.
     pub host: HostId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// How far it has come.
+    /// Progress of the request.
     pub state: OnceStateWire,
 }
 
 /// Why a value isn't valid.
 #[derive(Debug, Display, Error, From)]
 pub enum InvalidValue {
-    /// It isn't JSON of the expected shape.
-    #[display("a stored value has a wrong shape: {_0}; delete its key, or upgrade this process")]
+    /// The text isn't JSON, or doesn't fit the schema of the key.
+    #[display("a stored value does not match the schema: {_0}; delete its key, or upgrade this process")]
     Shape(serde_json::Error),
-    /// A digest in it is wrong.
+    /// Invalid digest.
     #[display("{_0}")]
     Digest(InvalidDigest),
-    /// The body of a kept answer isn't Base64.
-    #[display("a kept answer isn't Base64 ({_0}); delete its key")]
+    /// The body of a recorded answer isn't Base64.
+    #[display("a recorded answer isn't Base64 ({_0}); delete its key")]
     Body(base64::DecodeError),
-    /// The operators' document is wrong.
+    /// Invalid operators' document.
     #[display("{_0}")]
     Document(InvalidDocument),
-    /// A client account is wrong.
+    /// Invalid client account.
     #[display("{_0}")]
     Account(InvalidAccount),
 }
 
-/// A value with the one who wrote it.
+/// A value with its writer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredValue {
-    /// Who wrote it.
+    /// The writer of the value.
     pub writer: Writer,
-    /// What it says.
+    /// The decoded value.
     pub record: Record,
 }
 
@@ -154,47 +154,47 @@
 }
 
 impl StoredValue {
-    /// Writes the value as JSON.
+    /// Serializes the value as JSON.
     ///
     /// # Panics
     ///
-    /// Never, as names, numbers and texts can always be written.
+    /// Never: names, numbers and texts always serialize.
     pub fn to_json(&self) -> String {
         match &self.record {
-            Record::Document(document) => self.wrap(DocumentWire::from(&**document)),
-            Record::Catalogue(record) => self.wrap(CatalogueWire::from(&**record)),
-            Record::Member(record) => self.wrap(MemberWire::from(record)),
-            Record::Owner(record) => self.wrap(OwnerWire::from(record)),
-            Record::Homes(record) => self.wrap(HomesWire::from(record)),
-            Record::Power(record) => self.wrap(PowerWire::from(record)),
-            Record::Once(record) => self.wrap(OnceWire::from(record)),
+            Record::Document(document) => self.to_envelope(DocumentWire::from(&**document)),
+            Record::Catalogue(record) => self.to_envelope(CatalogueWire::from(&**record)),
+            Record::Member(record) => self.to_envelope(MemberWire::from(record)),
+            Record::Owner(record) => self.to_envelope(OwnerWire::from(record)),
+            Record::Homes(record) => self.to_envelope(HomesWire::from(record)),
+            Record::Power(record) => self.to_envelope(PowerWire::from(record)),
+            Record::Once(record) => self.to_envelope(OnceWire::from(record)),
         }
     }
 
-    /// Reads the value that stands under `key`.
+    /// Parses the value stored under `key`.
     ///
     /// # Errors
     ///
-    /// The text isn't JSON of the shape that belongs to the key.
+    /// The text isn't JSON, or doesn't fit the schema of the key.
     pub fn from_json(key: &Key, text: &[u8]) -> Result<Self, InvalidValue> {
         match key {
-            Key::Document => unwrap::<DocumentWire>(text),
-            Key::Catalogue => unwrap::<CatalogueWire>(text),
-            Key::Member(_) => unwrap::<MemberWire>(text),
-            Key::Owner(_) => unwrap::<OwnerWire>(text),
-            Key::Homes(_) => unwrap::<HomesWire>(text),
-            Key::Power(_) => unwrap::<PowerWire>(text),
-            Key::Once(_) => unwrap::<OnceWire>(text),
+            Key::Document => from_envelope::<DocumentWire>(text),
+            Key::Catalogue => from_envelope::<CatalogueWire>(text),
+            Key::Member(_) => from_envelope::<MemberWire>(text),
+            Key::Owner(_) => from_envelope::<OwnerWire>(text),
+            Key::Homes(_) => from_envelope::<HomesWire>(text),
+            Key::Power(_) => from_envelope::<PowerWire>(text),
+            Key::Once(_) => from_envelope::<OnceWire>(text),
         }
     }
 
-    fn wrap<T: Serialize>(&self, value: T) -> String {
+    fn to_envelope<T: Serialize>(&self, value: T) -> String {
         let envelope = Envelope { writer: WriterWire::from(&self.writer), value };
-        serde_json::to_string(&envelope).expect("names, numbers and texts can always be written as JSON")
+        serde_json::to_string(&envelope).expect("names, numbers and texts always serialize as JSON")
     }
 }
 
-fn unwrap<'de, T>(text: &'de [u8]) -> Result<StoredValue, InvalidValue>
+fn from_envelope<'de, T>(text: &'de [u8]) -> Result<StoredValue, InvalidValue>
 where
     T: Deserialize<'de>,
     Record: TryFrom<T>,
--- a/crates/skylarkshore-wire/src/lib.rs
+++ b/crates/skylarkshore-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The formats in which the programs meet callers, peers, the platform and the upstreams.
+//! The wire formats used with callers, peers, the platform and the upstreams.
 //!
-//! Each format has wire types of its own, which turn into the core's checked
-//! types by `TryFrom` and come from them by `From`.
+//! Each format has its own wire types. They convert to the core's validated
+//! types with `TryFrom` and from them with `From`.
 
 pub mod accounts;
 pub mod caller;
--- a/crates/skylarkshore-wire/src/operator.rs
+++ b/crates/skylarkshore-wire/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators get from a process.
+//! Bodies of the operator endpoints: [`StateDump`], [`Explanation`] and [`Health`].
 
 use serde::{Deserialize, Serialize};
 use skylarkshore_core::dump::DumpEntry;
@@ -7,111 +7,111 @@
 
 use crate::document::{OutcomeWire, RuleWire};
 
-/// What a process believes.
+/// The current state of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDump {
     /// The host.
     pub host: HostId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// The operators' revision of the document in force.
+    /// Revision of the operators' document in force.
     pub document_revision: RulesRevision,
-    /// The highest revision of the key-value service that it has seen.
+    /// Highest revision of the key-value service that the process has seen.
     pub store_revision: StoreRevision,
-    /// Whether it can serve.
+    /// Whether the process can serve requests.
     pub ready: bool,
-    /// Whether it is about to go.
+    /// Whether the process is shutting down.
     pub leaving: bool,
-    /// Everything it believes, in the order of its parts.
+    /// Entries of the state dump, grouped by component.
     pub beliefs: Vec<BeliefWire>,
 }
 
-/// One belief of a process.
+/// One entry of a state dump.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeliefWire {
-    /// What kind of thing it is about, such as `engine` or `request`.
+    /// Kind of the subject, such as `engine` or `request`.
     pub kind: String,
-    /// The thing's name.
+    /// Name of the subject.
     pub subject: String,
-    /// What is believed of it.
+    /// State of the subject.
     pub state: String,
-    /// For how long, in milliseconds, where that is known.
+    /// Milliseconds since the subject entered this state, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since_ms: Option<u64>,
 }
 
-/// Which rule decides for a model and why.
+/// Which rule applies to a model, and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The base model.
     pub model: String,
-    /// The adapter, if one was named.
+    /// The adapter, if the request named one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The operators' revision of the document in force.
+    /// Revision of the operators' document in force.
     pub document_revision: RulesRevision,
-    /// What was known when the rules were asked.
+    /// Input of the rules.
     pub facts: FactsWire,
-    /// Each rule in order, up to the one that matched.
+    /// The evaluated rules in order, up to the first match.
     pub tried: Vec<TriedRule>,
-    /// The rule that matched first; absent where `otherwise` decides.
+    /// The first matching rule; absent if `otherwise` applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub matched: Option<RuleWire>,
-    /// What is decided.
+    /// The resulting outcome.
     pub outcome: OutcomeWire,
 }
 
-/// What was known when the rules were asked.
+/// Input of the rules.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FactsWire {
-    /// The data centre of the process that was asked.
+    /// Data centre of the answering process.
     pub data_centre: String,
     /// The time of day in UTC.
     pub at: String,
-    /// The caller, if one was named.
+    /// The caller, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller: Option<String>,
-    /// The percentage of the site's power that is granted, if one was named.
+    /// Percentage of the site's power that is granted, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub power_pressure: Option<u8>,
-    /// The percentage of the engines' memory that is in use, if one was named.
+    /// Percentage of the engines' memory that is in use, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub memory_pressure: Option<u8>,
-    /// For how many seconds the model has had no request, if that was named.
+    /// Seconds since the model's last request, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idle_for_s: Option<u64>,
-    /// How many requests wait for the model, if that was named.
+    /// Number of requests queued for the model, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queue: Option<u32>,
 }
 
-/// A rule that was looked at.
+/// A rule that was evaluated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TriedRule {
-    /// The operators' name for it.
+    /// Name given by the operators.
     pub name: String,
-    /// Whether its condition holds.
+    /// Whether its condition is met.
     pub holds: bool,
 }
 
 impl BeliefWire {
-    /// Turns a belief into what operators get at `now`.
-    pub fn new(belief: DumpEntry, now: Time) -> Self {
+    /// Converts an entry to its wire form, with its age at `now`.
+    pub fn new(entry: DumpEntry, now: Time) -> Self {
         let millis = |since: Time| u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX);
         Self {
-            kind: belief.kind.to_owned(),
-            subject: belief.subject,
-            state: belief.state,
-            since_ms: belief.since.map(millis),
+            kind: entry.kind.to_owned(),
+            subject: entry.subject,
+            state: entry.state,
+            since_ms: entry.since.map(millis),
         }
     }
 }
 
-/// Which life of a process answers.
+/// Identity of the answering process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
     /// The host.
     pub host: HostId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
--- a/crates/skylarkshore-wire/src/peer.rs
+++ b/crates/skylarkshore-wire/src/peer.rs
@@ -1,8 +1,8 @@
-//! What processes send one another: one postcard-encoded message in each frame.
+//! Messages between processes: one postcard-encoded [`PeerMessageWire`] per frame.
 //!
-//! The two enums here stand for the core's of the same meaning. They are apart
-//! so that the core can change without changing what is on the wire; a variant
-//! may be added at the end, never moved.
+//! The enums here mirror those of the core, so that the core can change without
+//! changing the wire format. Variants are encoded by position: a variant may be
+//! added at the end, but never moved.
 
 mod credit;
 mod view;
@@ -25,44 +25,45 @@
 pub use credit::CreditMessageWire;
 pub use view::{EngineViewWire, ModelViewWire, ReadinessWire};
 
-/// The largest message in bytes.
+/// Maximum size of a message in bytes.
 ///
-/// A host that missed much gets every shared key in one message: a document of up
-/// to a megabyte, and at the size aimed at some 300 KB of members, owners and homes.
+/// A host that is far behind receives all shared keys in one message: a document
+/// of up to a megabyte and, at the target size of a deployment, some 300 KB of
+/// members, owners and homes.
 pub const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
 /// Why a message isn't valid.
 #[derive(Debug, Display, Error, From)]
 pub enum InvalidMessage {
-    /// It isn't encoded as expected.
+    /// The bytes can't be decoded.
     #[display("a peer's message can't be decoded ({_0}); run the same version on all hosts")]
     Encoding(postcard::Error),
-    /// It is too large.
+    /// The message exceeds [`MAX_MESSAGE_LEN`].
     #[display("a message has {len} bytes, more than {MAX_MESSAGE_LEN}; shorten the operators' document")]
     #[from(skip)]
     TooLarge {
-        /// Its size.
+        /// Size in bytes.
         len: usize,
     },
-    /// It is of a kind that is no longer used.
+    /// The message kind is no longer supported.
     #[display(
-        "a peer runs an earlier version, whose news isn't understood; it is read elsewhere until all run this one"
+        "a peer runs an earlier version whose news format isn't supported; its news is read elsewhere until all hosts run this version"
     )]
     #[from(skip)]
     Retired,
-    /// It holds a message that holds another one.
-    #[display("a message to all processes holds another one to all; a peer misbehaves")]
+    /// A [`PeerMessageWire::Spread`] contains another one.
+    #[display("a broadcast message contains another broadcast message; the peer is faulty")]
     #[from(skip)]
     Nested,
-    /// A key in it is wrong.
+    /// Invalid key in the message.
     #[display("{_0}")]
     Key(InvalidKey),
-    /// A value in it is wrong.
+    /// Invalid value in the message.
     #[display("{_0}")]
     Value(InvalidValue),
 }
 
-/// A model or an adapter on it.
+/// A model, or one of its adapters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetWire {
     model: ModelName,
@@ -80,25 +81,25 @@
 /// Why an owner can't make a model available in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CannotLoadWire {
-    /// Memory is taken.
+    /// Not enough memory is free.
     Memory,
-    /// Power is taken.
+    /// Not enough power is available.
     Power,
-    /// The receiver owns no home.
+    /// The receiver doesn't own a home of the model.
     NotOwner,
     /// The owner's lease is in doubt.
     OwnershipInDoubt,
     /// The engine can't be reached.
     EngineUnreachable,
-    /// The engine refuses.
+    /// The engine refuses the order.
     EngineRefuses,
     /// The load takes too long.
     TooSlow,
-    /// Another home may be faster.
+    /// The load would take too long; another home may be faster.
     Busy,
 }
 
-/// A message as it is sent. Durations are in milliseconds.
+/// A message in its wire form. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the variants and fields are those of the core's PeerMessage")]
 pub enum PeerMessageWire {
@@ -234,7 +235,7 @@
 ///
 /// # Errors
 ///
-/// The bytes aren't a message of this version, or a name in it is none.
+/// The bytes aren't a message of this version, or contain an invalid name.
 pub fn decode(bytes: &[u8]) -> Result<PeerMessage, InvalidMessage> {
     postcard::from_bytes::<PeerMessageWire>(bytes)?.try_into()
 }
--- a/crates/skylarkshore-wire/src/peer/credit.rs
+++ b/crates/skylarkshore-wire/src/peer/credit.rs
@@ -1,4 +1,4 @@
-//! Messages about the credit of client accounts.
+//! Messages about the credit of client accounts; see [`CreditMessageWire`].
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use skylarkshore_core::peer::CreditMessage;
 use skylarkshore_core::units::Credits;
 
-/// A message as it is sent. Durations are in microseconds.
+/// A message in its wire form. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the variants and fields are those of the core's CreditMessage")]
 pub enum CreditMessageWire {
--- a/crates/skylarkshore-wire/src/peer/view.rs
+++ b/crates/skylarkshore-wire/src/peer/view.rs
@@ -1,4 +1,4 @@
-//! An engine as its owner tells the routers of it.
+//! The state of an engine that its owner sends to the routers; start with [`EngineViewWire`].
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 
 use crate::peer::millis;
 
-/// Whether a model can be used.
+/// Whether a model accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadinessWire {
     /// New requests may be sent.
     Ready,
-    /// It is being loaded.
+    /// The model is being loaded.
     Loading {
-        /// How long that still takes, in milliseconds.
+        /// Remaining load time in milliseconds.
         remaining_ms: u64,
     },
     /// No new requests may be sent.
     Closing,
 }
 
-/// One model on one engine.
+/// A model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelViewWire {
     model: ModelName,
@@ -32,7 +32,7 @@
     running: u32,
 }
 
-/// One engine.
+/// An engine with its models and load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineViewWire {
     upstream: UpstreamId,
--- a/crates/skylarkshore-wire/src/percent.rs
+++ b/crates/skylarkshore-wire/src/percent.rs
@@ -1,15 +1,15 @@
-//! Percent-encoding, for names in keys and paths.
+//! Percent-encoding of names in keys and paths.
 
 use std::fmt::Write;
 
 use derive_more::{Display, Error};
 
-/// A text whose percent signs aren't followed by two hexadecimal digits, or that isn't UTF-8 decoded.
+/// A percent sign isn't followed by two hexadecimal digits, or the decoded text isn't UTF-8.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("a percent sign needs two hexadecimal digits after it, and the whole has to be UTF-8; correct it")]
 pub struct InvalidEncoding;
 
-/// Encodes every byte but letters, digits and any of `. _ -`.
+/// Percent-encodes every byte except ASCII letters, digits and any of `. _ -`.
 pub fn encode(text: &str) -> String {
     text.bytes().fold(String::with_capacity(text.len()), |mut encoded, byte| {
         if byte.is_ascii_alphanumeric() || b"._-".contains(&byte) {
@@ -22,7 +22,7 @@
     })
 }
 
-/// Decodes what was percent-encoded; other bytes stay as they are.
+/// Decodes percent-encoded bytes; other bytes are kept.
 ///
 /// # Errors
 ///
--- a/crates/skylarkshore-wire/tests/document.rs
+++ b/crates/skylarkshore-wire/tests/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document, from text to checked types and back.
+//! Tests for parsing, checking and serializing the operators' document.
 
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_wire::document::{DocumentWire, check};
@@ -29,19 +29,19 @@
 }
 
 #[test]
-fn a_document_comes_back_as_it_was_written() {
+fn document_survives_a_round_trip() {
     let document = parse(DOCUMENT).unwrap();
     let text = DocumentWire::from(&document).to_pretty_json();
     assert_eq!(parse(&text).unwrap(), document);
 }
 
 #[test]
-fn a_sound_document_has_no_findings() {
+fn valid_document_has_no_findings() {
     assert_eq!(check(&parse(DOCUMENT).unwrap()), []);
 }
 
 #[test]
-fn unknown_names_and_rules_out_of_reach_are_told_together() {
+fn unknown_names_and_unreachable_rules_are_reported_together() {
     let text = DOCUMENT.replace(
         r#""rules": ["#,
         r#""rules": [
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_condition_that_is_not_measured_is_told() {
+fn condition_that_is_not_measured_is_reported() {
     let text = DOCUMENT.replace(r#""hours""#, r#""power_pressure": 90, "hours""#);
     let lines: Vec<String> = check(&parse(&text).unwrap()).iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(lines.join("\n"), @"warning: rule 'by day': power_pressure isn't measured yet, so the rule never matches; use queue_at_least, or order and refuse without it");
 }
 
 #[test]
-fn errors_name_the_place_and_the_remedy() {
+fn errors_name_the_location_and_the_remedy() {
     let errors = [
         parse("{"),
         parse(r#"{"power_caps": {}, "models": {}, "rule": []}"#),
@@ -79,9 +79,9 @@
     ];
     let lines: Vec<String> = errors.into_iter().map(|err| err.unwrap_err()).collect();
     insta::assert_snapshot!(lines.join("\n"), @r"
-    the document is not JSON with comments: Unterminated object on line 1 column 2; mend the place named
-    the document has a wrong shape: unknown field `rule`, expected one of `revision`, `power_caps`, `models`, `services`, `accounts`, `rules`, `otherwise`; see the page OPERATIONS for the keys and their values
+    the document is not JSON with comments: Unterminated object on line 1 column 2; correct the text at that position
+    the document does not match the schema: unknown field `rule`, expected one of `revision`, `power_caps`, `models`, `services`, `accounts`, `rules`, `otherwise`; see the page OPERATIONS for the keys and their values
     rule 'by day': '25:00' is not a time of day; write hours and minutes in UTC, for example 18:30
-    the document has a wrong shape: 'sum mary' is not a name; use 1 to 128 letters, digits or any of . _ : / @ -; see the page OPERATIONS for the keys and their values
+    the document does not match the schema: 'sum mary' is not a name; use 1 to 128 letters, digits or any of . _ : / @ -; see the page OPERATIONS for the keys and their values
     ");
 }
--- a/crates/skylarkshore-wire/tests/formats.rs
+++ b/crates/skylarkshore-wire/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The formats of keys, stored values and peers' messages.
+//! Tests for the formats of keys, stored values and peer messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,8 +24,8 @@
     Writer { host: "entry-1".parse().unwrap(), incarnation: Incarnation(7), call: CallId(12) }
 }
 
-/// One key of each kind with a value.
-fn stored() -> Vec<(Key, Record)> {
+/// Returns sample keys of most kinds with their values.
+fn stored_records() -> Vec<(Key, Record)> {
     let member = MemberRecord {
         incarnation: Incarnation(7),
         caller_address: "10.0.0.1:8080".parse().unwrap(),
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn keys_and_values_look_as_described_and_come_back_the_same() {
+fn keys_and_values_have_the_documented_format_and_survive_a_round_trip() {
     let mut lines = Vec::new();
-    for (key, record) in stored() {
+    for (key, record) in stored_records() {
         let text = KeyText::from(&key);
         assert_eq!(Key::try_from(&text).unwrap(), key);
         let value = StoredValue { writer: writer(), record };
@@ -97,15 +97,15 @@
 }
 
 #[test]
-fn a_key_or_value_that_is_none_of_ours_is_told_with_the_remedy() {
+fn unknown_keys_and_invalid_values_are_reported_with_the_remedy() {
     let refused: Vec<String> = ["other/key", "skylarkshore/shared/members/a%2", "skylarkshore/once/12"]
         .iter()
         .map(|key| Key::try_from(&KeyText::from((*key).to_owned())).unwrap_err().to_string())
         .collect();
     insta::assert_snapshot!(refused.join("\n"), @r"
-    'other/key' is none of the system's keys (unknown prefix); delete it, or upgrade this process
-    'skylarkshore/shared/members/a%2' is none of the system's keys (a percent sign needs two hexadecimal digits after it, and the whole has to be UTF-8; correct it); delete it, or upgrade this process
-    'skylarkshore/once/12' is none of the system's keys (a digest has 64 hexadecimal digits; read it again from its source); delete it, or upgrade this process
+    'other/key' is not one of the system's keys (unknown prefix); delete it, or upgrade this process
+    'skylarkshore/shared/members/a%2' is not one of the system's keys (a percent sign needs two hexadecimal digits after it, and the whole has to be UTF-8; correct it); delete it, or upgrade this process
+    'skylarkshore/once/12' is not one of the system's keys (a digest has 64 hexadecimal digits; read it again from its source); delete it, or upgrade this process
     ");
     let wrong = StoredValue::from_json(&Key::Document, b"{\"writer\": 1}").unwrap_err().to_string();
     assert!(wrong.contains("delete its key, or upgrade this process"), "{wrong}");
@@ -113,7 +113,7 @@
 
 proptest! {
     #[test]
-    fn any_name_comes_back_out_of_its_key(name in "[a-zA-Z0-9._:/@-]{1,128}") {
+    fn any_name_survives_encoding_in_a_key(name in "[a-zA-Z0-9._:/@-]{1,128}") {
         let key = Key::Homes(name.parse().unwrap());
         let text = KeyText::from(&key);
         prop_assert_eq!(text.as_str().matches('/').count(), 3);
@@ -121,14 +121,14 @@
     }
 
     #[test]
-    fn no_bytes_from_the_network_bring_the_decoder_down(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         _ = decode(&bytes);
     }
 }
 
 fn messages() -> Vec<PeerMessage> {
     let target = ModelTarget { model: "m".parse().unwrap(), adapter: Some("a/1".parse().unwrap()) };
-    let records = stored().into_iter().map(|(key, record)| Versioned {
+    let records = stored_records().into_iter().map(|(key, record)| Versioned {
         key,
         revision: StoreRevision(9),
         writer: Some(writer()),
@@ -196,9 +196,10 @@
     messages.into_iter().map(PeerMessage::Credit).collect()
 }
 
-/// Guards against client accounts that are lost, or keys that are told, on the way between hosts.
+/// Guards against client accounts being lost, or their plain keys being exposed, when a catalogue is
+/// passed between hosts.
 #[test]
-fn a_catalogue_with_client_accounts_comes_back_the_same() {
+fn catalogue_with_client_accounts_survives_a_round_trip() {
     let account = Account {
         keys: [KeyDigest(Digest([0xab; 32]))].into(),
         priority: Some(1),
@@ -214,16 +215,16 @@
 }
 
 #[test]
-fn messages_come_back_the_same() {
+fn messages_survive_a_round_trip() {
     for message in messages().into_iter().chain(credit_messages()) {
         assert_eq!(decode(&encode(&message).unwrap()).unwrap(), message);
     }
 }
 
-/// A document that is too large for a message would be cut by the receiver and
-/// never come into force there; its sender has to notice.
+/// The receiver would reject a message that is too large, and a document in it would never come into
+/// force there; the sender has to detect it.
 #[test]
-fn a_message_that_is_too_large_is_not_encoded() {
+fn oversized_message_is_not_encoded() {
     let requests = vec![Digest([5; 32]); MAX_MESSAGE_LEN / 32];
     let refused = encode(&PeerMessage::SuspectsNoted { requests });
     assert!(matches!(refused, Err(InvalidMessage::TooLarge { .. })), "{refused:?}");
