--- a/crates/skylarkshore/tests/command_line.rs
+++ b/crates/skylarkshore/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the program says on the command line, of its settings, and in its log.
+//! Tests for the command line, the settings file and the log format.
 
 use std::ffi::OsString;
 use std::io::{self, Write};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn help_tells_every_option() {
+fn help_lists_every_option() {
     insta::assert_snapshot!(cli::help().trim_end(), @r"
     Usage: skylarkshore FILE
            skylarkshore --check FILE
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn exactly_one_settings_file_is_taken() {
+fn exactly_one_settings_file_is_accepted() {
     assert_eq!(cli::parse(args(&["host.jsonc"])).unwrap(), Command::Run("host.jsonc".into()));
     assert_eq!(cli::parse(args(&["--check", "host.jsonc"])).unwrap(), Command::Check("host.jsonc".into()));
     let refused: Vec<String> = [&[][..], &["a", "b"], &["--loud"]]
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_errors_of_a_settings_file_are_told_together_with_place_and_remedy() {
+fn all_errors_in_the_settings_are_reported_with_location_and_remedy() {
     let text = r#"{
       // The host's name is missing.
       "data_centre": "bern a",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_settings_file_that_is_no_json_is_told_with_its_line() {
+fn syntax_error_in_the_settings_is_reported_with_its_line() {
     insta::assert_snapshot!("{\n  \"host\": \"a\"\n  \"x\" 1\n}".parse::<Config>().unwrap_err(), @r"
     the settings have 1 error(s)
       line 2, the file: is no JSON with comments: Expected comma; mend it
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_example_settings_are_valid() {
+fn example_settings_are_valid() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for deployment in ["lagerraum", "huon"] {
         let config = Config::read(&examples.join(deployment).join("host.jsonc")).unwrap();
@@ -109,12 +109,12 @@
 }
 
 #[test]
-fn a_log_line_is_one_event_of_key_value_pairs() {
+fn log_line_is_one_event_of_key_value_pairs() {
     let buf = Buffer::default();
     let drain = Mutex::new(drain(buf.clone(), LogLevel(Level::Info))).fuse();
     let log = Logger::root(drain, o!("host" => "entry-1"));
     info!(log, "engine_acquired"; "subject" => "engine-2", "detail" => "fence 4, \"quoted\"\nand broken");
-    trace!(log, "too_small_to_be_told");
+    trace!(log, "below_log_level");
     let bytes = buf.0.lock().unwrap().clone();
     let text = String::from_utf8(bytes).unwrap();
     let (ts, rest) = text.split_once(' ').unwrap();
--- a/crates/skylarkshore/tests/process/bad_requests.rs
+++ b/crates/skylarkshore/tests/process/bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are wrong in themselves.
+//! Tests for invalid requests.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
 
 const COMPLETIONS: &str = "/v1/completions";
 
-fn told(answer: &Answer) -> String {
+fn format_error(answer: &Answer) -> String {
     let body: Value = answer.json().unwrap();
     let error = &body["error"];
     format!(
@@ -26,10 +26,10 @@
     )
 }
 
-/// A caller has a fault in its program. It is told at once what is wrong and
-/// what to do, and can rely on it that nothing was run.
+/// An invalid request has to be answered at once with the problem and the remedy,
+/// and the caller relies on the statement that nothing was run.
 #[tokio::test]
-async fn a_bad_request_is_answered_with_the_remedy_and_nothing_is_sent_upstream() {
+async fn invalid_request_is_answered_with_the_remedy_and_not_sent_upstream() {
     let deployment = Deployment::start().await;
     let to = deployment.callers;
     let good = || prompt("listing-summary", "hello", 1, false);
@@ -63,7 +63,7 @@
     for call in calls {
         let answer = call.send().await.unwrap();
         assert!(answer.headers.contains_key("x-request-id"));
-        writeln!(lines, "{}", told(&answer)).unwrap();
+        writeln!(lines, "{}", format_error(&answer)).unwrap();
     }
     insta::assert_snapshot!(lines.trim_end(), @r"
     400 not_run not_json: the body is no JSON object: EOF while parsing a value at line 1 column 10; send a JSON object with a 'model' field
@@ -93,17 +93,16 @@
     assert_eq!((counts.answered, counts.runs.len(), counts.loads.len()), (0, 0, 0));
 }
 
-/// A caller stops in the middle of its request, or sends a byte now and then.
-/// Without a deadline such callers would hold all connections and nobody else
-/// would be served.
+/// A caller stops in the middle of its request or sends very slowly. Without a
+/// timeout such callers would occupy all connections and block other callers.
 #[tokio::test]
-async fn a_slow_sender_is_turned_away() {
+async fn slow_sender_gets_a_timeout() {
     let deployment = Deployment::start().await;
     let head = "POST /v1/completions HTTP/1.1\r\nhost: entry\r\ncontent-length: 100\r\n";
-    let body_begun = format!("{head}\r\n{{\"model\": ");
-    for begun in [head, &body_begun] {
+    let partial_body = format!("{head}\r\n{{\"model\": ");
+    for partial in [head, &partial_body] {
         let mut stream = TcpStream::connect(deployment.callers).await.unwrap();
-        stream.write_all(begun.as_bytes()).await.unwrap();
+        stream.write_all(partial.as_bytes()).await.unwrap();
         let mut text = String::new();
         timeout(LIMIT, stream.read_to_string(&mut text)).await.unwrap().unwrap();
         assert!(text.starts_with("HTTP/1.1 408"), "{text}");
@@ -112,10 +111,10 @@
     assert!(answer.status.is_success());
 }
 
-/// A caller names its request to find it again in the logs. The name comes back
-/// on every answer, and a request without one gets one.
+/// Callers use request ids to find their requests in the logs. Every answer carries
+/// the id, and a request without one is assigned one.
 #[tokio::test]
-async fn the_request_id_is_echoed_on_every_answer() {
+async fn request_id_is_echoed_on_every_answer() {
     let deployment = Deployment::start_warm().await;
     let named = Call::get(deployment.callers, "/v1/entry").header("x-request-id", "mine-7");
     assert_eq!(named.send().await.unwrap().headers["x-request-id"], "mine-7");
--- a/crates/skylarkshore/tests/process/deployment.rs
+++ b/crates/skylarkshore/tests/process/deployment.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host beside stand-ins that live in the test's own process.
+//! Starts an entry host with stand-ins that run in the test process; see [`Deployment`].
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -34,13 +34,13 @@
   ]
 }"#;
 
-/// Far longer than anything takes, so that a slow machine fails no test.
+/// Timeout of every wait; generous, so that tests don't fail on a slow machine.
 pub(crate) const LIMIT: Duration = Duration::from_mins(1);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// The largest body that the host under test takes, in bytes.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum request body of the host under test, in bytes.
 pub(crate) const BODY_LIMIT: usize = 4096;
 
-/// An entry host with its stand-ins.
+/// An entry host process with its stand-ins.
 pub(crate) struct Deployment {
     pub(crate) fleet: Fleet,
     pub(crate) callers: SocketAddr,
@@ -51,25 +51,26 @@
 }
 
 impl Deployment {
-    /// Starts one engine, one service replica and one entry host, and waits until it can serve.
+    /// Starts one engine, one service replica and one entry host, and waits until the host is ready.
     pub(crate) async fn start() -> Self {
         let fleet = Fleet::start(&FleetSettings::small(1, 1).unwrap()).await.unwrap();
         put_document(fleet.store.address()).await;
         let folder = TempFolder::new().unwrap();
         let child = start_host(&fleet, &folder);
-        let told = folder.path().join("host.log");
-        until("the host tells its addresses", || async { address(&told, "caller_address").is_some() }).await;
-        let [callers, operators, peers] =
-            ["caller_address", "operator_address", "peer_address"].map(|name| address(&told, name).unwrap());
+        let log = folder.path().join("host.log");
+        until("the host logs its addresses", || async { logged_address(&log, "caller_address").is_some() })
+            .await;
+        let [callers, operators, peers] = ["caller_address", "operator_address", "peer_address"]
+            .map(|name| logged_address(&log, name).unwrap());
         let this = Self { fleet, callers, operators, peers, child, folder };
         let ready = || async { this.operator("/readyz").await.is_some_and(|a| a.status.is_success()) };
-        until("the host can serve", ready).await;
+        until("the host is ready", ready).await;
         this
     }
 
-    /// Starts the same and waits until the model is loaded.
+    /// Like [`start`](Self::start), but also waits until the model is loaded.
     ///
-    /// Right after its start a host owns no engine and no power yet, and refuses for want of them.
+    /// Right after its start a host owns no engine and no power, and refuses requests for that reason.
     pub(crate) async fn start_warm() -> Self {
         let this = Self::start().await;
         let answered = async || {
@@ -81,28 +82,28 @@
         this
     }
 
-    /// Asks the operators' address.
+    /// Sends a GET request to the operator address.
     pub(crate) async fn operator(&self, path: &str) -> Option<Answer> {
         Call::get(self.operators, path).send().await.ok()
     }
 
-    /// Returns what the process believes.
+    /// Returns the state dump of the process.
     pub(crate) async fn state(&self) -> Value {
         self.operator("/debug/state").await.unwrap().json().unwrap()
     }
 
-    /// Returns what the process has logged and said.
+    /// Returns the log and all other output of the process.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("host.log")).unwrap()
     }
 
-    /// Asks the process to end.
+    /// Sends SIGTERM to the process.
     pub(crate) async fn terminate(&self) {
         let pid = self.child.id().unwrap().to_string();
         assert!(Command::new("kill").args(["-TERM", &pid]).status().await.unwrap().success());
     }
 
-    pub(crate) async fn ended(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         timeout(LIMIT, self.child.wait()).await.unwrap().unwrap()
     }
 }
@@ -132,10 +133,10 @@
         .unwrap()
 }
 
-/// Reads one of the addresses that the host chose for itself from its first log line.
+/// Reads an address that the host has bound from its first log line.
 ///
-/// A port that the test had looked for beforehand could be taken by another test.
-fn address(log: &Path, name: &str) -> Option<SocketAddr> {
+/// A free port chosen by the test in advance could be taken by another test.
+fn logged_address(log: &Path, name: &str) -> Option<SocketAddr> {
     let text = std::fs::read_to_string(log).ok()?;
     let (_, rest) = text.split_once(&format!("{name}=\""))?;
     rest.split_once('"')?.0.parse().ok()
@@ -155,16 +156,16 @@
     assert!(Call::post(store, TXN_PATH, body).send().await.unwrap().status.is_success());
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds, and panics after [`LIMIT`].
 pub(crate) async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let deadline = Instant::now() + LIMIT;
     while !holds().await {
-        assert!(Instant::now() < deadline, "not in time: {what}");
-        sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "timed out: {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The body of a request to a model.
+/// Returns the body of a completion request.
 pub(crate) fn prompt(model: &str, prompt: &str, tokens: u32, stream: bool) -> String {
     json!({"model": model, "prompt": prompt, "max_tokens": tokens, "stream": stream}).to_string()
 }
--- a/crates/skylarkshore/tests/process/leaving.rs
+++ b/crates/skylarkshore/tests/process/leaving.rs
@@ -1,4 +1,4 @@
-//! The end of a process.
+//! Tests for the shutdown of a process.
 
 use skylarkshore_standins::client::Call;
 use skylarkshore_standins::engine::EngineFaults;
@@ -7,10 +7,10 @@
 
 const COMPLETIONS: &str = "/v1/completions";
 
-/// Operators replace a host while a caller reads a stream from it. The stream
-/// goes on to its end, and only then does the process end.
+/// A host is replaced while a caller reads a stream from it. The stream has to
+/// complete before the process exits.
 #[tokio::test]
-async fn a_leaving_host_finishes_what_is_in_progress() {
+async fn leaving_host_finishes_requests_in_progress() {
     let mut deployment = Deployment::start_warm().await;
     let slow = EngineFaults { slow_tokens_ms: 30, ..EngineFaults::default() };
     deployment.fleet.engines[0].set_faults(slow);
@@ -20,13 +20,13 @@
     deployment.terminate().await;
     let rest = stream.rest().await.unwrap().text();
     assert!(rest.ends_with("data: [DONE]\n\n"), "{rest}");
-    assert!(deployment.ended().await.success(), "{}", deployment.log());
+    assert!(deployment.wait_for_exit().await.success(), "{}", deployment.log());
 }
 
-/// Operators can't wait for a long stream and signal a second time. The process
-/// ends at once and says what it cut off.
+/// Operators send a second signal instead of waiting for a long stream. The process
+/// has to exit at once and log how many requests it cut off.
 #[tokio::test]
-async fn a_second_signal_ends_the_process_and_tells_what_was_cut() {
+async fn second_signal_ends_the_process_and_logs_the_cut_requests() {
     let mut deployment = Deployment::start_warm().await;
     let slow = EngineFaults { slow_tokens_ms: 100, ..EngineFaults::default() };
     deployment.fleet.engines[0].set_faults(slow);
@@ -34,21 +34,21 @@
     let mut stream = Call::post(deployment.callers, COMPLETIONS, body).stream().await.unwrap();
     stream.next().await.unwrap().unwrap();
     deployment.terminate().await;
-    until("the first signal is noticed", || async { deployment.log().contains("event=leaving") }).await;
+    until("the first signal is handled", || async { deployment.log().contains("event=leaving") }).await;
     deployment.terminate().await;
-    assert_eq!(deployment.ended().await.code(), Some(1));
-    let told = "ended at the second signal; 1 requests in progress were cut off";
-    assert!(deployment.log().contains(told), "{}", deployment.log());
+    assert_eq!(deployment.wait_for_exit().await.code(), Some(1));
+    let expected = "ended at the second signal; 1 requests in progress were cut off";
+    assert!(deployment.log().contains(expected), "{}", deployment.log());
 }
 
-/// Nothing that a process says while it ends may alarm operators without cause.
+/// A normal shutdown must not produce output that looks like a failure.
 #[tokio::test]
-async fn a_process_that_leaves_says_so_and_nothing_else() {
+async fn leaving_process_writes_only_log_events() {
     let mut deployment = Deployment::start_warm().await;
     deployment.terminate().await;
-    assert!(deployment.ended().await.success(), "{}", deployment.log());
+    assert!(deployment.wait_for_exit().await.success(), "{}", deployment.log());
     let log = deployment.log();
-    let odd: Vec<&str> = log.lines().filter(|line| !line.starts_with("ts=")).collect();
-    assert!(odd.is_empty(), "{odd:?}");
+    let unexpected: Vec<&str> = log.lines().filter(|line| !line.starts_with("ts=")).collect();
+    assert!(unexpected.is_empty(), "{unexpected:?}");
     assert!(log.lines().last().unwrap().contains("event=left"), "{log}");
 }
--- a/crates/skylarkshore/tests/process/main.rs
+++ b/crates/skylarkshore/tests/process/main.rs
@@ -1,4 +1,4 @@
-//! One entry host as a process, with stand-ins for the platform and the upstreams.
+//! Tests of one entry host process with stand-ins for the platform and the upstreams.
 
 mod bad_requests;
 mod deployment;
--- a/crates/skylarkshore/tests/process/operators.rs
+++ b/crates/skylarkshore/tests/process/operators.rs
@@ -1,4 +1,4 @@
-//! What operators get from a running process.
+//! Tests for the operator endpoints of a running process.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::deployment::{Deployment, until};
 
 #[tokio::test]
-async fn a_state_dump_tells_of_models_engines_ownership_and_requests() {
+async fn state_dump_lists_models_engines_and_ownership() {
     let deployment = Deployment::start_warm().await;
     let state = deployment.state().await;
     let keys: Vec<&String> = state.as_object().unwrap().keys().collect();
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn an_explanation_names_the_rule_that_matches_first() {
+async fn explanation_names_the_first_matching_rule() {
     let deployment = Deployment::start().await;
     let answer = deployment.operator("/debug/explain?model=listing-summary-fr").await.unwrap();
     let mut explanation: Value = answer.json().unwrap();
@@ -49,13 +49,13 @@
 }
 
 #[tokio::test]
-async fn the_metrics_are_named_by_the_conventions() {
+async fn metric_names_follow_the_conventions() {
     let deployment = Deployment::start_warm().await;
     let text = deployment.operator("/metrics").await.unwrap().text();
     assert!(text.contains("skylarkshore_requests_total{end=\"answered\",target=\"model\"} 1"), "{text}");
     let types: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("# TYPE ")).collect();
     let distinct: BTreeSet<&&str> = types.iter().collect();
-    assert_eq!(distinct.len(), types.len(), "a name stands twice: {types:?}");
+    assert_eq!(distinct.len(), types.len(), "duplicate metric name: {types:?}");
     for metric in types {
         let (name, kind) = metric.split_once(' ').unwrap();
         assert!(name.starts_with("skylarkshore_") || name.starts_with("process_"), "{metric}");
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn the_entry_list_no_longer_names_a_host_that_drains() {
+async fn draining_host_is_removed_from_the_entry_list() {
     let mut deployment = Deployment::start().await;
     let hosts = async || {
         let answer = Call::get(deployment.callers, "/v1/entry").send().await.unwrap();
@@ -75,7 +75,7 @@
     assert_eq!(hosts().await, 1);
     let drained = Call::post(deployment.operators, "/debug/drain", "").send().await.unwrap();
     assert_eq!(drained.status.as_u16(), 202);
-    until("the host is no longer named", || async { hosts().await == 0 }).await;
+    until("the host is removed from the entry list", || async { hosts().await == 0 }).await;
     assert_eq!(deployment.operator("/readyz").await.unwrap().status.as_u16(), 503);
-    assert!(deployment.ended().await.success(), "{}", deployment.log());
+    assert!(deployment.wait_for_exit().await.success(), "{}", deployment.log());
 }
--- a/crates/skylarkshore/tests/process/peers.rs
+++ b/crates/skylarkshore/tests/process/peers.rs
@@ -1,4 +1,4 @@
-//! Who may speak to a process as its peer.
+//! Tests for the authentication of peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 use crate::deployment::{Deployment, LIMIT};
 
-/// Trusts whoever answers; the test is about the other side's trust.
+/// Accepts any server certificate; the tests check only the server's verification of clients.
 #[derive(Debug)]
 struct AnyServer;
 
@@ -53,15 +53,15 @@
     }
 }
 
-fn stranger() -> ClientConfig {
-    let made = rcgen::generate_simple_self_signed(["skylarkshore".to_owned()]).unwrap();
-    let key = PrivatePkcs8KeyDer::from(made.signing_key.serialize_der());
+fn unknown_client() -> ClientConfig {
+    let certified = rcgen::generate_simple_self_signed(["skylarkshore".to_owned()]).unwrap();
+    let key = PrivatePkcs8KeyDer::from(certified.signing_key.serialize_der());
     let mut tls = rustls::ClientConfig::builder_with_provider(Arc::new(default_provider()))
         .with_protocol_versions(&[&rustls::version::TLS13])
         .unwrap()
         .dangerous()
         .with_custom_certificate_verifier(Arc::new(AnyServer))
-        .with_client_auth_cert(vec![made.cert.der().clone()], key.into())
+        .with_client_auth_cert(vec![certified.cert.der().clone()], key.into())
         .unwrap();
     tls.alpn_protocols = vec![b"skylarkshore/1".to_vec()];
     ClientConfig::new(Arc::new(QuicClientConfig::try_from(tls).unwrap()))
@@ -69,17 +69,17 @@
 
 async fn connect(to: SocketAddr) -> Option<Connection> {
     let mut endpoint = Endpoint::client("127.0.0.1:0".parse().unwrap()).unwrap();
-    endpoint.set_default_client_config(stranger());
+    endpoint.set_default_client_config(unknown_client());
     timeout(LIMIT, endpoint.connect(to, "skylarkshore").unwrap()).await.unwrap().ok()
 }
 
-/// Someone in the network makes a key pair of his own and connects to a host's
-/// peer address. If he were heard, he could hand over engines, refuse requests
-/// everywhere or bring rules of his own into force.
+/// An attacker in the network generates a key pair and connects to a host's peer
+/// address. If its messages were accepted, it could hand over engines, refuse
+/// requests everywhere or put its own rules into force.
 #[tokio::test]
-async fn a_stranger_is_not_heard() {
+async fn peer_with_unknown_certificate_is_rejected() {
     let deployment = Deployment::start().await;
-    // The handshake may look finished to the stranger before his certificate is refused.
+    // The handshake may complete on the client's side before the server rejects its certificate.
     if let Some(connection) = connect(deployment.peers).await {
         let closed = timeout(LIMIT, connection.closed()).await.unwrap();
         assert!(
--- a/crates/skylarkshore/tests/process/streams.rs
+++ b/crates/skylarkshore/tests/process/streams.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on as they come.
+//! Tests for streamed answers.
 
 use serde_json::Value;
 use skylarkshore_standins::client::Call;
@@ -16,10 +16,10 @@
     chunks.map(|chunk| chunk["choices"][0]["text"].as_str().unwrap_or_default().to_owned()).collect()
 }
 
-/// A browsing tenant closes the page while a summary is being written. Its
-/// tokens would be generated for nobody, on an accelerator that others wait for.
+/// A caller disconnects in the middle of a stream. If the engine continued, it would
+/// generate unused tokens on an accelerator that other requests wait for.
 #[tokio::test]
-async fn a_caller_that_goes_away_stops_the_work_at_the_engine() {
+async fn disconnect_of_the_caller_cancels_the_request_at_the_engine() {
     let deployment = Deployment::start_warm().await;
     let engine = &deployment.fleet.engines[0];
     engine.set_faults(EngineFaults { slow_tokens_ms: 100, ..EngineFaults::default() });
@@ -31,10 +31,10 @@
     until("the engine runs nothing", || async { engine.report().running == 0 }).await;
 }
 
-/// The caller of a cold model gives up before the model is loaded. The request
-/// must not wait on and be run for nobody once the load is done.
+/// The caller of a cold model disconnects before the model is loaded. The request must
+/// not stay queued and run without a caller after the load.
 #[tokio::test]
-async fn a_caller_that_goes_away_while_it_waits_is_forgotten() {
+async fn disconnect_of_a_waiting_caller_removes_its_request() {
     let deployment = Deployment::start_warm().await;
     let body = prompt("slow-to-load", "hello", 1, false);
     let call = Call::post(deployment.callers, COMPLETIONS, body).header("x-request-timeout-ms", "3000000");
@@ -43,16 +43,16 @@
         let state = deployment.state().await;
         state["beliefs"].as_array().unwrap().iter().filter(|belief| belief["kind"] == "request").count()
     };
-    until("the request waits", || async { requests().await == 1 }).await;
+    until("the request is queued", || async { requests().await == 1 }).await;
     waiting.abort();
-    until("the request is forgotten", || async { requests().await == 0 }).await;
+    until("the request is removed", || async { requests().await == 0 }).await;
 }
 
-/// The only engine dies in the middle of a stream. The caller gets either the
-/// whole text, resumed where it broke off, or an error event and no end marker;
-/// never a short text that looks complete.
+/// The only engine crashes in the middle of a stream. The caller has to get either the
+/// whole text, resumed where it stopped, or an error event without an end marker, but
+/// never a truncated text that looks complete.
 #[tokio::test]
-async fn a_stream_whose_engine_dies_is_resumed_or_broken_off_visibly() {
+async fn stream_is_resumed_or_ends_with_an_error_after_an_engine_crash() {
     let deployment = Deployment::start_warm().await;
     let engine = &deployment.fleet.engines[0];
     engine.set_faults(EngineFaults { slow_tokens_ms: 20, ..EngineFaults::default() });
@@ -70,10 +70,10 @@
     }
 }
 
-/// A service's answer is cut short by its replica. What comes after the cut is
-/// missing, and the caller has to notice that.
+/// A replica truncates its answer. The caller has to be able to detect that the rest is
+/// missing.
 #[tokio::test]
-async fn a_short_answer_of_a_service_is_never_passed_off_as_whole() {
+async fn truncated_service_answer_is_never_presented_as_complete() {
     let deployment = Deployment::start_warm().await;
     let replica = &deployment.fleet.services[0];
     replica.set_faults(ServiceFaults { cut_answers: 10, ..ServiceFaults::default() });
