--- a/crates/skylarkctl/src/error.rs
+++ b/crates/skylarkctl/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the commands; see [`Error`].
+//! The errors of the commands; see [`enum@Error`].
 
 use std::io;
 use std::path::PathBuf;
