--- a/crates/skylarkshore-host/src/peers.rs
+++ b/crates/skylarkshore-host/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from peers over QUIC, one stream for each message.
+//! Messages between peers over QUIC, one stream per message. Start with [`Peers`].
 
 mod directory;
 mod fingerprint;
@@ -31,11 +31,11 @@
 pub(crate) use identity::Identity;
 pub(crate) use transport::LinkTimings;
 
-/// Messages that may wait for one peer; more are dropped. Whoever needs an
-/// answer asks again, so that a lost message costs time and nothing else.
+/// Messages queued for one peer; more are dropped. Requests are repeated until
+/// they are answered, so a lost message costs only time.
 const QUEUE_LEN: usize = 256;
 
-/// Sends and receives messages; cheap to clone.
+/// Sends and receives peer messages; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     shared: Arc<Shared>,
@@ -52,7 +52,7 @@
     connections: Mutex<HashMap<HostId, Pinned>>,
 }
 
-/// A connection with the fingerprint that the other end has shown.
+/// A connection with the fingerprint of the other end's certificate.
 #[derive(Clone, Debug)]
 struct Pinned {
     fingerprint: Digest,
@@ -60,7 +60,7 @@
 }
 
 impl Peers {
-    /// Begins to listen on the socket.
+    /// Starts listening on the socket.
     ///
     /// # Errors
     ///
@@ -86,12 +86,12 @@
             connections: Mutex::default(),
         };
         let this = Self { shared: Arc::new(shared) };
-        tokio::spawn(this.clone().follow(snapshots));
+        tokio::spawn(this.clone().update_directory(snapshots));
         tokio::spawn(this.clone().accept());
         Ok(this)
     }
 
-    /// Queues a message; drops it where the queue is full or the peer unknown.
+    /// Queues a message; drops it if the queue is full.
     pub(crate) fn send(&self, envelope: Envelope) {
         let env = &self.shared.env;
         let bytes = match encode(&envelope.message) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Closes all connections, so that peers don't wait for this process.
+    /// Closes all connections, so that peers don't wait for a time-out.
     pub(crate) fn close(&self) {
         self.shared.endpoint.close(0_u32.into(), b"leaving");
     }
@@ -122,13 +122,13 @@
         entry.clone()
     }
 
-    /// Keeps the directory up to date with the published fingerprints.
-    async fn follow(self, mut snapshots: watch::Receiver<Arc<Snapshot>>) {
+    /// Updates the directory from the published fingerprints.
+    async fn update_directory(self, mut snapshots: watch::Receiver<Arc<Snapshot>>) {
         let mut known = Arc::default();
         while snapshots.changed().await.is_ok() {
             let snapshot = Arc::clone(&snapshots.borrow_and_update());
             if !Arc::ptr_eq(&known, &snapshot.members) {
-                self.shared.directory.learn(&snapshot.members);
+                self.shared.directory.update(&snapshot.members);
                 known = Arc::clone(&snapshot.members);
             }
         }
@@ -149,45 +149,45 @@
                 return;
             }
         };
-        let shown = fingerprint::shown_by(&connection);
+        let presented = fingerprint::presented_by(&connection);
         let Some((fingerprint, host)) =
-            shown.and_then(|shown| Some((shown, self.shared.directory.host_of(shown)?)))
+            presented.and_then(|presented| Some((presented, self.shared.directory.host_of(presented)?)))
         else {
             connection.close(1_u32.into(), b"unknown fingerprint");
             self.shared.env.inbox.event_later(Event::UnknownPeer);
             return;
         };
-        self.keep(&host, Pinned { fingerprint, connection: connection.clone() });
+        self.store_connection(&host, Pinned { fingerprint, connection: connection.clone() });
         self.receive(host, connection).await;
     }
 
-    /// Keeps a connection for sending, in place of an older one.
-    fn keep(&self, host: &HostId, pinned: Pinned) {
+    /// Stores the connection to send on; replaces an older one.
+    fn store_connection(&self, host: &HostId, pinned: Pinned) {
         let mut connections = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
         connections.insert(host.clone(), pinned);
     }
 
-    /// Returns the kept connection if it is alive and leads to the host's present life.
-    fn kept(&self, host: &HostId, fingerprint: Digest) -> Option<Connection> {
+    /// Returns the stored connection if it is open and belongs to the host's current incarnation.
+    fn usable_connection(&self, host: &HostId, fingerprint: Digest) -> Option<Connection> {
         let connections = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let pinned = connections.get(host)?;
         let usable = pinned.fingerprint == fingerprint && pinned.connection.close_reason().is_none();
         usable.then(|| pinned.connection.clone())
     }
 
-    /// Takes messages until the connection ends.
+    /// Receives messages until the connection ends.
     async fn receive(self, host: HostId, connection: Connection) {
         while let Ok(mut stream) = connection.accept_uni().await {
             let this = self.clone();
             let host = host.clone();
             tokio::spawn(async move {
                 let Ok(bytes) = stream.read_to_end(MAX_MESSAGE_LEN).await else { return };
-                this.take(host, &bytes).await;
+                this.handle_message(host, &bytes).await;
             });
         }
     }
 
-    async fn take(&self, from: HostId, bytes: &[u8]) {
+    async fn handle_message(&self, from: HostId, bytes: &[u8]) {
         let env = &self.shared.env;
         env.metrics.peer_message(Direction::Received, bytes.len());
         match decode(bytes) {
--- a/crates/skylarkshore-host/src/peers/fingerprint.rs
+++ b/crates/skylarkshore-host/src/peers/fingerprint.rs
@@ -1,4 +1,4 @@
-//! By what certificates are known.
+//! Fingerprints of certificates.
 
 use quinn::Connection;
 use rustls::pki_types::CertificateDer;
@@ -10,8 +10,8 @@
     Digest(Sha256::digest(certificate).into())
 }
 
-/// Returns the fingerprint of the certificate that the other end has shown.
-pub(super) fn shown_by(connection: &Connection) -> Option<Digest> {
-    let shown = connection.peer_identity()?.downcast::<Vec<CertificateDer<'static>>>().ok()?;
-    shown.first().map(fingerprint)
+/// Returns the fingerprint of the certificate that the other end presented.
+pub(super) fn presented_by(connection: &Connection) -> Option<Digest> {
+    let presented = connection.peer_identity()?.downcast::<Vec<CertificateDer<'static>>>().ok()?;
+    presented.first().map(fingerprint)
 }
--- a/crates/skylarkshore-host/src/peers/identity.rs
+++ b/crates/skylarkshore-host/src/peers/identity.rs
@@ -1,4 +1,6 @@
-//! The key pair that a process makes when it starts, and what is built on it.
+//! The key pair that a process generates at its start, and the TLS settings that use it.
+//!
+//! Start with [`Identity`].
 
 use std::sync::Arc;
 
@@ -12,12 +14,12 @@
 use crate::peers::directory::Directory;
 use crate::peers::fingerprint::fingerprint;
 use crate::peers::transport::LinkTimings;
-use crate::peers::verifier::{PublishedClients, PublishedServer, provider};
+use crate::peers::verifier::{PinnedServerVerifier, PublishedClientVerifier, provider};
 
-/// The name in every certificate; nobody checks it, as certificates are pinned.
+/// The name in every certificate; it isn't verified, as certificates are pinned.
 pub(super) const SERVER_NAME: &str = "skylarkshore";
-/// Another version of the messages gets another name here.
-const PROTOCOL: &[u8] = b"skylarkshore/1";
+/// The ALPN protocol; the number is the version of the messages.
+const ALPN_PROTOCOL: &[u8] = b"skylarkshore/1";
 
 /// A process's certificate and its private key.
 #[derive(Debug)]
@@ -27,18 +29,18 @@
 }
 
 impl Identity {
-    /// Makes a new key pair.
+    /// Generates a new key pair.
     ///
     /// # Errors
     ///
-    /// The system gives no randomness.
+    /// The system's random number generator fails.
     pub(crate) fn generate() -> Result<Self, Error> {
-        let made = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()])?;
-        let key = PrivatePkcs8KeyDer::from(made.signing_key.serialize_der());
-        Ok(Self { certificate: made.cert.der().clone(), key })
+        let generated = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()])?;
+        let key = PrivatePkcs8KeyDer::from(generated.signing_key.serialize_der());
+        Ok(Self { certificate: generated.cert.der().clone(), key })
     }
 
-    /// Returns what is published for peers to check.
+    /// Returns the fingerprint that is published for peers to verify.
     pub(crate) fn fingerprint(&self) -> Digest {
         fingerprint(&self.certificate)
     }
@@ -47,25 +49,25 @@
         PrivateKeyDer::Pkcs8(self.key.clone_key())
     }
 
-    /// Makes what takes connections from peers with published certificates.
+    /// Builds the server settings, which accept any published certificate.
     pub(super) fn server_config(
         &self,
         directory: &Arc<Directory>,
         timings: LinkTimings,
     ) -> Result<ServerConfig, Error> {
-        let verifier = PublishedClients::new(Arc::clone(directory));
+        let verifier = PublishedClientVerifier::new(Arc::clone(directory));
         let mut tls = rustls::ServerConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])?
             .with_client_cert_verifier(Arc::new(verifier))
             .with_single_cert(vec![self.certificate.clone()], self.key())?;
-        tls.alpn_protocols = vec![PROTOCOL.to_vec()];
-        let quic = QuicServerConfig::try_from(tls).map_err(|_err| unsuitable())?;
+        tls.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+        let quic = QuicServerConfig::try_from(tls).map_err(|_err| no_quic_cipher_suite())?;
         let mut config = ServerConfig::with_crypto(Arc::new(quic));
         config.transport_config(timings.transport());
         Ok(config)
     }
 
-    /// Makes what connects to the peer with this certificate and to nobody else.
+    /// Builds the client settings, which accept only the peer with this fingerprint.
     pub(super) fn client_config(
         &self,
         expected: Digest,
@@ -74,16 +76,16 @@
         let mut tls = rustls::ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])?
             .dangerous()
-            .with_custom_certificate_verifier(Arc::new(PublishedServer::new(expected)))
+            .with_custom_certificate_verifier(Arc::new(PinnedServerVerifier::new(expected)))
             .with_client_auth_cert(vec![self.certificate.clone()], self.key())?;
-        tls.alpn_protocols = vec![PROTOCOL.to_vec()];
-        let quic = QuicClientConfig::try_from(tls).map_err(|_err| unsuitable())?;
+        tls.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+        let quic = QuicClientConfig::try_from(tls).map_err(|_err| no_quic_cipher_suite())?;
         let mut config = ClientConfig::new(Arc::new(quic));
         config.transport_config(timings.transport());
         Ok(config)
     }
 }
 
-fn unsuitable() -> Error {
+fn no_quic_cipher_suite() -> Error {
     Error::Tls(rustls::Error::General("no cipher suite for QUIC".to_owned()))
 }
--- a/crates/skylarkshore-host/src/peers/link.rs
+++ b/crates/skylarkshore-host/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The way to one peer: a queue, and a connection that is made when there is something to send.
+//! The sender for one peer: a queue, and a connection that is opened on demand. Start with [`Link`].
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::metrics::Direction;
-use crate::peers::directory::Known;
+use crate::peers::directory::PeerEndpoint;
 use crate::peers::identity::SERVER_NAME;
 use crate::peers::{Peers, Pinned};
 
-/// How long a peer is left alone after it couldn't be reached.
-const REST: Duration = Duration::from_millis(200);
-/// How long connecting or handing a message over may take.
+/// How long to wait after a failed send before the next one.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time-out for connecting and sending one message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a message didn't get to a peer.
+/// Why a message wasn't sent.
 #[derive(Debug, Display, Error, From)]
 enum LinkError {
     #[display("no member key has told where it is; wait for it to start")]
@@ -41,28 +41,28 @@
     Closed(ClosedStream),
 }
 
-/// Something was sent on a connection, and nothing has come back since.
+/// A connection from which nothing was received since a message was sent on it.
 #[derive(Clone, Copy, Debug)]
-struct Unheard {
+struct Silence {
     since: Instant,
-    /// The connection, and the datagrams that had come on it by then.
+    /// The connection's id, and the count of datagrams received on it by then.
     connection: usize,
     datagrams: u64,
 }
 
-/// The way to one peer.
+/// Sends queued messages to one peer.
 pub(super) struct Link {
     peers: Peers,
     host: HostId,
-    unheard: Option<Unheard>,
+    silence: Option<Silence>,
 }
 
 impl Link {
     pub(super) const fn new(peers: Peers, host: HostId) -> Self {
-        Self { peers, host, unheard: None }
+        Self { peers, host, silence: None }
     }
 
-    /// Sends what is queued until the process ends.
+    /// Sends queued messages until the queue is closed.
     pub(super) async fn run(mut self, mut queue: mpsc::Receiver<Bytes>) {
         let env = self.peers.shared.env.clone();
         while let Some(message) = queue.recv().await {
@@ -72,7 +72,7 @@
                     debug!(env.log, "peer_unreachable"; "peer" => %self.host, "reason" => %err);
                     env.metrics.peer_message_dropped();
                     drop_queued(&mut queue, || env.metrics.peer_message_dropped());
-                    sleep(REST).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -80,8 +80,8 @@
 
     async fn send(&mut self, message: &Bytes) -> Result<(), LinkError> {
         let known = self.peers.shared.directory.get(&self.host).ok_or(LinkError::Unknown)?;
-        let kept = self.peers.kept(&self.host, known.fingerprint);
-        let connection = match kept.filter(|connection| self.is_heard(connection)) {
+        let usable_connection = self.peers.usable_connection(&self.host, known.fingerprint);
+        let connection = match usable_connection.filter(|connection| self.is_responsive(connection)) {
             Some(connection) => connection,
             None => self.connect(known).await?,
         };
@@ -91,35 +91,35 @@
         Ok(())
     }
 
-    /// Tells whether the other end has shown itself since something was sent to it, or may yet do so.
+    /// Reports whether the other end has answered since the last message, or still has time to.
     ///
-    /// Every message is acknowledged. A peer that was cut off would else be sent to
-    /// in vain until the connection counts as idle.
-    fn is_heard(&mut self, connection: &Connection) -> bool {
+    /// QUIC acknowledges every message, so silence means that the peer is cut off.
+    /// Without this check, messages would be sent in vain until the idle time-out.
+    fn is_responsive(&mut self, connection: &Connection) -> bool {
         let now = Instant::now();
         let (id, datagrams) = (connection.stable_id(), connection.stats().udp_rx.datagrams);
-        let silent = self.unheard.filter(|u| u.connection == id && u.datagrams == datagrams);
-        let unheard = silent.unwrap_or(Unheard { since: now, connection: id, datagrams });
-        let is_heard = now.duration_since(unheard.since) < self.peers.shared.timings.silence;
-        self.unheard = is_heard.then_some(unheard);
-        if !is_heard {
+        let silent = self.silence.filter(|u| u.connection == id && u.datagrams == datagrams);
+        let silence = silent.unwrap_or(Silence { since: now, connection: id, datagrams });
+        let is_responsive = now.duration_since(silence.since) < self.peers.shared.timings.silence_timeout;
+        self.silence = is_responsive.then_some(silence);
+        if !is_responsive {
             connection.close(VarInt::from_u32(0), b"silent");
         }
-        is_heard
+        is_responsive
     }
 
-    async fn connect(&self, known: Known) -> Result<Connection, LinkError> {
+    async fn connect(&self, known: PeerEndpoint) -> Result<Connection, LinkError> {
         let shared = &self.peers.shared;
         let config = shared.identity.client_config(known.fingerprint, shared.timings)?;
         let connection = shared.endpoint.connect_with(config, known.address, SERVER_NAME)?.await?;
         let pinned = Pinned { fingerprint: known.fingerprint, connection: connection.clone() };
-        self.peers.keep(&self.host, pinned);
+        self.peers.store_connection(&self.host, pinned);
         tokio::spawn(self.peers.clone().receive(self.host.clone(), connection.clone()));
         Ok(connection)
     }
 }
 
-/// Drops what has queued up for a peer that can't be reached: it would be stale once it can.
+/// Drops the messages queued for an unreachable peer, as they would be stale when it is back.
 fn drop_queued(queue: &mut mpsc::Receiver<Bytes>, mut dropped: impl FnMut()) {
     while queue.try_recv().is_ok() {
         dropped();
--- a/crates/skylarkshore-host/src/peers/verifier.rs
+++ b/crates/skylarkshore-host/src/peers/verifier.rs
@@ -1,4 +1,4 @@
-//! Accepts certificates by their published fingerprints instead of by a private authority.
+//! Verifies certificates by their published fingerprints instead of by a certificate authority.
 
 use std::sync::Arc;
 
@@ -12,29 +12,29 @@
 use crate::peers::directory::Directory;
 use crate::peers::fingerprint::fingerprint;
 
-/// Returns the cryptography that connections use.
+/// Returns the cryptography provider for all connections.
 pub(super) fn provider() -> Arc<CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-const fn not_published() -> Error {
+const fn untrusted() -> Error {
     Error::InvalidCertificate(CertificateError::ApplicationVerificationFailure)
 }
 
-/// Accepts exactly one peer's certificate.
+/// Verifies that a server presents the expected certificate.
 #[derive(Debug)]
-pub(super) struct PublishedServer {
+pub(super) struct PinnedServerVerifier {
     expected: Digest,
     provider: Arc<CryptoProvider>,
 }
 
-impl PublishedServer {
+impl PinnedServerVerifier {
     pub(super) fn new(expected: Digest) -> Self {
         Self { expected, provider: provider() }
     }
 }
 
-impl ServerCertVerifier for PublishedServer {
+impl ServerCertVerifier for PinnedServerVerifier {
     fn verify_server_cert(
         &self,
         end_entity: &CertificateDer<'_>,
@@ -44,7 +44,7 @@
         _now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
         if fingerprint(end_entity) != self.expected {
-            return Err(not_published());
+            return Err(untrusted());
         }
         Ok(ServerCertVerified::assertion())
     }
@@ -72,20 +72,20 @@
     }
 }
 
-/// Accepts every published certificate.
+/// Verifies that a client presents any published certificate.
 #[derive(Debug)]
-pub(super) struct PublishedClients {
+pub(super) struct PublishedClientVerifier {
     directory: Arc<Directory>,
     provider: Arc<CryptoProvider>,
 }
 
-impl PublishedClients {
+impl PublishedClientVerifier {
     pub(super) fn new(directory: Arc<Directory>) -> Self {
         Self { directory, provider: provider() }
     }
 }
 
-impl ClientCertVerifier for PublishedClients {
+impl ClientCertVerifier for PublishedClientVerifier {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -97,7 +97,7 @@
         _now: UnixTime,
     ) -> Result<ClientCertVerified, Error> {
         if self.directory.host_of(fingerprint(end_entity)).is_none() {
-            return Err(not_published());
+            return Err(untrusted());
         }
         Ok(ClientCertVerified::assertion())
     }
