--- a/crates/skylarkshore-host/src/store.rs
+++ b/crates/skylarkshore-host/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service behind a trait object, so that another platform is one more file.
+//! The interface to the key-value service, implemented once per platform. Start with [`Store`].
 
 mod etcd;
 
@@ -10,65 +10,65 @@
 
 pub(crate) use etcd::EtcdStore;
 
-/// A future that a trait object returns.
+/// A boxed future, for object-safe traits.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// The key-value service.
+/// A client of the key-value service.
 pub trait Store: Send + Sync {
-    /// Makes a call, which ends within the time-out from the settings.
+    /// Makes a call; it ends within the configured time-out.
     ///
-    /// `NotDone` is only returned when no connection could be made.
+    /// `NotDone` is returned only if no connection could be made.
     fn call(&self, call: StoreCall) -> BoxFuture<'_, StoreResult>;
 
-    /// Watches the shared keys and returns when the watch breaks.
+    /// Watches the shared keys; returns when the watch breaks.
     fn watch<'a>(&'a self, from: StoreRevision, sink: &'a dyn WatchSink) -> BoxFuture<'a, ()>;
 
-    /// Takes news that a peer has read, in place of reading it here.
+    /// Applies news that a peer has read, instead of reading it from the service.
     fn take_news(&self, _news: News) {}
 
-    /// Takes a part of all that a peer knows of the service, in place of reading it here.
+    /// Applies a part of a peer's copy of the service's state, instead of reading it from the service.
     fn take_state(&self, _part: StatePart) {}
 
-    /// Has the watch go on waiting for a peer's state.
+    /// Extends the watch's wait for a peer's state.
     fn await_state(&self) {}
 
-    /// Has the watch read for itself until peers tell something again.
+    /// Makes the watch read from the service until news from peers resumes.
     fn read_on(&self) {}
 
-    /// Packs all that is known of the service for peers, given the shared keys.
+    /// Packs the copy of the service's state for peers, given the shared keys.
     fn state(&self, _series: u64, _upto: StoreRevision, _records: &[Versioned]) -> Vec<StatePart> {
         Vec::new()
     }
 
-    /// Has the watch read often, since others wait for what it reads.
+    /// Makes the watch read frequently, because peers depend on what it reads.
     fn read_for_others(&self, _is_wanted: bool) {}
 }
 
-/// What the watch has seen.
+/// A batch of changes from the watch.
 #[derive(Debug)]
 pub struct Seen {
-    /// The changes in their order.
+    /// The changes in order.
     pub changes: Vec<Versioned>,
-    /// The revision up to which nothing is missing.
+    /// The revision up to which the changes are complete.
     pub upto: StoreRevision,
 }
 
-/// Where a watch puts what it sees.
+/// Receives the results of a watch.
 pub trait WatchSink: Send + Sync {
-    /// Takes what was seen.
+    /// Receives a batch of changes.
     fn seen(&self, seen: Seen) -> BoxFuture<'_, ()>;
 
-    /// Takes what others may want to know.
+    /// Receives news that peers may need.
     fn read(&self, news: News) -> BoxFuture<'_, ()>;
 
-    /// Takes all that a peer knows of the shared keys.
+    /// Receives a peer's copy of the shared keys.
     fn state(&self, upto: StoreRevision, records: Vec<Versioned>) -> BoxFuture<'_, ()>;
 
-    /// Takes note that news from peers doesn't go on where the last one ended.
+    /// Reports a gap between the last news from peers and the next.
     ///
-    /// It `lasts` once it has been so for a while.
+    /// `lasts` is set once the gap has persisted for a while.
     fn missed(&self, lasts: bool) -> BoxFuture<'_, ()>;
 
-    /// Takes note that no answer came in time.
+    /// Reports that the service didn't answer in time.
     fn unanswered(&self) -> BoxFuture<'_, ()>;
 }
--- a/crates/skylarkshore-host/src/store/etcd.rs
+++ b/crates/skylarkshore-host/src/store/etcd.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON gateway.
+//! A client of the etcd v3 JSON gateway. Start with [`EtcdStore`].
 
 mod convert;
 
@@ -28,14 +28,14 @@
 use crate::metrics::Metrics;
 use crate::store::{BoxFuture, Seen, Store, WatchSink};
 
-/// The largest line of a watch: a value of a mebibyte in Base64, with a few others beside it.
+/// The largest line of a watch, in bytes: a value of a mebibyte in Base64 together with a few others.
 const MAX_WATCH_LINE_LEN: usize = 16 * 1024 * 1024;
 
 /// A client of the etcd v3 JSON gateway.
 pub(crate) struct EtcdStore {
     client: PooledClient,
     endpoints: Vec<HttpUrl>,
-    /// The endpoint that answered last.
+    /// The index of the endpoint that answered last.
     current: AtomicUsize,
     timeout: Duration,
     metrics: Arc<Metrics>,
@@ -46,7 +46,7 @@
 enum Failure {
     /// See [`StoreFailure`].
     Store(StoreFailure),
-    /// The service knows no such lease.
+    /// The lease doesn't exist.
     NoSuchLease,
 }
 
@@ -60,7 +60,7 @@
         Self { client: client(), endpoints, current: AtomicUsize::new(0), timeout, metrics, log }
     }
 
-    async fn carry_out(&self, request: StoreCall) -> Result<StoreAnswer, Failure> {
+    async fn execute(&self, request: StoreCall) -> Result<StoreAnswer, Failure> {
         match request {
             StoreCall::ReadShared => {
                 let range = RangeRequest {
@@ -82,16 +82,16 @@
             }
             StoreCall::Read(key) => {
                 let response: RangeResponse = self.post(RANGE_PATH, &convert::range_of(&key)).await?;
-                let found = convert::one(&key, response).map_err(|err| self.unreadable(&err))?;
+                let found = convert::single_record(&key, response).map_err(|err| self.unreadable(&err))?;
                 Ok(StoreAnswer::One(found))
             }
             StoreCall::Write { key, expect, record, writer, lease } => {
                 let txn = convert::write(&key, expect, record, writer, lease);
                 let response: TxnResponse = self.post(TXN_PATH, &txn).await?;
-                convert::written(&key, response).map_err(|err| self.unreadable(&err))
+                convert::write_result(&key, response).map_err(|err| self.unreadable(&err))
             }
             StoreCall::GrantLease { ttl } => {
-                // The service counts whole seconds; a lease may live longer than asked, never shorter.
+                // The service takes whole seconds; a lease may live longer than requested, never shorter.
                 let secs = ttl.as_secs() + u64::from(ttl.subsec_nanos() > 0);
                 let request = LeaseGrantRequest { ttl: Int64(secs) };
                 let response: LeaseResponse = self.post(LEASE_GRANT_PATH, &request).await?;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Posts to the endpoint that answered last, and to the next ones while no connection can be made.
+    /// Posts to the endpoint that answered last; tries the next ones if no connection can be made.
     async fn post<A: Serialize + Sync, B: DeserializeOwned>(
         &self,
         path: &str,
@@ -179,7 +179,7 @@
             lines.extend_from_slice(&data);
             while let Some(end) = lines.iter().position(|byte| *byte == b'\n') {
                 let line = lines.split_to(end + 1);
-                self.take_line(&line, sink).await?;
+                self.handle_line(&line, sink).await?;
             }
             if lines.len() > MAX_WATCH_LINE_LEN {
                 return Err("a line is too long".to_owned());
@@ -188,7 +188,7 @@
         Err("ended".to_owned())
     }
 
-    async fn take_line(&self, line: &[u8], sink: &dyn WatchSink) -> Result<(), String> {
+    async fn handle_line(&self, line: &[u8], sink: &dyn WatchSink) -> Result<(), String> {
         if line.trim_ascii().is_empty() {
             return Ok(());
         }
@@ -224,13 +224,13 @@
     fn call(&self, call: StoreCall) -> BoxFuture<'_, StoreResult> {
         Box::pin(async move {
             let name = call.name();
-            let begun = Instant::now();
-            let result = match self.carry_out(call).await {
+            let started = Instant::now();
+            let result = match self.execute(call).await {
                 Ok(answer) => Ok(answer),
                 Err(Failure::NoSuchLease) => Ok(StoreAnswer::LeaseGone),
                 Err(Failure::Store(failure)) => Err(failure),
             };
-            self.metrics.store_call(name, &result, begun.elapsed());
+            self.metrics.store_call(name, &result, started.elapsed());
             result
         })
     }
--- a/crates/skylarkshore-host/src/store/etcd/convert.rs
+++ b/crates/skylarkshore-host/src/store/etcd/convert.rs
@@ -1,4 +1,4 @@
-//! Turns the core's calls into the gateway's bodies, and its answers into the core's.
+//! Converts between the core's store types and the gateway's JSON bodies.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 use skylarkshore_wire::keys::{InvalidKey, InvalidValue, KeyText, StoredValue};
 use slog::{Logger, warn};
 
-/// Why an answer can't be used.
+/// Why an answer is invalid.
 #[derive(Debug, Display, Error, From)]
 pub(super) enum InvalidAnswer {
-    /// A key is none of the system's.
+    /// A key isn't one of the system's.
     #[display("{_0}")]
     Key(InvalidKey),
     /// A value has a wrong shape.
     #[display("{_0}")]
     Value(InvalidValue),
-    /// A transaction that wrote nothing didn't say what it found.
+    /// A failed transaction didn't return the current value.
     #[display("the key-value service left out what it found; check that it is an etcd v3 JSON gateway")]
-    NothingFound,
+    MissingCurrentValue,
 }
 
 fn key_bytes(key: &Key) -> Bytes64 {
@@ -62,20 +62,20 @@
     }
 }
 
-pub(super) fn written(key: &Key, response: TxnResponse) -> Result<StoreAnswer, InvalidAnswer> {
+pub(super) fn write_result(key: &Key, response: TxnResponse) -> Result<StoreAnswer, InvalidAnswer> {
     let revision = StoreRevision(response.header.revision.0);
     if response.succeeded {
         return Ok(StoreAnswer::Written(revision));
     }
     let Some(ResponseOp::Range(mut range)) = response.responses.into_iter().next() else {
-        return Err(InvalidAnswer::NothingFound);
+        return Err(InvalidAnswer::MissingCurrentValue);
     };
-    // Inside a transaction the steps may leave their own header out.
+    // The steps of a transaction may omit their own header.
     range.header = response.header;
-    Ok(StoreAnswer::Conflict(one(key, range)?))
+    Ok(StoreAnswer::Conflict(single_record(key, range)?))
 }
 
-pub(super) fn one(key: &Key, response: RangeResponse) -> Result<Versioned, InvalidAnswer> {
+pub(super) fn single_record(key: &Key, response: RangeResponse) -> Result<Versioned, InvalidAnswer> {
     let revision = StoreRevision(response.header.revision.0);
     match response.kvs.into_iter().next() {
         Some(kv) => versioned(&kv),
@@ -83,20 +83,22 @@
     }
 }
 
-/// Turns the answer to a read of all shared keys over; a key that can't be
-/// understood is left out and told, so that it doesn't hide the others.
+/// Converts the answer to a read of all shared keys. Invalid entries are logged and skipped, so
+/// that they don't hide the others.
 pub(super) fn shared(response: RangeResponse, log: &Logger) -> StoreAnswer {
     let revision = StoreRevision(response.header.revision.0);
-    let records = response.kvs.into_iter().filter_map(|kv| understood(versioned(&kv), log)).collect();
+    let records = response.kvs.into_iter().filter_map(|kv| or_skip_logged(versioned(&kv), log)).collect();
     StoreAnswer::Shared { revision, records }
 }
 
 pub(super) fn members(response: RangeResponse, log: &Logger) -> StoreAnswer {
-    StoreAnswer::Members(response.kvs.into_iter().filter_map(|kv| understood(versioned(&kv), log)).collect())
+    StoreAnswer::Members(
+        response.kvs.into_iter().filter_map(|kv| or_skip_logged(versioned(&kv), log)).collect(),
+    )
 }
 
 pub(super) fn changes(events: Vec<WatchEvent>, log: &Logger) -> Vec<Versioned> {
-    events.into_iter().filter_map(|event| understood(change(&event), log)).collect()
+    events.into_iter().filter_map(|event| or_skip_logged(change(&event), log)).collect()
 }
 
 pub(super) fn lease(response: &LeaseResponse) -> StoreAnswer {
@@ -132,6 +134,6 @@
     Ok(Key::try_from(&text)?)
 }
 
-fn understood(found: Result<Versioned, InvalidAnswer>, log: &Logger) -> Option<Versioned> {
+fn or_skip_logged(found: Result<Versioned, InvalidAnswer>, log: &Logger) -> Option<Versioned> {
     found.inspect_err(|err| warn!(log, "stored_value_left_out"; "reason" => err.to_string())).ok()
 }
