--- a/crates/skylarkshore-host/src/callers.rs
+++ b/crates/skylarkshore-host/src/callers.rs
@@ -25,7 +25,7 @@
 use crate::digest::request_digest;
 use crate::driver::Snapshot;
 use crate::exchange::{CheckedRequest, Exchange, WatchedListener, read_off};
-use crate::pending::{JsonRefusals, Outgoing};
+use crate::pending::{JsonRefusalFormat, Outgoing};
 use crate::probe::HEALTH_PATH;
 use crate::server::{self, MAX_HEADERS};
 use crate::upstreams::forwarded;
@@ -236,7 +236,7 @@
             target,
             arrival,
             outgoing,
-            refusals: Arc::new(JsonRefusals),
+            refusals: Arc::new(JsonRefusalFormat),
         };
         self.exchange.run(checked).await
     }
--- a/crates/skylarkshore-host/src/driver.rs
+++ b/crates/skylarkshore-host/src/driver.rs
@@ -1,4 +1,6 @@
-//! The one task that owns the core: events in, effects out.
+//! The task that owns the core: it feeds events in and executes the effects that come out.
+//!
+//! Start with [`Driver`]; other tasks reach it through [`Inbox`].
 
 mod effects;
 mod snapshot;
@@ -18,13 +20,13 @@
 pub(crate) use effects::Effects;
 pub use snapshot::{Member, Snapshot};
 
-/// Events that may wait for the core before their senders have to.
+/// Inputs queued for the core before senders block.
 const INBOX_LEN: usize = 8192;
 const TICK_EVERY: Duration = Duration::from_millis(50);
-/// How many ticks pass between two looks at what changed without raising a revision.
+/// Ticks between unconditional snapshots, which pick up changes that raise no revision.
 const TICKS_PER_SNAPSHOT: u32 = 20;
 
-/// Something for the task that owns the core.
+/// An input of the task that owns the core.
 #[derive(Debug)]
 enum Input {
     Event(Box<Event>),
@@ -32,7 +34,7 @@
     Gauges(oneshot::Sender<Vec<Gauge>>),
 }
 
-/// The way to the task that owns the core.
+/// The sending half of the driver's input queue.
 #[derive(Clone, Debug)]
 pub struct Inbox {
     tx: mpsc::Sender<Input>,
@@ -40,19 +42,21 @@
 }
 
 impl Inbox {
-    /// Makes the way; must be called inside the main runtime.
+    /// Opens the queue; must be called inside the main runtime.
     pub(crate) fn open() -> (Self, InboxReceiver) {
         let (tx, rx) = mpsc::channel(INBOX_LEN);
         (Self { tx, runtime: tokio::runtime::Handle::current() }, InboxReceiver { rx })
     }
 
-    /// Hands an event over; waits while the core is behind.
+    /// Sends an event to the core; waits while the queue is full.
     pub async fn event(&self, event: Event) {
-        // The core is only gone when the process is about to end.
+        // Fails only if the driver has ended, which is just before the process exits.
         _ = self.tx.send(Input::Event(Box::new(event))).await;
     }
 
-    /// Hands an event over from where nothing may wait.
+    /// Sends an event to the core without blocking.
+    ///
+    /// If the queue is full, a task is spawned that waits for room.
     pub fn event_later(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(input)) = self.tx.try_send(Input::Event(Box::new(event))) {
             let tx = self.tx.clone();
@@ -60,14 +64,14 @@
         }
     }
 
-    /// Asks what the process believes.
+    /// Requests the state dump; `None` if the driver has ended.
     pub(crate) async fn dump(&self) -> Option<StateDump> {
         let (tx, rx) = oneshot::channel();
         self.tx.send(Input::Dump(tx)).await.ok()?;
         rx.await.ok()
     }
 
-    /// Asks for the core's numbers.
+    /// Requests the core's gauges; empty if the driver has ended.
     pub(crate) async fn gauges(&self) -> Vec<Gauge> {
         let (tx, rx) = oneshot::channel();
         if self.tx.send(Input::Gauges(tx)).await.is_err() {
@@ -77,13 +81,13 @@
     }
 }
 
-/// What waits for the core.
+/// The receiving half of the driver's input queue.
 #[derive(Debug)]
 pub(crate) struct InboxReceiver {
     rx: mpsc::Receiver<Input>,
 }
 
-/// The task that owns the core.
+/// Owns the core and runs its event loop.
 pub(crate) struct Driver {
     node: Node,
     clock: Clock,
@@ -92,10 +96,10 @@
     metrics: Arc<Metrics>,
 }
 
-/// Whether the process goes on.
+/// Whether the event loop continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    GoOn,
+    Continue,
     Exit,
 }
 
@@ -110,18 +114,18 @@
         Self { node, clock, effects, snapshot, metrics }
     }
 
-    /// Runs until the core says that the process may end.
-    pub(crate) async fn run(mut self, mut receiver: InboxReceiver, first: Vec<Effect>) {
+    /// Runs the event loop until the core emits `Effect::Exit`.
+    pub(crate) async fn run(mut self, mut receiver: InboxReceiver, initial_effects: Vec<Effect>) {
         let mut ticks = interval(TICK_EVERY);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut ticked = 0;
-        let mut step = self.carry_out(first);
-        while step == Step::GoOn {
+        let mut tick_count = 0;
+        let mut step = self.execute(initial_effects);
+        while step == Step::Continue {
             step = tokio::select! {
-                Some(input) = receiver.rx.recv() => self.take(input),
+                Some(input) = receiver.rx.recv() => self.handle_input(input),
                 _ = ticks.tick() => {
-                    ticked += 1;
-                    if ticked % TICKS_PER_SNAPSHOT == 0 {
+                    tick_count += 1;
+                    if tick_count % TICKS_PER_SNAPSHOT == 0 {
                         self.publish();
                     }
                     self.handle(Event::Tick { at: time_of_day() })
@@ -130,38 +134,38 @@
         }
     }
 
-    fn take(&mut self, input: Input) -> Step {
+    fn handle_input(&mut self, input: Input) -> Step {
         match input {
             Input::Event(event) => self.handle(*event),
             Input::Dump(tx) => {
-                // Whoever asked may have gone away.
+                // The requester may have been dropped.
                 _ = tx.send(self.dump());
-                Step::GoOn
+                Step::Continue
             }
             Input::Gauges(tx) => {
                 _ = tx.send(self.node.gauges(self.clock.now()));
-                Step::GoOn
+                Step::Continue
             }
         }
     }
 
     fn handle(&mut self, event: Event) -> Step {
-        self.metrics.event_taken();
-        self.effects.before(&event);
+        self.metrics.core_event_handled();
+        self.effects.before_event(&event);
         let effects = self.node.handle(self.clock.now(), event);
         if self.snapshot.borrow().is_outdated(&self.node) {
             self.publish();
         }
-        self.carry_out(effects)
+        self.execute(effects)
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) -> Step {
-        let mut step = Step::GoOn;
+    fn execute(&mut self, effects: Vec<Effect>) -> Step {
+        let mut step = Step::Continue;
         for effect in effects {
             if matches!(effect, Effect::Exit) {
                 step = Step::Exit;
             } else {
-                self.effects.carry_out(effect, self.node.upstreams());
+                self.effects.execute(effect, self.node.upstreams());
             }
         }
         step
--- a/crates/skylarkshore-host/src/driver/effects.rs
+++ b/crates/skylarkshore-host/src/driver/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core wants done, each effect in a task of its own.
+//! Executes the core's effects; those that wait for I/O run in tasks of their own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::store::{BoxFuture, Seen, Store, WatchSink};
 use crate::upstreams::{Dispatch, Upstreams};
 
-/// Carries out what the core wants done.
+/// Executes the core's effects.
 pub(crate) struct Effects {
     env: Env,
     store: Arc<dyn Store>,
@@ -34,9 +34,9 @@
     attempts: HashMap<AttemptId, AbortHandle>,
 }
 
-struct ToInbox(Inbox);
+struct InboxSink(Inbox);
 
-impl WatchSink for ToInbox {
+impl WatchSink for InboxSink {
     fn seen(&self, seen: Seen) -> BoxFuture<'_, ()> {
         Box::pin(self.0.event(Event::Watched { changes: seen.changes, upto: seen.upto }))
     }
@@ -70,15 +70,15 @@
         Self { env, store, engines, upstreams, peers, connections, watch: None, attempts: HashMap::default() }
     }
 
-    /// Takes note of an event before the core does.
-    pub(crate) fn before(&mut self, event: &Event) {
+    /// Updates the table of running attempts before the core handles an event.
+    pub(crate) fn before_event(&mut self, event: &Event) {
         if let Event::AttemptEnded { attempt, .. } = event {
             self.attempts.remove(attempt);
         }
     }
 
-    /// Carries an effect out.
-    pub(crate) fn carry_out(&mut self, effect: Effect, upstreams: &UpstreamList) {
+    /// Executes one effect.
+    pub(crate) fn execute(&mut self, effect: Effect, upstreams: &UpstreamList) {
         match effect {
             Effect::Store { call, request } => self.call_store(call, request),
             Effect::Watch { from } => self.watch(from),
@@ -89,7 +89,7 @@
             Effect::ReadMissedNews => self.store.read_on(),
             Effect::SendState { to, series, upto, records } => {
                 let parts = self.store.state(series, upto, &records);
-                self.tell_state(&to, &parts);
+                self.send_state(&to, &parts);
             }
             Effect::ReadNewsForOthers(is_wanted) => self.store.read_for_others(is_wanted),
             Effect::Peer(envelope) => self.peers.send(envelope),
@@ -100,7 +100,7 @@
             }
             Effect::RequestReport { upstream } => {
                 let engine = upstreams.get(&upstream).cloned();
-                self.ask_report(upstream, engine);
+                self.request_report(upstream, engine);
             }
             Effect::Send {
                 request,
@@ -114,7 +114,7 @@
                 keep_failure,
             } => {
                 let Some(upstream) = upstreams.get(&upstream).cloned() else {
-                    self.not_sent(attempt);
+                    self.report_not_sent(attempt);
                     return;
                 };
                 self.send(Dispatch {
@@ -131,7 +131,7 @@
             }
             Effect::ForwardHeldAnswer { request } => {
                 if let Some(pending) = self.env.requests.get(request) {
-                    pending.pass_kept();
+                    pending.forward_failure();
                 }
             }
             Effect::Cancel { attempt } => self.cancel(attempt),
@@ -143,18 +143,18 @@
             Effect::Refuse { request, refusal } | Effect::Abort { request, refusal } => {
                 self.refuse(request, &refusal);
             }
-            Effect::LogEvent(note) => self.note(&note),
-            Effect::Decision(decision) => self.decision(&decision),
+            Effect::LogEvent(entry) => self.log_event(&entry),
+            Effect::Decision(decision) => self.log_decision(&decision),
             Effect::CloseIntake => {
                 info!(self.env.log, "intake_closed"; "requests_in_progress" => self.env.requests.len());
                 self.connections.close();
             }
-            // The driver itself takes the end of the process.
+            // Handled by the driver.
             Effect::Exit => {}
         }
     }
 
-    fn tell_state(&self, to: &[HostId], parts: &[StatePart]) {
+    fn send_state(&self, to: &[HostId], parts: &[StatePart]) {
         for part in parts {
             for host in to {
                 let message = PeerMessage::State(part.clone());
@@ -177,7 +177,7 @@
         let store = Arc::clone(&self.store);
         let inbox = self.env.inbox.clone();
         let task = tokio::spawn(async move {
-            store.watch(from, &ToInbox(inbox.clone())).await;
+            store.watch(from, &InboxSink(inbox.clone())).await;
             inbox.event(Event::WatchBroken).await;
         });
         self.watch = Some(task.abort_handle());
@@ -213,7 +213,7 @@
         });
     }
 
-    fn ask_report(&self, upstream: UpstreamId, engine: Option<Upstream>) {
+    fn request_report(&self, upstream: UpstreamId, engine: Option<Upstream>) {
         let engines = Arc::clone(&self.engines);
         let inbox = self.env.inbox.clone();
         let asked = self.env.clock.now();
@@ -237,12 +237,12 @@
         self.attempts.insert(attempt, task.abort_handle());
     }
 
-    fn not_sent(&self, attempt: AttemptId) {
+    fn report_not_sent(&self, attempt: AttemptId) {
         let end = skylarkshore_core::event::AttemptOutcome::NotSent;
         self.env.inbox.event_later(Event::AttemptEnded { attempt, end });
     }
 
-    /// Stops a try; its connection is closed, which stops the upstream's work.
+    /// Aborts an attempt; this closes its connection, which stops the upstream's work.
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(task) = self.attempts.remove(&attempt) {
             task.abort();
@@ -254,8 +254,8 @@
         pending.refuse(refusal);
     }
 
-    /// Writes a decision on a request with the caller's name for it.
-    fn decision(&self, decision: &Decision) {
+    /// Logs a decision on a request together with the request id that the caller chose.
+    fn log_decision(&self, decision: &Decision) {
         if !self.env.may_log(decision.event) {
             return;
         }
@@ -265,9 +265,9 @@
             "id" => id.as_deref().unwrap_or("unknown"));
     }
 
-    fn note(&self, note: &LogEvent) {
-        self.env.metrics.noted(note.event);
-        // The logger writes the last pair first, and the subject is to come first.
-        info!(self.env.log, "{}", note.event; "detail" => &note.detail, "subject" => &note.subject);
+    fn log_event(&self, entry: &LogEvent) {
+        self.env.metrics.count_event(entry.event);
+        // The logger writes pairs in reverse order; `subject` comes first in the line.
+        info!(self.env.log, "{}", entry.event; "detail" => &entry.detail, "subject" => &entry.subject);
     }
 }
--- a/crates/skylarkshore-host/src/driver/snapshot.rs
+++ b/crates/skylarkshore-host/src/driver/snapshot.rs
@@ -1,4 +1,4 @@
-//! What those who face callers and operators need to know of the core's state.
+//! Snapshots of the core's state for the caller, peer and operator interfaces.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,42 +7,42 @@
 use skylarkshore_core::catalogue::Document;
 use skylarkshore_core::id::{DataCentre, Digest, HostId, StoreRevision};
 
-/// A live process.
+/// A live process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The host's name.
     pub host: HostId,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer_address: SocketAddr,
-    /// Where it runs.
+    /// The host's data centre.
     pub data_centre: DataCentre,
-    /// The SHA-256 of the certificate that its peers accept.
+    /// The SHA-256 of the certificate that it uses towards peers.
     pub fingerprint: Digest,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// A part of the core's state at a moment.
+/// The part of the core's state that the interfaces read, at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The operators' document in force.
     pub document: Arc<Document>,
-    /// The highest revision of the key-value service that has been seen.
+    /// The highest revision of the key-value service seen so far.
     pub store_revision: StoreRevision,
     /// The live processes.
     pub members: Arc<Vec<Member>>,
-    /// Which members these are; see `StoreCache::members_version`.
+    /// The version of `members`; see `StoreCache::members_version`.
     members_version: u64,
-    /// Whether the process knows enough to serve.
+    /// Whether the process has the document and upstreams that it needs to serve.
     pub ready: bool,
-    /// Whether the process is about to go.
+    /// Whether the process is shutting down.
     pub leaving: bool,
 }
 
 impl Snapshot {
-    /// Takes a node's state over, given what was taken before.
+    /// Takes a snapshot of a node; reuses the previous member list if it is unchanged.
     pub(crate) fn of(node: &Node, before: &Self) -> Self {
         let version = node.cache().members_version();
         let is_same = version == before.members_version;
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Tells whether something that can be seen at once has changed.
+    /// Reports whether a change is visible by a cheap comparison.
     ///
-    /// A late change of a single member may not show; it is taken over with the
-    /// next regular look.
+    /// A late change of a single member may be missed; the next periodic snapshot
+    /// includes it.
     pub(crate) fn is_outdated(&self, node: &Node) -> bool {
         !Arc::ptr_eq(&self.document, node.document())
             || self.store_revision != node.cache().latest_revision()
--- a/crates/skylarkshore-host/src/engines.rs
+++ b/crates/skylarkshore-host/src/engines.rs
@@ -54,13 +54,13 @@
 
 /// Engines that speak the product's own protocol.
 #[derive(Clone, Debug)]
-pub(crate) struct OwnEngines {
+pub(crate) struct NativeEngines {
     client: PooledClient,
     clock: Clock,
     log: Logger,
 }
 
-impl OwnEngines {
+impl NativeEngines {
     pub(crate) fn new(clock: Clock, log: Logger) -> Self {
         Self { client: client(), clock, log }
     }
@@ -101,7 +101,7 @@
     }
 }
 
-impl EngineProtocol for OwnEngines {
+impl EngineProtocol for NativeEngines {
     fn give<'a>(&'a self, engine: &'a Upstream, order: EngineOrder) -> BoxFuture<'a, OrderAnswer> {
         Box::pin(self.give_to(engine.address, order))
     }
--- a/crates/skylarkshore-host/src/etcd_platform.rs
+++ b/crates/skylarkshore-host/src/etcd_platform.rs
@@ -8,15 +8,15 @@
 
 use crate::callers;
 use crate::config::{Config, EtcdSettings};
-use crate::engines::{EngineProtocol, OwnEngines};
+use crate::engines::{EngineProtocol, NativeEngines};
 use crate::env::Env;
 use crate::error::Error;
 use crate::exchange::Exchange;
-use crate::hosts;
+use crate::host_list;
 use crate::platform::Platform;
 use crate::server::RunningServer;
 use crate::store::{EtcdStore, Store};
-use crate::upstreams::{OwnUpstreams, UpstreamProtocol};
+use crate::upstreams::{NativeUpstreams, UpstreamProtocol};
 
 /// The product's own interface.
 #[derive(Clone, Debug)]
@@ -45,15 +45,15 @@
     }
 
     fn follow_upstreams(&self, env: &Env) {
-        tokio::spawn(hosts::poll(self.settings.hosts_url.clone(), env.inbox.clone(), env.log.clone()));
+        tokio::spawn(host_list::poll(self.settings.hosts_url.clone(), env.inbox.clone(), env.log.clone()));
     }
 
     fn engines(&self, env: &Env) -> Arc<dyn EngineProtocol> {
-        Arc::new(OwnEngines::new(env.clock, env.log.clone()))
+        Arc::new(NativeEngines::new(env.clock, env.log.clone()))
     }
 
     fn upstreams(&self, _env: &Env) -> Arc<dyn UpstreamProtocol> {
-        Arc::new(OwnUpstreams::new(&self.host, self.incarnation))
+        Arc::new(NativeUpstreams::new(&self.host, self.incarnation))
     }
 
     fn serve(&self, exchange: Exchange, callers: TcpListener) -> Result<Vec<RunningServer>, Error> {
--- a/crates/skylarkshore-host/src/exchange.rs
+++ b/crates/skylarkshore-host/src/exchange.rs
@@ -1,7 +1,7 @@
-//! Has requests answered: between whoever faces callers and the core.
+//! Connects a platform's caller interface with the core. Start with [`Exchange::run`].
 
+mod body;
 mod connections;
-mod intake;
 mod reply;
 
 use std::net::SocketAddr;
@@ -22,79 +22,79 @@
 use crate::env::Env;
 use crate::pending::{Outgoing, PendingRequest, RefusalFormat};
 
+pub use body::{BodyFault, read as read_body, read_off};
 pub use connections::{Connections, WatchedListener};
-pub use intake::{BodyFault, read as read_body, read_off};
 
 use reply::RequestGuard;
 
-/// How much later than its deadline a request gets its answer at the latest.
+/// How long after its deadline a request without an answer is refused.
 ///
-/// The core answers by the deadline. If it didn't, by a fault of its own, the
-/// caller would wait for ever; this makes it a visible refusal instead.
-const OVERDUE: Duration = Duration::from_secs(5);
+/// The core answers by the deadline. Without this limit, a fault of the core
+/// would leave the caller waiting forever.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// What those who face callers need; cheap to clone.
+/// The state shared by caller interfaces; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// What nearly every part needs.
+    /// The shared environment.
     pub env: Env,
-    /// The core's state as of the last change.
+    /// The latest snapshot of the core's state.
     pub snapshots: watch::Receiver<Arc<Snapshot>>,
     /// The callers' connections.
     pub connections: Arc<Connections>,
-    /// How much callers may send.
+    /// Limits on what callers send.
     pub intake: Intake,
     /// The host's name.
     pub host: HostId,
-    /// Which life of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where the host stands.
+    /// The host's data centre.
     pub data_centre: DataCentre,
-    /// How long callers may keep the answer to the question which hosts to use.
+    /// How long callers may cache the list of entry hosts.
     pub entry_ttl: Duration,
 }
 
-/// A checked request with all that is needed to have it answered.
-#[expect(missing_debug_implementations, reason = "the way in which refusals are told shows nothing")]
+/// A validated request, ready for the core.
+#[expect(missing_debug_implementations, reason = "the refusal format has no useful debug output")]
 pub struct CheckedRequest {
-    /// Where the caller connects from.
+    /// The caller's socket address.
     pub caller: SocketAddr,
-    /// When its head came.
+    /// When its head arrived.
     pub begun: Instant,
-    /// What kind of target it is for, for the metrics.
+    /// The kind of target, as a metrics label.
     pub target: &'static str,
-    /// What the core is told.
+    /// The request as the core sees it.
     pub arrival: Arrival,
-    /// What is sent upstream.
+    /// The request as it is sent upstream.
     pub outgoing: Outgoing,
-    /// How refusals are told.
+    /// The format of refusals.
     pub refusals: Arc<dyn RefusalFormat>,
 }
 
 impl Exchange {
-    /// Returns the core's state as of the last change.
+    /// Returns the latest snapshot of the core's state.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         Arc::clone(&self.snapshots.borrow())
     }
 
-    /// Hands a checked request to the core and waits for the head of its answer.
+    /// Submits a request to the core and waits for the head of its answer.
     pub async fn run(&self, checked: CheckedRequest) -> WebResponse {
         let CheckedRequest { caller, begun, target, arrival, outgoing, refusals } = checked;
         let label = outgoing.label.clone();
         let (pending, reply) = PendingRequest::new(outgoing, Arc::clone(&refusals));
-        let overdue = self.env.clock.instant(arrival.deadline.after(OVERDUE));
+        let hard_deadline = self.env.clock.instant(arrival.deadline.after(ANSWER_GRACE));
         let request = self.env.requests.insert(pending);
         let watched = self.connections.get(caller);
         let guard = RequestGuard::begin(self.env.clone(), request, target, label, begun, watched);
         self.env.inbox.event(Event::Arrived { request, arrival }).await;
-        guard.respond(reply, overdue, &*refusals).await
+        guard.respond(reply, hard_deadline, &*refusals).await
     }
 
     /// Reads the whole body of a request.
     ///
     /// # Errors
     ///
-    /// It is too large, too slow or broken.
+    /// See [`BodyFault`].
     pub async fn read_body(
         &self,
         body: &mut RequestBody,
--- a/crates/skylarkshore-host/src/exchange/body.rs
+++ b/crates/skylarkshore-host/src/exchange/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request, which may be too large, too slow or broken.
+//! Reads request bodies within limits of size and time. Start with [`read`].
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -12,25 +12,25 @@
 
 use crate::config::Intake;
 
-/// How long the rest of a body that isn't wanted is read, so that its sender gets to read the answer.
-const READ_OFF_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much of it is read.
-const READ_OFF_LEN: usize = 8 * 1024 * 1024;
+/// How long the rest of a refused body is read, so that the sender can read the answer.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many bytes of a refused body are read.
+const MAX_DRAIN_LEN: usize = 8 * 1024 * 1024;
 
 /// Why a body can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// It is larger than what is taken.
+    /// It exceeds the size limit.
     TooLarge {
-        /// The most bytes that are taken.
+        /// The limit in bytes.
         limit: usize,
     },
-    /// It took too long.
+    /// It didn't arrive in time.
     Slow {
-        /// The longest time.
+        /// The time limit.
         limit: Duration,
     },
-    /// It ended early or isn't encoded as it says.
+    /// It ended early or is encoded wrongly.
     Broken,
 }
 
@@ -41,8 +41,9 @@
 /// See [`BodyFault`].
 pub async fn read(body: &mut RequestBody, intake: &Intake, headers: &HeaderMap) -> Result<Bytes, BodyFault> {
     let too_large = BodyFault::TooLarge { limit: intake.body_len };
-    let announced = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
-    if announced.is_some_and(|len| len > intake.body_len) {
+    let declared_len =
+        headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
+    if declared_len.is_some_and(|len| len > intake.body_len) {
         return Err(too_large);
     }
     let all = async {
@@ -59,22 +60,22 @@
     timeout(limit, all).await.unwrap_or(Err(BodyFault::Slow { limit }))
 }
 
-/// Reads the rest of a body that was refused, within limits.
+/// Drains the rest of a refused body, within limits.
 ///
-/// If the connection were closed with bytes unread, the system would reset it,
-/// and the sender could lose the answer that tells it what is wrong.
+/// Closing a connection with unread bytes makes the kernel reset it, and the
+/// sender could lose the answer that states the error.
 pub async fn read_off(body: &mut RequestBody) {
     let rest = async {
         let mut len = 0;
         while let Ok(Some(data)) = next(body).await {
             len += data.len();
-            if len > READ_OFF_LEN {
+            if len > MAX_DRAIN_LEN {
                 return;
             }
         }
     };
-    // A sender that goes on for longer loses the connection.
-    _ = timeout(READ_OFF_TIMEOUT, rest).await;
+    // After the time-out the connection is closed.
+    _ = timeout(DRAIN_TIMEOUT, rest).await;
 }
 
 async fn next(body: &mut RequestBody) -> Result<Option<Bytes>, BodyFault> {
--- a/crates/skylarkshore-host/src/exchange/connections.rs
+++ b/crates/skylarkshore-host/src/exchange/connections.rs
@@ -1,4 +1,6 @@
-//! Notices callers that go away while they wait.
+//! Watches callers' connections for disconnects while a request is in progress.
+//!
+//! Start with [`Connections`]; [`WatchedListener`] registers each accepted connection.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -13,46 +15,46 @@
 use xitca_io::net::Stream;
 use xitca_server::net::{IntoListener, Listen};
 
-/// A caller's connection as seen from beside the server.
+/// A handle to a caller's connection, independent of the server.
 #[derive(Clone, Debug)]
-pub(super) struct Watched {
-    gone: watch::Receiver<bool>,
-    cut: Arc<Notify>,
-    /// Whether a request on it is being answered.
+pub(super) struct WatchedConnection {
+    disconnected: watch::Receiver<bool>,
+    force_close: Arc<Notify>,
+    /// Whether a request is in progress on it.
     busy: Arc<AtomicBool>,
 }
 
-impl Watched {
-    /// Returns once the caller has closed the connection or broken it.
-    pub(super) async fn gone(&mut self) {
-        // A watcher that ended without a word has lost its connection too.
-        _ = self.gone.wait_for(|gone| *gone).await;
+impl WatchedConnection {
+    /// Waits until the caller has closed or reset the connection.
+    pub(super) async fn disconnected(&mut self) {
+        // If the watching task ended without reporting, the connection is lost too.
+        _ = self.disconnected.wait_for(|disconnected| *disconnected).await;
     }
 
-    /// Takes note of whether a request on it is being answered.
+    /// Records whether a request is in progress on it.
     pub(super) fn set_busy(&self, busy: bool) {
         self.busy.store(busy, Ordering::Relaxed);
     }
 
-    /// Breaks the connection, so that the caller can't take its answer for whole.
-    pub(super) fn cut(&self) {
-        self.cut.notify_one();
+    /// Shuts the connection down, so that the caller can't mistake a partial answer for a complete one.
+    pub(super) fn force_close(&self) {
+        self.force_close.notify_one();
     }
 }
 
-/// The callers' connections.
+/// The callers' open connections.
 ///
-/// The server reads from a connection only between requests, so that it would
-/// notice a caller that went away only when it next writes. A request that waits
-/// for a cold model would then be loaded and run for nobody. A second handle to
-/// the same socket is watched instead.
+/// The server reads from a connection only between requests and would detect a
+/// disconnect only at its next write. A request that waits for a cold model
+/// would then be loaded and run although its caller is gone. A duplicate handle
+/// to the same socket is watched instead.
 #[derive(Debug, Default)]
 pub struct Connections {
-    live: Mutex<OrderedMap<SocketAddr, Watched>>,
+    open: Mutex<OrderedMap<SocketAddr, WatchedConnection>>,
     closed: CancelFlag,
 }
 
-/// A flag that is set once and can be waited for.
+/// A flag that is set once and can be awaited.
 #[derive(Debug)]
 struct CancelFlag(watch::Sender<bool>);
 
@@ -63,50 +65,53 @@
 }
 
 impl Connections {
-    /// Takes no new connections, and ends those on which nothing is being answered.
+    /// Stops accepting connections and closes the idle ones.
     ///
-    /// A process that still took requests when it is made to end would cut them
-    /// off; a caller whose connection is closed between two requests goes to
-    /// another host.
+    /// Requests accepted until the process exits would be cut off. A caller whose
+    /// connection is closed between two requests retries at another host.
     pub fn close(&self) {
         self.closed.0.send_replace(true);
-        let live = self.live.lock().unwrap_or_else(PoisonError::into_inner);
-        for watched in live.values().filter(|watched| !watched.busy.load(Ordering::Relaxed)) {
-            watched.cut();
+        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
+        for watched in open.values().filter(|watched| !watched.busy.load(Ordering::Relaxed)) {
+            watched.force_close();
         }
     }
 
-    /// Tells whether no new requests are taken.
+    /// Reports whether new requests are rejected.
     pub fn is_closed(&self) -> bool {
         *self.closed.0.borrow()
     }
 
     async fn until_closed(&self) {
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so this can't fail.
         _ = self.closed.0.subscribe().wait_for(|closed| *closed).await;
     }
 
-    /// Returns the connection from an address.
-    pub(super) fn get(&self, caller: SocketAddr) -> Option<Watched> {
-        self.live.lock().unwrap_or_else(PoisonError::into_inner).get(&caller).cloned()
+    /// Returns the connection of a caller's socket address.
+    pub(super) fn get(&self, caller: SocketAddr) -> Option<WatchedConnection> {
+        self.open.lock().unwrap_or_else(PoisonError::into_inner).get(&caller).cloned()
     }
 
     fn watch(self: &Arc<Self>, stream: TcpStream, caller: SocketAddr) {
         let (tx, rx) = watch::channel(false);
-        let cut = Arc::new(Notify::new());
-        let watched = Watched { gone: rx, cut: Arc::clone(&cut), busy: Arc::default() };
-        self.live.lock().unwrap_or_else(PoisonError::into_inner).insert(caller, watched);
-        let this = Arc::clone(self);
+        let force_close = Arc::new(Notify::new());
+        let watched = WatchedConnection {
+            disconnected: rx,
+            force_close: Arc::clone(&force_close),
+            busy: Arc::default(),
+        };
+        self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(caller, watched);
+        let registry = Arc::clone(self);
         tokio::spawn(async move {
             tokio::select! {
                 () = until_closed(&stream) => {}
-                () = cut.notified() => {
-                    // A socket that is closed already needs no cutting.
+                () = force_close.notified() => {
+                    // Fails only if the socket is already closed.
                     _ = socket_shutdown(stream);
                 }
             }
-            // The address is free for another connection only after the socket is closed.
-            this.live.lock().unwrap_or_else(PoisonError::into_inner).remove(&caller);
+            // Another connection can use the address only after this socket is closed.
+            registry.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&caller);
             tx.send_replace(true);
         });
     }
@@ -116,20 +121,20 @@
     stream.into_std()?.shutdown(Shutdown::Both)
 }
 
-/// Returns once the other end has closed the connection or broken it.
+/// Waits until the other end has closed or reset the connection.
 async fn until_closed(stream: &TcpStream) {
     loop {
         let Ok(ready) = stream.ready(Interest::READABLE | Interest::ERROR).await else { return };
         if ready.is_read_closed() || ready.is_error() {
             return;
         }
-        // The bytes are the server's to read; only the next change is waited for.
-        let forget = || -> io::Result<()> { Err(io::ErrorKind::WouldBlock.into()) };
-        _ = stream.try_io(Interest::READABLE, forget);
+        // The server reads the bytes; clearing the readiness waits for the next change.
+        let clear_readiness = || -> io::Result<()> { Err(io::ErrorKind::WouldBlock.into()) };
+        _ = stream.try_io(Interest::READABLE, clear_readiness);
     }
 }
 
-/// Accepts connections and has each one watched.
+/// A listener that registers each accepted connection to be watched.
 #[derive(Debug)]
 pub struct WatchedListener {
     listener: std::net::TcpListener,
@@ -138,7 +143,7 @@
 }
 
 impl WatchedListener {
-    /// Makes a listener; the watching is done in `runtime`.
+    /// Creates a listener; the watching tasks run in `runtime`.
     pub const fn new(
         listener: std::net::TcpListener,
         connections: Arc<Connections>,
@@ -148,27 +153,27 @@
     }
 }
 
-/// A listener that runs.
+/// A running [`WatchedListener`].
 #[derive(Debug)]
-pub struct Accepting {
-    /// Gone once no new connections are taken.
+pub struct ActiveListener {
+    /// `None` once no new connections are accepted.
     listener: Mutex<Option<Arc<TcpListener>>>,
     connections: Arc<Connections>,
     runtime: Handle,
 }
 
 impl IntoListener for WatchedListener {
-    type Listener = Accepting;
+    type Listener = ActiveListener;
 
-    fn into_listener(self) -> io::Result<Accepting> {
+    fn into_listener(self) -> io::Result<ActiveListener> {
         self.listener.set_nonblocking(true)?;
         let listener = Mutex::new(Some(Arc::new(TcpListener::from_std(self.listener)?)));
-        Ok(Accepting { listener, connections: self.connections, runtime: self.runtime })
+        Ok(ActiveListener { listener, connections: self.connections, runtime: self.runtime })
     }
 }
 
-impl Accepting {
-    /// Returns the next connection; never, once no new ones are taken.
+impl ActiveListener {
+    /// Returns the next connection; never returns after [`Connections::close`].
     async fn next(&self) -> io::Result<(TcpStream, SocketAddr)> {
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if let Some(listener) = listener {
@@ -178,22 +183,22 @@
                 accepted = listener.accept() => return accepted,
             }
         }
-        // With the last handle the socket is closed, and callers are turned away at once.
+        // Dropping the last handle closes the socket, so that new connections are refused at once.
         drop(self.listener.lock().unwrap_or_else(PoisonError::into_inner).take());
         std::future::pending().await
     }
 }
 
-impl Listen for Accepting {
+impl Listen for ActiveListener {
     async fn accept(&self) -> io::Result<Stream> {
         let (stream, caller) = self.next().await?;
         stream.set_nodelay(true)?;
         let stream = stream.into_std()?;
-        // Without a second handle the caller's going away is noticed later, and nothing else.
-        if let Ok(second) = stream.try_clone() {
-            let _inside = self.runtime.enter();
-            if let Ok(second) = TcpStream::from_std(second) {
-                self.connections.watch(second, caller);
+        // Without a duplicate handle, a disconnect is only detected later.
+        if let Ok(duplicate) = stream.try_clone() {
+            let _runtime_guard = self.runtime.enter();
+            if let Ok(duplicate) = TcpStream::from_std(duplicate) {
+                self.connections.watch(duplicate, caller);
             }
         }
         Ok(Stream::Tcp(stream, caller))
--- a/crates/skylarkshore-host/src/exchange/reply.rs
+++ b/crates/skylarkshore-host/src/exchange/reply.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to the caller as it comes.
+//! Forwards an answer to the caller as it arrives. Start with [`RequestGuard::respond`].
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -19,38 +19,38 @@
 use xitca_web::http::WebResponse;
 
 use crate::env::Env;
-use crate::exchange::connections::Watched;
+use crate::exchange::connections::WatchedConnection;
 use crate::metrics::RequestEnd;
 use crate::pending::{Piece, RefusalFormat, Reply, ReplyBody};
 
-/// A request that the core knows of.
+/// Tracks a request that was submitted to the core until its answer has ended.
 ///
-/// When it is dropped before its end, the caller is gone: the core is told, so
-/// that the upstream's work stops.
+/// If it is dropped earlier, the caller has disconnected; the core is notified
+/// so that the upstream's work stops.
 pub(super) struct RequestGuard {
     env: Env,
     request: RequestId,
     target: &'static str,
     begun: Instant,
-    watched: Option<Watched>,
-    /// The caller's name for the request.
+    watched: Option<WatchedConnection>,
+    /// The request id that the caller chose, for the log.
     label: String,
-    pace: Pace,
-    /// Breaks the connection of a caller that doesn't read its answer.
+    timing: DeliveryTiming,
+    /// The task that closes the connection of a caller that doesn't read its answer.
     watchdog: Option<AbortHandle>,
     ended: bool,
 }
 
-/// How an answer went out.
+/// Timing of an answer's delivery, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct DeliveryTiming {
     first: Option<Instant>,
     last: Option<Instant>,
     longest_pause: Duration,
 }
 
-impl Pace {
-    fn piece(&mut self) {
+impl DeliveryTiming {
+    fn record_piece(&mut self) {
         let now = Instant::now();
         self.first.get_or_insert(now);
         let pause = self.last.replace(now).map_or(Duration::ZERO, |last| now - last);
@@ -58,7 +58,7 @@
     }
 }
 
-/// The answer isn't whole; makes the server close the connection uncleanly.
+/// The answer is incomplete; makes the server close the connection without a clean end.
 #[derive(Debug, Display, Error)]
 #[display("the answer was broken off; ask again")]
 pub(super) struct BrokenOff;
@@ -70,7 +70,7 @@
         target: &'static str,
         label: String,
         begun: Instant,
-        watched: Option<Watched>,
+        watched: Option<WatchedConnection>,
     ) -> Self {
         env.metrics.request_begun();
         if let Some(watched) = &watched {
@@ -83,60 +83,60 @@
             begun,
             watched,
             label,
-            pace: Pace::default(),
+            timing: DeliveryTiming::default(),
             watchdog: None,
             ended: false,
         }
     }
 
-    /// Waits for the head of the answer, and makes the response of it.
+    /// Waits for the head of the answer and builds the response.
     pub(super) async fn respond(
         mut self,
         reply: oneshot::Receiver<Reply>,
-        overdue: Instant,
+        hard_deadline: Instant,
         refusals: &dyn RefusalFormat,
     ) -> WebResponse {
         let mut watched = self.watched.clone();
         let reply = tokio::select! {
             reply = reply => reply.ok(),
-            () = gone(watched.as_mut()) => {
-                // Nobody reads this; dropping the request tells the core.
+            () = disconnected(watched.as_mut()) => {
+                // The caller has disconnected; dropping `self` notifies the core.
                 return WebResponse::new(ResponseBody::empty());
             }
-            () = tokio::time::sleep_until(overdue) => None,
+            () = tokio::time::sleep_until(hard_deadline) => None,
         };
         let Some(reply) = reply else {
-            self.env.metrics.noted("request_unanswered");
+            self.env.metrics.count_event("request_unanswered");
             error!(self.env.log, "request_unanswered"; "request" => %self.request);
             self.end(RequestEnd::Refused("unknown"));
             self.env.inbox.event(Event::CallerGone { request: self.request }).await;
-            return unanswered(refusals);
+            return unanswered_refusal(refusals);
         };
-        self.env.metrics.request_answering(self.target, self.begun.elapsed());
-        self.watch_over(overdue);
-        self.pass_on(reply)
+        self.env.metrics.answer_started(self.target, self.begun.elapsed());
+        self.schedule_close(hard_deadline);
+        self.forward(reply)
     }
 
-    /// Breaks the connection at a time, unless the answer has ended by then.
+    /// Schedules a shutdown of the connection, unless the answer ends before.
     ///
-    /// The server waits without limit for a caller that takes no bytes. Such a
-    /// caller would hold its connection and the request's memory for ever.
-    fn watch_over(&mut self, overdue: Instant) {
+    /// The server waits without limit for a caller that reads nothing. Such a
+    /// caller would hold its connection and the request's memory forever.
+    fn schedule_close(&mut self, hard_deadline: Instant) {
         let Some(watched) = self.watched.clone() else { return };
         let task = tokio::spawn(async move {
-            tokio::time::sleep_until(overdue).await;
-            watched.cut();
+            tokio::time::sleep_until(hard_deadline).await;
+            watched.force_close();
         });
         self.watchdog = Some(task.abort_handle());
     }
 
-    fn pass_on(mut self, reply: Reply) -> WebResponse {
+    fn forward(mut self, reply: Reply) -> WebResponse {
         let body = match reply.body {
-            ReplyBody::Whole { body, end } => {
+            ReplyBody::Complete { body, end } => {
                 self.end(end);
                 ResponseBody::bytes(body)
             }
-            ReplyBody::Pieces { pieces, len } => ResponseBody::boxed(PassedOn::new(self, pieces, len)),
+            ReplyBody::Pieces { pieces, len } => ResponseBody::boxed(ForwardedBody::new(self, pieces, len)),
         };
         let mut res = WebResponse::new(body);
         *res.status_mut() = reply.status;
@@ -158,10 +158,10 @@
         let took = self.begun.elapsed();
         self.env.requests.remove(self.request);
         self.env.metrics.request_ended(self.target, end, took);
-        let first = self.pace.first.map_or(took, |first| first - self.begun);
+        let first = self.timing.first.map_or(took, |first| first - self.begun);
         if self.env.may_log("request_ended") {
             info!(self.env.log, "request_ended"; "target" => self.target,
-                "longest_pause_ms" => self.pace.longest_pause.as_millis(), "first_ms" => first.as_millis(),
+                "longest_pause_ms" => self.timing.longest_pause.as_millis(), "first_ms" => first.as_millis(),
                 "ms" => took.as_millis(), "end" => ?end, "request" => %self.request, "id" => &self.label);
         }
     }
@@ -176,52 +176,52 @@
     }
 }
 
-async fn gone(watched: Option<&mut Watched>) {
+async fn disconnected(watched: Option<&mut WatchedConnection>) {
     match watched {
-        Some(watched) => watched.gone().await,
+        Some(watched) => watched.disconnected().await,
         None => std::future::pending().await,
     }
 }
 
-/// Tells a caller that the core gave no answer, whose outcome is therefore unknown.
-fn unanswered(refusals: &dyn RefusalFormat) -> WebResponse {
+/// Builds the refusal for a request that the core left unanswered; its outcome is unknown.
+fn unanswered_refusal(refusals: &dyn RefusalFormat) -> WebResponse {
     let refusal = Refusal {
         outcome: RefusalOutcome::Unknown,
         reason: RefusalReason::DeadlinePassedRunning,
         retry_after: Some(Duration::from_secs(1)),
     };
-    let told = refusals.whole(&refusal);
-    let mut res = WebResponse::new(ResponseBody::bytes(told.body));
-    *res.status_mut() = told.status;
-    *res.headers_mut() = told.headers;
+    let formatted = refusals.whole(&refusal);
+    let mut res = WebResponse::new(ResponseBody::bytes(formatted.body));
+    *res.status_mut() = formatted.status;
+    *res.headers_mut() = formatted.headers;
     res
 }
 
-/// The body of an answer that is passed on.
-struct PassedOn {
+/// A response body that forwards the pieces of an answer.
+struct ForwardedBody {
     guard: RequestGuard,
     pieces: mpsc::Receiver<Piece>,
     len: Option<u64>,
-    gone: BoxFuture<'static, ()>,
+    disconnected: BoxFuture<'static, ()>,
     broken_off: bool,
 }
 
-impl PassedOn {
+impl ForwardedBody {
     fn new(guard: RequestGuard, pieces: mpsc::Receiver<Piece>, len: Option<u64>) -> Self {
         let mut watched = guard.watched.clone();
-        let gone = async move { gone(watched.as_mut()).await }.boxed();
-        Self { guard, pieces, len, gone, broken_off: false }
+        let disconnected = async move { disconnected(watched.as_mut()).await }.boxed();
+        Self { guard, pieces, len, disconnected, broken_off: false }
     }
 
     fn break_off(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         if let Some(watched) = &self.guard.watched {
-            watched.cut();
+            watched.force_close();
         }
         Poll::Ready(Some(Err(BrokenOff)))
     }
 }
 
-impl Body for PassedOn {
+impl Body for ForwardedBody {
     type Data = Bytes;
     type Error = BrokenOff;
 
@@ -232,12 +232,12 @@
         if self.broken_off {
             return Poll::Ready(None);
         }
-        if self.gone.poll_unpin(cx).is_ready() {
+        if self.disconnected.poll_unpin(cx).is_ready() {
             return self.break_off();
         }
         match ready!(self.pieces.poll_recv(cx)) {
             Some(Piece::Data(data)) => {
-                self.guard.pace.piece();
+                self.guard.timing.record_piece();
                 Poll::Ready(Some(Ok(Frame::Data(data))))
             }
             Some(Piece::End) => {
@@ -254,7 +254,7 @@
                 self.break_off()
             }
             None => {
-                // The sender ended without a last piece: a short answer isn't passed off as whole.
+                // The sender ended without a final piece, so the answer is incomplete.
                 self.guard.end(RequestEnd::BrokenOff);
                 self.break_off()
             }
--- a/crates/skylarkshore-host/src/lib.rs
+++ b/crates/skylarkshore-host/src/lib.rs
@@ -29,7 +29,7 @@
 
 mod callers;
 mod etcd_platform;
-mod hosts;
+mod host_list;
 mod operators;
 mod peers;
 mod probe;
--- a/crates/skylarkshore-host/src/metrics.rs
+++ b/crates/skylarkshore-host/src/metrics.rs
@@ -28,7 +28,7 @@
     duration: HistogramVec,
     first_byte: HistogramVec,
     attempts: IntCounterVec,
-    notes: IntCounterVec,
+    log_events: IntCounterVec,
     store_calls: IntCounterVec,
     store_duration: Histogram,
     peer_messages: IntCounterVec,
@@ -117,7 +117,7 @@
                 opts("upstream_attempts_total", "Tries at upstreams that came to an end, by how."),
                 &["end"],
             )?,
-            notes: IntCounterVec::new(
+            log_events: IntCounterVec::new(
                 opts("events_total", "Events that are also logged, by name."),
                 &["event"],
             )?,
@@ -165,7 +165,7 @@
             Box::new(self.duration.clone()),
             Box::new(self.first_byte.clone()),
             Box::new(self.attempts.clone()),
-            Box::new(self.notes.clone()),
+            Box::new(self.log_events.clone()),
             Box::new(self.store_calls.clone()),
             Box::new(self.store_duration.clone()),
             Box::new(self.peer_messages.clone()),
@@ -179,7 +179,7 @@
         self.in_progress.inc();
     }
 
-    pub(crate) fn request_answering(&self, target: &str, after: Duration) {
+    pub(crate) fn answer_started(&self, target: &str, after: Duration) {
         self.first_byte.with_label_values(&[target]).observe(after.as_secs_f64());
     }
 
@@ -207,8 +207,8 @@
     }
 
     /// Counts an event that operators ought to know of.
-    pub fn noted(&self, event: &str) {
-        self.notes.with_label_values(&[event]).inc();
+    pub fn count_event(&self, event: &str) {
+        self.log_events.with_label_values(&[event]).inc();
     }
 
     /// Counts a call to the key-value service.
@@ -232,7 +232,7 @@
         self.peer_dropped.inc();
     }
 
-    pub(crate) fn event_taken(&self) {
+    pub(crate) fn core_event_handled(&self) {
         self.events.inc();
     }
 
--- a/crates/skylarkshore-host/src/pending.rs
+++ b/crates/skylarkshore-host/src/pending.rs
@@ -1,4 +1,6 @@
-//! A request in progress: what is sent upstream, and how its answer gets back to the caller.
+//! Requests in progress: what is sent upstream, and the channel that returns the answer.
+//!
+//! Start with [`PendingRequest`]; [`Requests`] is the table of all of them.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,36 +19,36 @@
 
 use crate::metrics::RequestEnd;
 
-/// Pieces of an answer that may wait for a slow caller before the upstream is slowed down.
-const PIECES: usize = 16;
-/// How long a slow caller is given to take the last piece of an answer that is broken off.
+/// Pieces of an answer buffered for a slow caller before backpressure reaches the upstream.
+const MAX_BUFFERED_PIECES: usize = 16;
+/// How long a slow caller may take to accept the last piece of an aborted answer.
 const LAST_PIECE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is sent upstream.
+/// A request as it is sent upstream.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// The caller's name for the request, for the log.
+    /// The request id that the caller chose, for the log.
     pub label: String,
     /// The method.
     pub method: Method,
     /// The path and query.
     pub path: String,
-    /// The caller's headers that concern the upstream.
+    /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
 }
 
-/// How refusals are told to callers.
+/// The format in which refusals are sent to callers.
 pub trait RefusalFormat: Send + Sync {
-    /// Makes the answer to a request of which no part was answered.
+    /// Builds the refusal of a request for which nothing was forwarded yet.
     fn whole(&self, refusal: &Refusal) -> RefusalTold;
 
-    /// Makes the last bytes of a stream that is broken off, if the caller can understand any.
+    /// Builds the final event of an aborted stream, if the format has one.
     fn last_event(&self, refusal: &Refusal) -> Option<Bytes>;
 }
 
-/// A refusal as the caller gets it.
+/// A refusal as it is sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusalTold {
     /// The status.
@@ -57,11 +59,11 @@
     pub body: Bytes,
 }
 
-/// The product's own refusals: JSON that says what was run.
+/// The product's own format: JSON that states the outcome.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct JsonRefusals;
+pub(crate) struct JsonRefusalFormat;
 
-impl RefusalFormat for JsonRefusals {
+impl RefusalFormat for JsonRefusalFormat {
     fn whole(&self, refusal: &Refusal) -> RefusalTold {
         let (status, headers) = refusal_head(refusal);
         RefusalTold { status, headers, body: refusal_json(refusal) }
@@ -72,7 +74,7 @@
     }
 }
 
-/// The head of an answer and a way to its body.
+/// The head of an answer and its body.
 #[derive(Debug)]
 pub struct Reply {
     /// The status.
@@ -86,61 +88,61 @@
 /// The body of an answer.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// It is here as a whole.
-    Whole {
+    /// The complete body.
+    Complete {
         /// The bytes.
         body: Bytes,
-        /// How the request ends with it.
+        /// How the request ends once it is sent.
         end: RequestEnd,
     },
-    /// It comes in pieces.
+    /// A body that is forwarded as it arrives.
     Pieces {
         /// The pieces.
         pieces: mpsc::Receiver<Piece>,
-        /// The length in all, where it is known.
+        /// The total length, if known.
         len: Option<u64>,
     },
 }
 
-/// A piece of a body. A body whose last piece is neither an end nor a break was lost here.
+/// A piece of a body. A body that ends without `End` or `BrokenOff` is incomplete.
 #[derive(Debug)]
 pub enum Piece {
     /// Some bytes.
     Data(Bytes),
     /// The body is complete.
     End,
-    /// The body is broken off; the last bytes, if any, tell the caller so.
+    /// The body is aborted; the last bytes, if any, state the error.
     BrokenOff(Option<Bytes>),
 }
 
-/// The head of an answer that is about to be passed on.
+/// The head of an answer to forward.
 #[derive(Debug)]
 pub struct Head {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The length of the body, where it is known.
+    /// The length of the body, if known.
     pub len: Option<u64>,
     /// Whether it is a stream of server-sent events.
     pub events: bool,
 }
 
-/// Nobody takes the answer any more: the caller is gone, or another attempt took over.
+/// The answer has no receiver: the caller has disconnected or another attempt has taken over.
 #[derive(Debug)]
 pub struct Closed;
 
-/// How far a stream of events has been passed on.
+/// How much of an event stream has been forwarded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
-    /// How many data events.
+    /// The number of data events.
     pub events: u64,
     /// The id of the last event that had one.
     pub last_id: Option<HeaderValue>,
 }
 
 impl Delivered {
-    fn add(&mut self, more: Self) {
+    fn extend(&mut self, more: Self) {
         self.events += more.events;
         if more.last_id.is_some() {
             self.last_id = more.last_id;
@@ -150,11 +152,11 @@
 
 #[derive(Debug)]
 enum State {
-    /// Nothing was passed on yet.
+    /// Nothing was forwarded yet.
     Waiting(oneshot::Sender<Reply>),
-    /// A part was passed on.
-    Passing { pieces: mpsc::Sender<Piece>, events: bool, delivered: Delivered },
-    /// The last piece was passed on.
+    /// A part was forwarded.
+    Forwarding { pieces: mpsc::Sender<Piece>, events: bool, delivered: Delivered },
+    /// The last piece was forwarded.
     Done,
 }
 
@@ -162,12 +164,12 @@
 struct Inner {
     state: State,
     attempt: AttemptId,
-    /// A whole answer that says that its upstream failed, unless another one does better.
-    kept: Option<Kept>,
+    /// A complete answer in which the upstream reports a failure; forwarded if no other attempt succeeds.
+    failure_answer: Option<FailureAnswer>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct FailureAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -175,7 +177,7 @@
 
 /// A request in progress.
 pub struct PendingRequest {
-    /// What is sent upstream.
+    /// The request as it is sent upstream.
     pub outgoing: Outgoing,
     refusals: Arc<dyn RefusalFormat>,
     inner: Mutex<Inner>,
@@ -193,71 +195,77 @@
         refusals: Arc<dyn RefusalFormat>,
     ) -> (Self, oneshot::Receiver<Reply>) {
         let (tx, rx) = oneshot::channel();
-        let inner = Inner { state: State::Waiting(tx), attempt: AttemptId::default(), kept: None };
+        let inner = Inner { state: State::Waiting(tx), attempt: AttemptId::default(), failure_answer: None };
         (Self { outgoing, refusals, inner: Mutex::new(inner) }, rx)
     }
 
-    /// Lets an attempt pass its answer on, and none before it.
+    /// Makes an attempt the only one that can forward its answer.
     ///
-    /// An attempt that was cancelled may still be in the middle of passing a
-    /// piece on. Without this check that piece would land in the next attempt's
-    /// answer, and the caller would get a mixture of both.
+    /// A cancelled attempt may still be forwarding a piece. Without this check
+    /// that piece would be mixed into the next attempt's answer.
     ///
-    /// Returns how much of a stream the caller has already.
+    /// Returns how much of a stream the caller already has.
     pub(crate) fn begin_attempt(&self, attempt: AttemptId) -> Delivered {
         let mut inner = self.lock();
         inner.attempt = attempt;
         match &inner.state {
-            State::Passing { delivered, .. } => delivered.clone(),
+            State::Forwarding { delivered, .. } => delivered.clone(),
             State::Waiting(_) | State::Done => Delivered::default(),
         }
     }
 
-    /// Tells whether the caller has got a part of the answer.
-    pub(crate) fn has_passed_on(&self) -> bool {
+    /// Reports whether a part of the answer was forwarded.
+    pub(crate) fn has_forwarded(&self) -> bool {
         !matches!(self.lock().state, State::Waiting(_))
     }
 
-    /// Passes the head on, unless an earlier attempt did.
+    /// Forwards the head, unless an earlier attempt did.
     ///
-    /// An upstream that answers the resumption of a stream with anything but a
-    /// stream can't go on with it; its error text would land among the events.
-    pub(crate) fn pass_head(&self, attempt: AttemptId, head: Head) -> Result<(), Closed> {
+    /// When a stream is resumed, the answer must be a stream too; otherwise its
+    /// error text would be inserted among the events.
+    pub(crate) fn forward_head(&self, attempt: AttemptId, head: Head) -> Result<(), Closed> {
         let mut inner = self.lock();
         if inner.attempt != attempt {
             return Err(Closed);
         }
         let waiting = match std::mem::replace(&mut inner.state, State::Done) {
             State::Waiting(tx) => tx,
-            State::Passing { pieces, events, delivered } => {
-                inner.state = State::Passing { pieces, events, delivered };
+            State::Forwarding { pieces, events, delivered } => {
+                inner.state = State::Forwarding { pieces, events, delivered };
                 return if head.events && events { Ok(()) } else { Err(Closed) };
             }
             State::Done => return Err(Closed),
         };
-        let (tx, rx) = mpsc::channel(PIECES);
+        let (tx, rx) = mpsc::channel(MAX_BUFFERED_PIECES);
         let body = ReplyBody::Pieces { pieces: rx, len: head.len };
-        waiting.send(Reply { status: head.status, headers: head.headers, body }).map_err(|_gone| Closed)?;
-        inner.state = State::Passing { pieces: tx, events: head.events, delivered: Delivered::default() };
+        waiting
+            .send(Reply { status: head.status, headers: head.headers, body })
+            .map_err(|_disconnected| Closed)?;
+        inner.state = State::Forwarding { pieces: tx, events: head.events, delivered: Delivered::default() };
         Ok(())
     }
 
-    /// Passes bytes on that hold whole events, if any; waits while the caller is slow.
-    pub(crate) async fn pass(&self, attempt: AttemptId, bytes: Bytes, more: Delivered) -> Result<(), Closed> {
-        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_gone| Closed)?;
+    /// Forwards bytes, which in a stream hold only whole events; waits while the caller is slow.
+    pub(crate) async fn forward(
+        &self,
+        attempt: AttemptId,
+        bytes: Bytes,
+        more: Delivered,
+    ) -> Result<(), Closed> {
+        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| Closed)?;
         let mut inner = self.lock();
         if inner.attempt != attempt {
             return Err(Closed);
         }
-        let State::Passing { delivered, .. } = &mut inner.state else { return Err(Closed) };
-        delivered.add(more);
+        let State::Forwarding { delivered, .. } = &mut inner.state else { return Err(Closed) };
+        delivered.extend(more);
         permit.send(Piece::Data(bytes));
         Ok(())
     }
 
-    /// Passes the end on.
-    pub(crate) async fn end(&self, attempt: AttemptId) -> Result<(), Closed> {
-        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_gone| Closed)?;
+    /// Forwards the end of the body.
+    pub(crate) async fn forward_end(&self, attempt: AttemptId) -> Result<(), Closed> {
+        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| Closed)?;
         let mut inner = self.lock();
         if inner.attempt != attempt {
             return Err(Closed);
@@ -267,8 +275,8 @@
         Ok(())
     }
 
-    /// Passes on a whole answer at once, unless an earlier attempt has passed a part on.
-    pub(crate) fn pass_whole(
+    /// Forwards a complete answer, unless an earlier attempt has forwarded a part.
+    pub(crate) fn forward_complete(
         &self,
         attempt: AttemptId,
         status: StatusCode,
@@ -284,21 +292,27 @@
         Ok(())
     }
 
-    /// Keeps a whole answer that says that its upstream failed.
-    pub(crate) fn keep(&self, attempt: AttemptId, status: StatusCode, headers: HeaderMap, body: Bytes) {
+    /// Stores a complete answer in which the upstream reports a failure.
+    pub(crate) fn store_failure(
+        &self,
+        attempt: AttemptId,
+        status: StatusCode,
+        headers: HeaderMap,
+        body: Bytes,
+    ) {
         let mut inner = self.lock();
         if inner.attempt == attempt {
-            inner.kept = Some(Kept { status, headers, body });
+            inner.failure_answer = Some(FailureAnswer { status, headers, body });
         }
     }
 
-    /// Passes the kept answer on.
-    pub(crate) fn pass_kept(&self) {
-        let Some(Kept { status, headers, body }) = self.lock().kept.take() else { return };
+    /// Forwards the stored failure answer, if any.
+    pub(crate) fn forward_failure(&self) {
+        let Some(FailureAnswer { status, headers, body }) = self.lock().failure_answer.take() else { return };
         self.reply(status, headers, body, RequestEnd::Answered);
     }
 
-    /// Gives the caller a kept answer.
+    /// Sends a recorded answer to the caller.
     pub(crate) fn answer(&self, answer: RecordedAnswer) {
         let mut headers = HeaderMap::new();
         if let Some(value) = answer.content_type.and_then(|value| HeaderValue::try_from(value).ok()) {
@@ -308,7 +322,7 @@
         self.reply(status, headers, answer.body.into(), RequestEnd::Answered);
     }
 
-    /// Refuses the request, or breaks the answer off where a part was passed on.
+    /// Refuses the request, or aborts the answer if a part was forwarded.
     pub(crate) fn refuse(&self, refusal: &Refusal) {
         let mut inner = self.lock();
         let state = std::mem::replace(&mut inner.state, State::Done);
@@ -316,11 +330,11 @@
         match state {
             State::Waiting(tx) => {
                 let RefusalTold { status, headers, body } = self.refusals.whole(refusal);
-                let body = ReplyBody::Whole { body, end: refusal_end(refusal) };
-                // Nobody is left to tell if the caller is gone.
+                let body = ReplyBody::Complete { body, end: refusal_end(refusal) };
+                // Fails only if the caller has disconnected.
                 _ = tx.send(Reply { status, headers, body });
             }
-            State::Passing { pieces, events, .. } => {
+            State::Forwarding { pieces, events, .. } => {
                 let last = if events { self.refusals.last_event(refusal) } else { None };
                 break_off(pieces, last);
             }
@@ -331,15 +345,15 @@
     fn reply(&self, status: StatusCode, headers: HeaderMap, body: Bytes, end: RequestEnd) {
         let state = std::mem::replace(&mut self.lock().state, State::Done);
         if let State::Waiting(tx) = state {
-            // Nobody is left to tell if the caller is gone.
-            _ = tx.send(Reply { status, headers, body: ReplyBody::Whole { body, end } });
+            // Fails only if the caller has disconnected.
+            _ = tx.send(Reply { status, headers, body: ReplyBody::Complete { body, end } });
         }
     }
 
     fn sender(&self, attempt: AttemptId) -> Result<mpsc::Sender<Piece>, Closed> {
         let inner = self.lock();
         match &inner.state {
-            State::Passing { pieces, .. } if inner.attempt == attempt => Ok(pieces.clone()),
+            State::Forwarding { pieces, .. } if inner.attempt == attempt => Ok(pieces.clone()),
             _ => Err(Closed),
         }
     }
@@ -349,12 +363,12 @@
     }
 }
 
-/// Sends the last piece, at once where there is room.
+/// Sends the last piece without blocking the caller of this function.
 fn break_off(pieces: mpsc::Sender<Piece>, last: Option<Bytes>) {
     let Err(mpsc::error::TrySendError::Full(piece)) = pieces.try_send(Piece::BrokenOff(last)) else {
         return;
     };
-    // A caller that doesn't read is let go; its connection is closed either way.
+    // After the time-out the piece is dropped; the connection is closed either way.
     tokio::spawn(async move { pieces.send_timeout(piece, LAST_PIECE_TIMEOUT).await });
 }
 
@@ -371,14 +385,14 @@
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = refusal.retry_after {
-        headers.insert(RETRY_AFTER, HeaderValue::from(whole_secs(after)));
+        headers.insert(RETRY_AFTER, HeaderValue::from(ceil_secs(after)));
     }
     let status = StatusCode::from_u16(refusal_status(refusal)).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     (status, headers)
 }
 
-/// Rounds up to whole seconds, at least one, as the header has it.
-fn whole_secs(d: Duration) -> u64 {
+/// Rounds up to whole seconds, at least one, for `retry-after`.
+fn ceil_secs(d: Duration) -> u64 {
     (d.as_secs() + u64::from(d.subsec_nanos() > 0)).max(1)
 }
 
@@ -392,12 +406,12 @@
     })
 }
 
-/// How many ended requests keep their names for the log.
+/// How many ended requests keep their labels for the log.
 ///
-/// The core decides on a request after its caller has gone. Without the name,
-/// that line couldn't be found by the id under which the caller complains. It
-/// is written within milliseconds, in which far fewer requests end.
-const NAMES_KEPT: usize = 256;
+/// The core logs a decision after the caller has disconnected; without the
+/// label, that line couldn't be found by the caller's request id. The line is
+/// written within milliseconds, in which far fewer requests end.
+const MAX_ENDED_LABELS: usize = 256;
 
 /// The requests in progress.
 #[derive(Debug, Default)]
@@ -409,12 +423,12 @@
 #[derive(Debug, Default)]
 struct Table {
     pending: HashMap<RequestId, Arc<PendingRequest>>,
-    /// The callers' names of the requests that ended last.
+    /// The labels of the requests that ended last.
     ended: VecDeque<(RequestId, String)>,
 }
 
 impl Requests {
-    /// Takes a request up and gives it its number.
+    /// Adds a request and assigns its id.
     pub(crate) fn insert(&self, pending: PendingRequest) -> RequestId {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed) + 1);
         self.lock().pending.insert(id, Arc::new(pending));
@@ -425,7 +439,7 @@
         self.lock().pending.get(&id).cloned()
     }
 
-    /// Returns the caller's name of a request in progress or of one that has just ended.
+    /// Returns the label of a request in progress or of one that has just ended.
     pub(crate) fn label(&self, id: RequestId) -> Option<String> {
         let table = self.lock();
         if let Some(pending) = table.pending.get(&id) {
@@ -437,7 +451,7 @@
     pub(crate) fn remove(&self, id: RequestId) {
         let mut table = self.lock();
         let Some(pending) = table.pending.remove(&id) else { return };
-        if table.ended.len() >= NAMES_KEPT {
+        if table.ended.len() >= MAX_ENDED_LABELS {
             table.ended.pop_front();
         }
         table.ended.push_back((id, pending.outgoing.label.clone()));
--- a/crates/skylarkshore-host/src/pool.rs
+++ b/crates/skylarkshore-host/src/pool.rs
@@ -1,4 +1,6 @@
-//! Connections to upstreams, kept for reuse only after whole and clean answers.
+//! A pool of connections to upstreams, which are reused only after complete and valid answers.
+//!
+//! Start with [`Pool`].
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -18,21 +20,21 @@
 
 use crate::call_error::{CallError, chain};
 
-/// How long a connection may take to be made; data centres lie a millisecond
-/// apart, and an upstream whose queue of connections is full answers no sooner.
+/// Time-out for connecting. Data centres are a millisecond apart; an upstream whose
+/// accept queue is full answers no sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long bytes may stay unacknowledged before the connection is given up.
+/// How long sent bytes may stay unacknowledged before the connection fails.
 ///
-/// A connection can go silent for good without a reset. Only this and the
-/// probes show it; without them a request would wait for its deadline.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
-/// After how long without traffic the other end is probed, and how often.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
-/// How long a connection is kept for reuse, where the upstream states nothing.
-const KEEP_FOR: Duration = Duration::from_secs(3);
-/// Connections that are kept for one address.
-const KEPT_PER_ADDRESS: usize = 32;
+/// A connection can go silent without a reset. Only this limit and the
+/// keep-alive probes detect it; otherwise a request would wait for its deadline.
+const ACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle time before a keep-alive probe, interval of the probes, and their number.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_PROBES: u32 = 2;
+/// The longest time that an idle connection is kept; the upstream may state a shorter one.
+const MAX_IDLE: Duration = Duration::from_secs(3);
+/// The most idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
 /// A connection that is closed when it is dropped.
 #[derive(Debug)]
@@ -44,26 +46,26 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The upstream stops working on a request when its connection closes.
+        // Closing the connection makes the upstream stop working on its request.
         self.task.abort();
     }
 }
 
 impl Connection {
-    /// Connects anew.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// No connection can be made in time.
+    /// The connection fails or times out.
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_elapsed| not_connected(&"timed out"))?
             .map_err(|err| not_connected(&err))?;
-        prepare(&stream).map_err(|err| not_connected(&err))?;
+        configure_socket(&stream).map_err(|err| not_connected(&err))?;
         let (sender, connection) =
             handshake(TokioIo::new(stream)).await.map_err(|err| not_connected(&err))?;
-        // A failure of the connection shows in the answer.
+        // Errors of the connection are also reported by the response.
         let task = tokio::spawn(async move { _ = connection.await }).abort_handle();
         Ok(Self { address, sender, task })
     }
@@ -82,75 +84,76 @@
     CallError::NotConnected { reason: reason.to_string() }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(PROBES);
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
+    let probes =
+        TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(MAX_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Connections that wait to be used again.
+/// Idle connections, by address.
 #[derive(Debug, Default)]
 pub struct Pool {
-    kept: Mutex<HashMap<SocketAddr, Vec<Kept>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Returns a kept connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// No connection can be made in time.
+    /// The connection fails or times out.
     pub async fn get(&self, address: SocketAddr) -> Result<Connection, CallError> {
-        match self.take_kept(address) {
+        match self.take_idle(address) {
             Some(connection) => Ok(connection),
             None => Connection::open(address).await,
         }
     }
 
-    /// Keeps a connection whose last answer was whole and clean.
+    /// Returns a connection to the pool after a complete and valid answer.
     ///
-    /// Whatever came with or after a wrong answer belongs to no request; a
-    /// connection that carried one is dropped instead of being given here.
-    pub async fn put_back(&self, mut connection: Connection, keep_for: Option<Duration>) {
-        // It becomes ready once the answer's last bytes are taken.
+    /// Bytes that follow an invalid answer belong to no request; a connection that
+    /// carried one must be dropped instead.
+    pub async fn put(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
+        // The connection becomes ready once the answer has been read completely.
         let ready = timeout(Duration::from_millis(100), connection.sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
         }
-        let until = Instant::now() + keep_for.unwrap_or(KEEP_FOR).min(KEEP_FOR);
-        let mut kept = self.lock();
-        let of_address = kept.entry(connection.address).or_default();
-        if of_address.len() < KEPT_PER_ADDRESS {
-            of_address.push(Kept { connection, until });
+        let expires_at = Instant::now() + idle_timeout.unwrap_or(MAX_IDLE).min(MAX_IDLE);
+        let mut idle = self.lock();
+        let for_address = idle.entry(connection.address).or_default();
+        if for_address.len() < MAX_IDLE_PER_ADDRESS {
+            for_address.push(IdleConnection { connection, expires_at });
         }
     }
 
-    fn take_kept(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
-        let mut kept = self.lock();
-        let of_address = kept.get_mut(&address)?;
-        of_address.retain(|kept| kept.until > now && kept.connection.sender.is_ready());
-        let connection = of_address.pop().map(|kept| kept.connection);
-        if of_address.is_empty() {
-            kept.remove(&address);
+        let mut idle = self.lock();
+        let for_address = idle.get_mut(&address)?;
+        for_address.retain(|idle| idle.expires_at > now && idle.connection.sender.is_ready());
+        let connection = for_address.pop().map(|idle| idle.connection);
+        if for_address.is_empty() {
+            idle.remove(&address);
         }
         connection
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Kept>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Names what went wrong with a connection, with all causes.
+/// Returns the text of a connection error with all its causes.
 pub(crate) fn reason(err: &hyper::Error) -> String {
     chain(err)
 }
--- a/crates/skylarkshore-host/src/upstreams.rs
+++ b/crates/skylarkshore-host/src/upstreams.rs
@@ -1,8 +1,10 @@
-//! Sends requests to upstreams and passes their answers on.
+//! Sends requests to upstreams and forwards their answers.
+//!
+//! Start with [`Upstreams`]; [`UpstreamProtocol`] is the part that differs between platforms.
 
 mod attempt;
 mod events;
-mod own;
+mod native;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,90 +26,90 @@
 
 use attempt::Attempt;
 
-pub(crate) use own::{OwnUpstreams, forwarded};
+pub(crate) use native::{NativeUpstreams, forwarded};
 
-/// One try at having a request answered.
-#[expect(clippy::struct_excessive_bools, reason = "each says one thing of the try, and all are independent")]
+/// One attempt at a request.
+#[expect(clippy::struct_excessive_bools, reason = "the options are independent of each other")]
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// The request.
     pub request: RequestId,
-    /// The number of the try.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Where it is sent.
+    /// The upstream it is sent to.
     pub upstream: Upstream,
-    /// By when the answer has to be complete.
+    /// When the answer has to be complete.
     pub deadline: Time,
-    /// The order of service.
+    /// The request's priority.
     pub order: ServiceOrder,
-    /// Whether to go on where an earlier attempt's stream broke off.
+    /// Whether to resume the stream of an earlier attempt.
     pub resume: bool,
-    /// Whether to hold the answer back until it is recorded.
+    /// Whether to withhold the answer until it is recorded.
     pub hold: bool,
-    /// Whether the request may not run a second time.
+    /// Whether the request may run at most once.
     pub once: bool,
-    /// Whether another upstream is asked if this one answers that it failed.
+    /// Whether another attempt follows if the upstream reports a failure.
     pub keep_failure: bool,
 }
 
-/// What a protocol needs to know to write the head of a request.
+/// The input of a protocol for the head of a request.
 #[derive(Debug)]
 pub struct Call<'a> {
-    /// The try.
+    /// The attempt.
     pub dispatch: &'a Dispatch,
     /// The caller's request.
     pub outgoing: &'a Outgoing,
-    /// How long the answer may take.
+    /// The time left for the answer.
     pub remaining: Duration,
-    /// How much of a stream the caller has already.
+    /// How much of a stream the caller already has.
     pub delivered: &'a Delivered,
 }
 
-/// What the head of an answer means.
+/// The meaning of an answer's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is the answer to the request.
     Answer,
-    /// It is the answer to the request, and says that the upstream failed.
+    /// It is the answer to the request and reports a failure of the upstream.
     Failure,
-    /// It says that the upstream did nothing.
+    /// It says that the upstream did not run the request.
     NotRun(Rejection),
-    /// Its body tells whether the upstream did nothing.
+    /// Its body tells whether the upstream ran the request.
     PerhapsNotRun,
-    /// It belongs to another request, or to none.
+    /// It belongs to another request or to none.
     Foreign,
 }
 
-/// How a stream of events ends.
+/// How an event stream ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// With an event that says so.
+    /// With an end marker event.
     Marker,
-    /// With its body.
+    /// With the end of the body.
     Body,
 }
 
-/// How requests are sent to upstreams, and what their answers mean.
+/// The HTTP conventions between a host and its upstreams.
 pub trait UpstreamProtocol: Send + Sync {
-    /// Writes the headers of one try.
+    /// Writes the headers of an attempt.
     fn write_head(&self, call: &Call<'_>, headers: &mut HeaderMap);
 
-    /// Tells what the head of an answer means.
+    /// Interprets the head of an answer.
     fn read_head(&self, call: &Call<'_>, status: StatusCode, headers: &HeaderMap) -> Verdict;
 
-    /// Reads what a short body says, where the head left it open.
+    /// Reads a rejection from a short body after [`Verdict::PerhapsNotRun`].
     fn read_not_run(&self, body: &[u8]) -> Option<Rejection>;
 
-    /// Removes what doesn't concern the caller from an answer's headers.
+    /// Removes the headers of an answer that aren't meant for the caller.
     fn clean_answer(&self, headers: &mut HeaderMap);
 
-    /// Reads how much the upstream has to do, where it tells.
+    /// Reads the upstream's load, if the answer reports it.
     fn read_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// Tells whether an answer without a length may end with its connection.
+    /// Reports whether an answer without a length may end with its connection.
     fn takes_unframed(&self) -> bool;
 
-    /// Tells how the streams of an upstream end.
+    /// Returns how the streams of an upstream end.
     fn stream_end(&self, upstream: &Upstream) -> StreamEnd;
 }
 
@@ -117,7 +119,7 @@
     protocol: Arc<dyn UpstreamProtocol>,
     pool: Arc<Pool>,
     env: Env,
-    /// The largest answer that is held back, in bytes.
+    /// The largest answer that is held for recording, in bytes.
     hold_limit: usize,
 }
 
@@ -126,15 +128,15 @@
         Self { protocol, pool: Arc::new(Pool::default()), env, hold_limit }
     }
 
-    /// Makes the try and returns how it ended.
+    /// Runs an attempt and returns its outcome.
     pub(crate) async fn send(&self, dispatch: Dispatch) -> AttemptOutcome {
         let Some(pending) = self.env.requests.get(dispatch.request) else { return AttemptOutcome::NotSent };
         let deadline = self.env.clock.instant(dispatch.deadline);
         let attempt = Attempt::new(self, &dispatch, &pending);
         let end = match tokio::time::timeout_at(deadline, attempt.run()).await {
             Ok(end) => end,
-            // Slow isn't dead: the deadline says nothing about the upstream's health.
-            Err(_elapsed) => AttemptOutcome::Lost { passed_on: pending.has_passed_on(), died: false },
+            // A missed deadline doesn't count as a failure of the upstream.
+            Err(_elapsed) => AttemptOutcome::Lost { passed_on: pending.has_forwarded(), died: false },
         };
         self.env.metrics.attempt_ended(&end);
         debug!(self.env.log, "attempt_ended";
@@ -169,7 +171,7 @@
     }
 }
 
-/// Headers that belong to one connection and aren't passed on.
+/// Headers that belong to one connection and aren't forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
@@ -181,7 +183,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes what belongs to one connection, also what its `connection` header names.
+/// Removes the hop-by-hop headers, including those named by the `connection` header.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/skylarkshore-host/src/upstreams/attempt.rs
+++ b/crates/skylarkshore-host/src/upstreams/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at an upstream, from the connection to the end of the answer.
+//! One attempt at an upstream, from the connection to the end of the answer. Start with [`Attempt::run`].
 
 use std::time::Duration;
 
@@ -18,45 +18,45 @@
 use crate::upstreams::events::Splitter;
 use crate::upstreams::{Call, Dispatch, StreamEnd, Upstreams, Verdict, remove_hop_by_hop};
 
-/// The largest body that says that nothing was run.
+/// The largest body of a rejection, in bytes.
 const MAX_NOT_RUN_LEN: usize = 1024;
-/// The largest answer that is read whole before any of it is passed on.
+/// The largest answer that is read completely before it is forwarded, in bytes.
 ///
-/// One that is cut short can then be asked for again, and the caller never sees
-/// the half of it.
-const WHOLE_LIMIT: usize = 64 * 1024;
-/// How long the last chunk may follow the end marker of a stream.
-const READ_OFF_TIMEOUT: Duration = Duration::from_millis(200);
+/// If such an answer is cut short, the request can be retried, since the caller
+/// has received none of it.
+const MAX_BUFFERED_ANSWER_LEN: usize = 64 * 1024;
+/// How long the rest of a body may take after a stream's end marker or a rejection's head.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// One try.
+/// An attempt in progress.
 pub(super) struct Attempt<'a> {
     upstreams: &'a Upstreams,
     dispatch: &'a Dispatch,
     pending: &'a PendingRequest,
 }
 
-/// Why the answer isn't whole.
-enum Cut {
+/// Why an answer is incomplete.
+enum AnswerError {
     /// The connection broke or the body was cut short.
     Broken,
-    /// The answer can't be trusted or understood.
+    /// The answer belongs to another request or is malformed.
     Unusable,
-    /// Nobody takes it any more.
+    /// The answer has no receiver any more.
     Closed,
 }
 
-impl From<Closed> for Cut {
+impl From<Closed> for AnswerError {
     fn from(_: Closed) -> Self {
         Self::Closed
     }
 }
 
-/// An answer whose head has come.
-struct Begun {
+/// An answer whose head has arrived.
+struct StartedAnswer {
     head: Head,
     body: Incoming,
     connection: Connection,
-    keep_for: Option<Duration>,
+    idle_timeout: Option<Duration>,
     is_failure: bool,
 }
 
@@ -72,7 +72,7 @@
     pub(super) async fn run(&self) -> AttemptOutcome {
         let delivered = self.pending.begin_attempt(self.dispatch.attempt);
         let call = self.upstreams.call(self.dispatch, self.pending, &delivered);
-        let (res, connection) = match self.exchange(&call).await {
+        let (res, connection) = match self.send_request(&call).await {
             Ok(answered) => answered,
             Err(end) => return end,
         };
@@ -80,64 +80,70 @@
             let upstream = self.dispatch.upstream.id.clone();
             self.upstreams.env.inbox.event_later(Event::LoadReported { upstream, load });
         }
-        match self.take(&call, res, connection).await {
+        match self.handle_response(&call, res, connection).await {
             Ok(end) => end,
-            Err(cut) => self.lost(&cut),
+            Err(error) => self.lost_outcome(&error),
         }
     }
 
     /// Sends the request and waits for the head of the answer.
     ///
-    /// One that may not be repeated gets a connection of its own. On a reused
-    /// one it could arrive just as the upstream closes it, and whether it was
-    /// run couldn't be told.
-    async fn exchange(&self, call: &Call<'_>) -> Result<(Response<Incoming>, Connection), AttemptOutcome> {
+    /// An at-most-once request gets a new connection. A reused one could be
+    /// closed by the upstream just as the request arrives, which would leave it
+    /// unknown whether the request ran.
+    async fn send_request(
+        &self,
+        call: &Call<'_>,
+    ) -> Result<(Response<Incoming>, Connection), AttemptOutcome> {
         let address = self.dispatch.upstream.address;
         let connection = if self.dispatch.once {
             Connection::open(address).await
         } else {
             self.upstreams.pool.get(address).await
         };
-        let mut connection = connection.map_err(|err| self.not_answered(&err.to_string(), None))?;
+        let mut connection = connection.map_err(|err| self.no_answer(&err.to_string(), None))?;
         let req = self.upstreams.request(call);
-        let res = connection.send(req).await.map_err(|err| self.not_answered(&reason(&err), Some(&err)))?;
+        let res = connection.send(req).await.map_err(|err| self.no_answer(&reason(&err), Some(&err)))?;
         Ok((res, connection))
     }
 
-    fn not_answered(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptOutcome {
+    fn no_answer(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptOutcome {
         debug!(self.upstreams.env.log, "upstream_gave_no_answer";
             "upstream" => %self.dispatch.upstream.id, "request" => %self.dispatch.request, "reason" => reason);
-        // A cancelled request never left this process's own queue.
+        // A request that hyper cancelled was never written to the connection.
         let Some(cause) = cause.filter(|cause| !cause.is_canceled()) else { return AttemptOutcome::NotSent };
-        self.lost(if cause.is_parse() { &Cut::Unusable } else { &Cut::Broken })
+        self.lost_outcome(if cause.is_parse() { &AnswerError::Unusable } else { &AnswerError::Broken })
     }
 
-    fn lost(&self, cut: &Cut) -> AttemptOutcome {
-        AttemptOutcome::Lost { passed_on: self.pending.has_passed_on(), died: matches!(cut, Cut::Broken) }
+    fn lost_outcome(&self, error: &AnswerError) -> AttemptOutcome {
+        AttemptOutcome::Lost {
+            passed_on: self.pending.has_forwarded(),
+            died: matches!(error, AnswerError::Broken),
+        }
     }
 
-    async fn take(
+    async fn handle_response(
         &self,
         call: &Call<'_>,
         res: Response<Incoming>,
         connection: Connection,
-    ) -> Result<AttemptOutcome, Cut> {
+    ) -> Result<AttemptOutcome, AnswerError> {
         let protocol = &self.upstreams.protocol;
         let verdict = protocol.read_head(call, res.status(), res.headers());
-        let keep_for = keep_for(res.headers());
+        let idle_timeout = idle_timeout(res.headers());
         let (parts, body) = res.into_parts();
         match verdict {
             Verdict::Foreign => {
-                self.upstreams.env.metrics.noted("answer_crossed");
+                self.upstreams.env.metrics.count_event("answer_crossed");
                 warn!(self.upstreams.env.log, "answer_crossed";
                     "upstream" => %self.dispatch.upstream.id, "request" => %self.dispatch.request);
-                return Err(Cut::Unusable);
+                return Err(AnswerError::Unusable);
             }
             Verdict::NotRun(rejection) => {
-                return Ok(self.take_rejection(rejection, body, connection, keep_for).await);
+                return Ok(self.drain_rejection(rejection, body, connection, idle_timeout).await);
             }
             Verdict::PerhapsNotRun => {
-                return self.take_perhaps_not_run(parts.status, parts.headers, body).await;
+                return self.read_possible_rejection(parts.status, parts.headers, body).await;
             }
             Verdict::Answer | Verdict::Failure => {}
         }
@@ -146,202 +152,209 @@
         let events = is_stream && (has_marker || protocol.takes_unframed());
         let framed = body.size_hint().exact().is_some() || parts.headers.contains_key(TRANSFER_ENCODING);
         if !framed && !events && !protocol.takes_unframed() {
-            return Err(Cut::Unusable);
+            return Err(AnswerError::Unusable);
         }
         let head = self.head(parts.status, parts.headers, &body, events);
         let is_failure = verdict == Verdict::Failure;
-        let begun = Begun { head, body, connection, keep_for, is_failure };
+        let started = StartedAnswer { head, body, connection, idle_timeout, is_failure };
         if self.dispatch.hold {
-            return self.hold(begun.head, begun.body).await;
+            return self.hold(started.head, started.body).await;
         }
         if events {
-            return self.pass_events(begun).await;
+            return self.forward_events(started).await;
         }
-        self.pass_body(begun).await
+        self.forward_body(started).await
     }
 
     fn head(&self, status: StatusCode, mut headers: HeaderMap, body: &Incoming, events: bool) -> Head {
         remove_hop_by_hop(&mut headers);
         self.upstreams.protocol.clean_answer(&mut headers);
-        // The answer to HEAD tells the length of a body that doesn't follow.
+        // The answer to HEAD states the length of a body that isn't sent.
         if self.pending.outgoing.method != Method::HEAD {
             headers.remove(CONTENT_LENGTH);
         }
-        // A stream that is resumed gets longer than the first upstream has said.
+        // A resumed stream can exceed the length that the first upstream announced.
         let len = body.size_hint().exact().filter(|_| !events);
         Head { status, headers, len, events }
     }
 
-    /// Reads what is left of an answer that says that nothing was run, so that its connection can be used again.
-    async fn take_rejection(
+    /// Drains a rejection's body, so that its connection can be reused.
+    async fn drain_rejection(
         &self,
         rejection: Rejection,
         body: Incoming,
         connection: Connection,
-        keep_for: Option<Duration>,
+        idle_timeout: Option<Duration>,
     ) -> AttemptOutcome {
         let rest = Limited::new(body, MAX_NOT_RUN_LEN).collect();
-        if let Ok(Ok(_rest)) = tokio::time::timeout(READ_OFF_TIMEOUT, rest).await {
-            self.keep(connection, keep_for);
+        if let Ok(Ok(_rest)) = tokio::time::timeout(DRAIN_TIMEOUT, rest).await {
+            self.return_to_pool(connection, idle_timeout);
         }
         AttemptOutcome::Rejected(rejection)
     }
 
-    /// Reads a short answer that may say that nothing was run.
-    async fn take_perhaps_not_run(
+    /// Reads a short answer that may be a rejection.
+    async fn read_possible_rejection(
         &self,
         status: StatusCode,
         headers: HeaderMap,
         body: Incoming,
-    ) -> Result<AttemptOutcome, Cut> {
+    ) -> Result<AttemptOutcome, AnswerError> {
         let limited = Limited::new(body, MAX_NOT_RUN_LEN);
-        let body = limited.collect().await.map_err(|_cut| Cut::Broken)?.to_bytes();
+        let body = limited.collect().await.map_err(|_error| AnswerError::Broken)?.to_bytes();
         if let Some(rejection) = self.upstreams.protocol.read_not_run(&body) {
             return Ok(AttemptOutcome::Rejected(rejection));
         }
         if self.dispatch.hold {
-            return Ok(whole_held(status, &headers, &body));
+            return Ok(completed_for_recording(status, &headers, &body));
         }
         let mut headers = headers;
         remove_hop_by_hop(&mut headers);
         self.upstreams.protocol.clean_answer(&mut headers);
         headers.remove(CONTENT_LENGTH);
-        self.pending.pass_whole(self.dispatch.attempt, status, headers, body)?;
+        self.pending.forward_complete(self.dispatch.attempt, status, headers, body)?;
         Ok(AttemptOutcome::Completed { held: None })
     }
 
-    /// Passes an answer on, as a whole where it is short enough.
-    async fn pass_body(&self, mut begun: Begun) -> Result<AttemptOutcome, Cut> {
+    /// Forwards an answer, in one piece if it fits [`MAX_BUFFERED_ANSWER_LEN`].
+    async fn forward_body(&self, mut started: StartedAnswer) -> Result<AttemptOutcome, AnswerError> {
         let mut read = BytesMut::new();
-        while let Some(data) = next_data(&mut begun.body).await? {
+        while let Some(data) = next_data(&mut started.body).await? {
             read.extend_from_slice(&data);
-            if read.len() > WHOLE_LIMIT {
-                return self.pass_long_body(begun, read.freeze()).await;
+            if read.len() > MAX_BUFFERED_ANSWER_LEN {
+                return self.forward_long_body(started, read.freeze()).await;
             }
         }
         let attempt = self.dispatch.attempt;
-        let Begun { head, connection, keep_for, is_failure, .. } = begun;
-        self.keep(connection, keep_for);
+        let StartedAnswer { head, connection, idle_timeout, is_failure, .. } = started;
+        self.return_to_pool(connection, idle_timeout);
         if is_failure && self.dispatch.keep_failure {
-            self.pending.keep(attempt, head.status, head.headers, read.freeze());
+            self.pending.store_failure(attempt, head.status, head.headers, read.freeze());
             return Ok(AttemptOutcome::CompletedWithFailure);
         }
-        self.pending.pass_whole(attempt, head.status, head.headers, read.freeze())?;
+        self.pending.forward_complete(attempt, head.status, head.headers, read.freeze())?;
         Ok(AttemptOutcome::Completed { held: None })
     }
 
-    async fn pass_long_body(&self, begun: Begun, read: Bytes) -> Result<AttemptOutcome, Cut> {
+    async fn forward_long_body(
+        &self,
+        started: StartedAnswer,
+        read: Bytes,
+    ) -> Result<AttemptOutcome, AnswerError> {
         let attempt = self.dispatch.attempt;
-        let Begun { head, mut body, connection, keep_for, .. } = begun;
-        self.begin_to_pass(head).await?;
-        self.pending.pass(attempt, read, Delivered::default()).await?;
+        let StartedAnswer { head, mut body, connection, idle_timeout, .. } = started;
+        self.start_forwarding(head).await?;
+        self.pending.forward(attempt, read, Delivered::default()).await?;
         while let Some(data) = next_data(&mut body).await? {
-            self.pending.pass(attempt, data, Delivered::default()).await?;
+            self.pending.forward(attempt, data, Delivered::default()).await?;
         }
-        self.pending.end(attempt).await?;
-        self.keep(connection, keep_for);
+        self.pending.forward_end(attempt).await?;
+        self.return_to_pool(connection, idle_timeout);
         Ok(AttemptOutcome::Completed { held: None })
     }
 
-    /// Passes whole events on, from the first one, up to the end of the stream.
-    async fn pass_events(&self, begun: Begun) -> Result<AttemptOutcome, Cut> {
-        let Begun { head, mut body, connection, keep_for, .. } = begun;
+    /// Forwards complete events up to the end of the stream; the head follows with the first one.
+    async fn forward_events(&self, started: StartedAnswer) -> Result<AttemptOutcome, AnswerError> {
+        let StartedAnswer { head, mut body, connection, idle_timeout, .. } = started;
         let ends_with_marker =
             self.upstreams.protocol.stream_end(&self.dispatch.upstream) == StreamEnd::Marker;
         let attempt = self.dispatch.attempt;
         let mut splitter = Splitter::default();
         let mut head = Some(head);
         while let Some(data) = next_data(&mut body).await? {
-            let Some(events) = splitter.push(&data).map_err(|_too_large| Cut::Unusable)? else { continue };
+            let Some(events) = splitter.push(&data).map_err(|_too_large| AnswerError::Unusable)? else {
+                continue;
+            };
             if let Some(head) = head.take() {
-                self.begin_to_pass(head).await?;
+                self.start_forwarding(head).await?;
             }
-            self.pending.pass(attempt, events.bytes, events.delivered).await?;
-            if events.ends && ends_with_marker {
-                self.pending.end(attempt).await?;
-                tokio::spawn(read_off(body, connection));
+            self.pending.forward(attempt, events.bytes, events.delivered).await?;
+            if events.has_end_marker && ends_with_marker {
+                self.pending.forward_end(attempt).await?;
+                tokio::spawn(drain(body, connection));
                 return Ok(AttemptOutcome::Completed { held: None });
             }
         }
         if ends_with_marker || splitter.is_within_event() {
-            return Err(Cut::Broken);
+            return Err(AnswerError::Broken);
         }
         if let Some(head) = head.take() {
-            self.begin_to_pass(head).await?;
+            self.start_forwarding(head).await?;
         }
-        self.pending.end(attempt).await?;
-        self.keep(connection, keep_for);
+        self.pending.forward_end(attempt).await?;
+        self.return_to_pool(connection, idle_timeout);
         Ok(AttemptOutcome::Completed { held: None })
     }
 
-    async fn begin_to_pass(&self, head: Head) -> Result<(), Cut> {
+    async fn start_forwarding(&self, head: Head) -> Result<(), AnswerError> {
         self.upstreams.env.inbox.event(Event::AnswerStarted { attempt: self.dispatch.attempt }).await;
-        self.pending.pass_head(self.dispatch.attempt, head)?;
+        self.pending.forward_head(self.dispatch.attempt, head)?;
         Ok(())
     }
 
-    /// Keeps a connection whose answer was whole and clean.
-    fn keep(&self, connection: Connection, keep_for: Option<Duration>) {
+    /// Returns a connection to the pool after a complete and valid answer.
+    fn return_to_pool(&self, connection: Connection, idle_timeout: Option<Duration>) {
         if self.dispatch.once {
             return;
         }
         let pool = std::sync::Arc::clone(&self.upstreams.pool);
-        tokio::spawn(async move { pool.put_back(connection, keep_for).await });
+        tokio::spawn(async move { pool.put(connection, idle_timeout).await });
     }
 
-    /// Holds the answer back to be recorded first; passes it on where it is too large for that.
-    async fn hold(&self, head: Head, mut body: Incoming) -> Result<AttemptOutcome, Cut> {
-        let mut kept = BytesMut::new();
+    /// Holds the answer for recording; forwards it at once if it is too large for that.
+    async fn hold(&self, head: Head, mut body: Incoming) -> Result<AttemptOutcome, AnswerError> {
+        let mut buffer = BytesMut::new();
         while let Some(data) = next_data(&mut body).await? {
-            kept.extend_from_slice(&data);
-            if kept.len() > self.upstreams.hold_limit {
-                return self.pass_too_large(head, kept.freeze(), body).await;
+            buffer.extend_from_slice(&data);
+            if buffer.len() > self.upstreams.hold_limit {
+                return self.forward_unrecorded(head, buffer.freeze(), body).await;
             }
         }
-        if head.events && !ends_with_marker(&kept) {
-            return Err(Cut::Broken);
+        if head.events && !ends_with_marker(&buffer) {
+            return Err(AnswerError::Broken);
         }
-        Ok(whole_held(head.status, &head.headers, &kept))
+        Ok(completed_for_recording(head.status, &head.headers, &buffer))
     }
 
-    /// Passes an answer on that is too large to be recorded.
+    /// Forwards an answer that is too large to be recorded.
     ///
-    /// It is read to its end even when the caller has gone: the request has run,
-    /// and whoever asks under its key has to hear that rather than `unknown`.
-    async fn pass_too_large(
+    /// It is read to its end even if the caller has disconnected: the request has
+    /// run, and a repeat under the same key must get that outcome, not `unknown`.
+    async fn forward_unrecorded(
         &self,
         head: Head,
-        kept: Bytes,
+        buffer: Bytes,
         mut body: Incoming,
-    ) -> Result<AttemptOutcome, Cut> {
+    ) -> Result<AttemptOutcome, AnswerError> {
         let attempt = self.dispatch.attempt;
         let events = head.events;
-        let mut tail = tail_of(&kept);
+        let mut tail = tail_of(&buffer);
         self.upstreams.env.inbox.event(Event::AnswerStarted { attempt }).await;
-        let mut taken = self.pending.pass_head(attempt, head);
-        if taken.is_ok() {
-            taken = self.pending.pass(attempt, kept, Delivered::default()).await;
+        let mut forwarded = self.pending.forward_head(attempt, head);
+        if forwarded.is_ok() {
+            forwarded = self.pending.forward(attempt, buffer, Delivered::default()).await;
         }
         while let Some(data) = next_data(&mut body).await? {
             tail = tail_of(&[tail.as_ref(), data.as_ref()].concat());
-            if taken.is_ok() {
-                taken = self.pending.pass(attempt, data, Delivered::default()).await;
+            if forwarded.is_ok() {
+                forwarded = self.pending.forward(attempt, data, Delivered::default()).await;
             }
         }
         if events && !ends_with_marker(&tail) {
-            return Err(Cut::Broken);
+            return Err(AnswerError::Broken);
         }
-        if taken.is_ok() {
-            // A caller that goes away now has missed nothing but the end.
-            _ = self.pending.end(attempt).await;
+        if forwarded.is_ok() {
+            // A caller that disconnects now has received the complete body.
+            _ = self.pending.forward_end(attempt).await;
         }
         Ok(AttemptOutcome::CompletedTooLarge)
     }
 }
 
-async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, Cut> {
+async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, AnswerError> {
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|err| if err.is_parse() { Cut::Unusable } else { Cut::Broken })?;
+        let frame =
+            frame.map_err(|err| if err.is_parse() { AnswerError::Unusable } else { AnswerError::Broken })?;
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
         }
@@ -349,25 +362,25 @@
     Ok(None)
 }
 
-/// Reads what follows the end marker, so that the upstream sees its answer taken to the end.
-async fn read_off(mut body: Incoming, connection: Connection) {
+/// Drains a body after its end marker, so that the upstream sees its answer read to the end.
+async fn drain(mut body: Incoming, connection: Connection) {
     let rest = async { while let Ok(Some(_)) = next_data(&mut body).await {} };
-    // An upstream that doesn't end its answer loses the connection.
-    _ = tokio::time::timeout(READ_OFF_TIMEOUT, rest).await;
+    // After the time-out the connection is closed.
+    _ = tokio::time::timeout(DRAIN_TIMEOUT, rest).await;
     drop(connection);
 }
 
-/// Returns how long the upstream says that it keeps an idle connection, less what a request needs to arrive.
-fn keep_for(headers: &HeaderMap) -> Option<Duration> {
-    const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Returns the upstream's keep-alive time-out, less the time that a request needs to arrive.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    const TRANSIT_MARGIN: Duration = Duration::from_millis(500);
 
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     let secs = timeout.trim().parse::<u64>().ok()?;
-    Some(Duration::from_secs(secs).saturating_sub(ON_THE_WAY))
+    Some(Duration::from_secs(secs).saturating_sub(TRANSIT_MARGIN))
 }
 
-fn whole_held(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> AttemptOutcome {
+fn completed_for_recording(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> AttemptOutcome {
     let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let answer = RecordedAnswer {
         status: status.as_u16(),
@@ -382,7 +395,7 @@
     content_type.split(';').next().unwrap_or_default().trim().eq_ignore_ascii_case("text/event-stream")
 }
 
-/// Longer than the end marker with its field name and blank lines.
+/// Exceeds the length of the end marker with its field name and blank lines, in bytes.
 const TAIL_LEN: usize = 64;
 
 fn tail_of(bytes: &[u8]) -> Bytes {
--- a/crates/skylarkshore-host/src/upstreams/events.rs
+++ b/crates/skylarkshore-host/src/upstreams/events.rs
@@ -1,4 +1,4 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events at event boundaries. Start with [`Splitter`].
 
 use bytes::{Bytes, BytesMut};
 use http::HeaderValue;
@@ -6,28 +6,27 @@
 
 use crate::pending::Delivered;
 
-/// The largest single event in bytes.
+/// The largest single event, in bytes.
 const MAX_EVENT_LEN: usize = 4 * 1024 * 1024;
 
-/// Whole events that can be passed on together.
+/// Consecutive complete events.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Events {
     pub(super) bytes: Bytes,
-    /// How many of them carry data, the end marker not counted, and the last id.
+    /// The number of data events, without the end marker, and the last id.
     pub(super) delivered: Delivered,
-    /// Whether the last one is the end marker.
-    pub(super) ends: bool,
+    /// Whether the last event is the end marker.
+    pub(super) has_end_marker: bool,
 }
 
-/// An event is larger than any engine sends.
+/// An event exceeds [`MAX_EVENT_LEN`], which is more than any engine sends.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct EventTooLarge;
 
-/// Cuts a stream into whole events.
+/// Buffers a stream and releases complete events.
 ///
-/// Only whole events are passed on. If half an event were, and the stream then
-/// broke off, the resumed stream would go on in the middle of it and the caller
-/// would read a garbled event.
+/// If a partial event were forwarded before the stream broke, the resumed
+/// stream would continue inside it and the caller would read a corrupt event.
 #[derive(Debug, Default)]
 pub(super) struct Splitter {
     buf: BytesMut,
@@ -35,17 +34,17 @@
 }
 
 impl Splitter {
-    /// Takes bytes in and returns the whole events that they complete, if any.
+    /// Adds bytes and returns the events that they complete, if any.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, EventTooLarge> {
         self.buf.extend_from_slice(bytes);
-        let (mut end, mut ends) = (0, false);
+        let (mut end, mut has_end_marker) = (0, false);
         let mut delivered = Delivered::default();
-        while !ends {
+        while !has_end_marker {
             let Some(len) = event_len(&self.buf[end..], self.scanned.saturating_sub(end)) else { break };
             let event = &self.buf[end..end + len];
-            match kind(event) {
+            match event_kind(event) {
                 Kind::Data => delivered.events += 1,
-                Kind::End => ends = true,
+                Kind::End => has_end_marker = true,
                 Kind::Other => {}
             }
             delivered.last_id = id_of(event).or(delivered.last_id);
@@ -55,10 +54,10 @@
         if end == 0 {
             return if self.buf.len() > MAX_EVENT_LEN { Err(EventTooLarge) } else { Ok(None) };
         }
-        Ok(Some(Events { bytes: self.buf.split_to(end).freeze(), delivered, ends }))
+        Ok(Some(Events { bytes: self.buf.split_to(end).freeze(), delivered, has_end_marker }))
     }
 
-    /// Tells whether an event has begun and not ended.
+    /// Reports whether the buffer holds a partial event.
     pub(super) fn is_within_event(&self) -> bool {
         !self.buf.is_empty()
     }
@@ -71,15 +70,15 @@
     HeaderValue::from_bytes(id).ok()
 }
 
-/// Returns the length of the first event with its blank line; `scanned` bytes hold none.
+/// Returns the length of the first event with its blank line; the first `scanned` bytes hold no end.
 fn event_len(buf: &[u8], scanned: usize) -> Option<usize> {
-    const LONGEST_END: usize = 4;
+    const MAX_TERMINATOR_LEN: usize = 4;
 
-    let from = scanned.saturating_sub(LONGEST_END);
+    let from = scanned.saturating_sub(MAX_TERMINATOR_LEN);
     (from..buf.len()).find_map(|i| {
         let rest = &buf[i..];
-        let ends: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
-        ends.iter().find(|end| rest.starts_with(end)).map(|end| i + end.len())
+        let has_end_marker: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
+        has_end_marker.iter().find(|end| rest.starts_with(end)).map(|end| i + end.len())
     })
 }
 
@@ -89,7 +88,7 @@
     Other,
 }
 
-fn kind(event: &[u8]) -> Kind {
+fn event_kind(event: &[u8]) -> Kind {
     let mut lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
     let Some(data) = lines.find_map(|line| line.strip_prefix(b"data:")) else { return Kind::Other };
     if data.trim_ascii() == STREAM_END.as_bytes() { Kind::End } else { Kind::Data }
--- a/crates/skylarkshore-host/src/upstreams/native.rs
+++ b/crates/skylarkshore-host/src/upstreams/native.rs
@@ -12,15 +12,15 @@
 
 /// The product's own protocol.
 ///
-/// Engines echo request ids, say when they ran nothing, and can resume streams;
-/// plain services promise nothing beyond HTTP.
+/// Engines echo request ids, reject requests that they don't run, and can resume
+/// streams; plain services guarantee nothing beyond HTTP.
 #[derive(Debug)]
-pub(crate) struct OwnUpstreams {
-    /// What request ids begin with, so that no two processes use the same.
+pub(crate) struct NativeUpstreams {
+    /// The prefix that makes request ids unique across processes.
     id_prefix: String,
 }
 
-impl OwnUpstreams {
+impl NativeUpstreams {
     pub(crate) fn new(host: &HostId, incarnation: Incarnation) -> Self {
         Self { id_prefix: format!("{host}-{incarnation}") }
     }
@@ -31,7 +31,7 @@
     }
 }
 
-impl UpstreamProtocol for OwnUpstreams {
+impl UpstreamProtocol for NativeUpstreams {
     fn write_head(&self, call: &Call<'_>, headers: &mut HeaderMap) {
         headers.insert(REQUEST_ID_HEADER, self.request_id(call));
         headers.insert(PRIORITY_HEADER, HeaderValue::from(call.dispatch.order.0));
@@ -43,18 +43,18 @@
     }
 
     fn read_head(&self, call: &Call<'_>, status: StatusCode, headers: &HeaderMap) -> Verdict {
-        // An upstream that mixes up its connections would show one caller another's
-        // answer. The id that it is sent differs for each try everywhere.
+        // An upstream that mixes up its connections could send one caller's answer
+        // to another. The id is unique to each attempt across all hosts.
         let is_engine = call.dispatch.upstream.engine().is_some();
-        let is_echoed = match headers.get(REQUEST_ID_HEADER) {
+        let echoes_id = match headers.get(REQUEST_ID_HEADER) {
             Some(echoed) if *echoed == self.request_id(call) => true,
             Some(_) => return Verdict::Foreign,
             None if is_engine => return Verdict::Foreign,
             None => false,
         };
         let says_not_run = matches!(status, StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS);
-        // A service that doesn't echo ids may mean something else by these answers.
-        if is_echoed && says_not_run { Verdict::PerhapsNotRun } else { Verdict::Answer }
+        // A service that doesn't echo ids may use these statuses for something else.
+        if echoes_id && says_not_run { Verdict::PerhapsNotRun } else { Verdict::Answer }
     }
 
     fn read_not_run(&self, body: &[u8]) -> Option<Rejection> {
@@ -70,30 +70,30 @@
     }
 
     fn takes_unframed(&self) -> bool {
-        // Without a length or chunks an answer that was cut short looks whole.
+        // Without a length or chunks, an answer that was cut short looks complete.
         false
     }
 
     fn stream_end(&self, upstream: &Upstream) -> StreamEnd {
-        // A plain service promises no end marker; its streams end with their last chunk.
+        // Plain services send no end marker; their streams end with the last chunk.
         if upstream.engine().is_some() { StreamEnd::Marker } else { StreamEnd::Body }
     }
 }
 
-/// Returns the caller's headers that concern the upstream.
+/// Returns the caller's headers that are forwarded upstream.
 ///
-/// Compression isn't asked for, as the events of a stream have to be told apart.
+/// `accept-encoding` is removed, as the events of a compressed stream can't be split.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     remove_hop_by_hop(&mut headers);
     for name in [HOST, CONTENT_LENGTH, EXPECT, ACCEPT_ENCODING] {
         headers.remove(name);
     }
-    // The key is between the caller and this system.
+    // The account key must not reach the upstream.
     for name in [AUTHORIZATION, HeaderName::from_static(ACCOUNT_HEADER)] {
         headers.remove(name);
     }
-    // These are this system's own; the upstream gets them anew for each try.
+    // The protocol sets these for each attempt.
     for name in [REQUEST_ID_HEADER, PRIORITY_HEADER, TIMEOUT_HEADER, RESUME_HEADER] {
         headers.remove(name);
     }
