--- a/crates/skylarkshore-host/src/accounts.rs
+++ b/crates/skylarkshore-host/src/accounts.rs
@@ -1,4 +1,4 @@
-//! How a caller's key leads to its client account.
+//! Finds the client account of a caller's key. Start with [`charge`].
 
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue};
@@ -10,31 +10,31 @@
 /// The longest key that is looked up, in bytes.
 const MAX_KEY_LEN: usize = 256;
 
-/// Returns the digest under which a key is looked up; none for what can't be a key.
+/// Returns the digest of a key; `None` if the length is invalid.
 pub fn key_digest(key: &[u8]) -> Option<KeyDigest> {
-    let can_be = !key.is_empty() && key.len() <= MAX_KEY_LEN;
-    can_be.then(|| KeyDigest(digest(&[key])))
+    let is_valid_len = !key.is_empty() && key.len() <= MAX_KEY_LEN;
+    is_valid_len.then(|| KeyDigest(digest(&[key])))
 }
 
-/// Returns the value of a header that may stand once only.
+/// Returns the value of a header that occurs exactly once.
 pub fn only_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-/// Charges a request to the account that holds its key; none if no account does.
+/// Returns the charge to the account that holds the key; `None` if there is none.
 ///
-/// `tokens` is what the request says that it counts, where it does.
+/// `tokens` is the number that the request states, if any.
 pub fn charge(accounts: &Accounts, key: &[u8], tokens: Option<u64>) -> Option<Charge> {
     let key = key_digest(key)?;
     let (name, account) = accounts.find_by_key(&key)?;
     Some(Charge { account: name.clone(), key, cost: account.unit.cost(tokens) })
 }
 
-/// Sets the header that names the client account, in place of whatever the caller sent.
+/// Sets the header that names the client account; a value from the caller is removed.
 pub fn name_account(headers: &mut HeaderMap, header: &HeaderName, account: Option<&AccountName>) {
     headers.remove(header);
-    // A checked name is always a valid header value.
+    // An account name is always a valid header value.
     if let Some(value) = account.and_then(|name| HeaderValue::from_str(name.as_str()).ok()) {
         headers.insert(header, value);
     }
--- a/crates/skylarkshore-host/src/call_error.rs
+++ b/crates/skylarkshore-host/src/call_error.rs
@@ -1,25 +1,25 @@
-//! Why calls to the platform, to engines and to upstreams fail.
+//! Errors of calls to the platform, engines and upstreams.
 
 use derive_more::{Display, Error};
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// No connection could be made, so nothing was sent.
+    /// No connection could be made; nothing was sent.
     #[display("no connection: {reason}")]
     NotConnected {
-        /// What stood in the way.
+        /// The text of the error with its causes.
         reason: String,
     },
-    /// It was sent, and the answer is missing, cut short or too large.
+    /// The request was sent, but the answer is missing, incomplete or too large.
     #[display("no whole answer: {reason}")]
     Lost {
-        /// What went wrong.
+        /// The text of the error with its causes.
         reason: String,
     },
 }
 
-/// Joins an error's causes, which its own text leaves out.
+/// Returns the text of an error followed by those of its causes.
 pub fn chain(err: &dyn std::error::Error) -> String {
     let mut text = err.to_string();
     let mut source = err.source();
--- a/crates/skylarkshore-host/src/callers.rs
+++ b/crates/skylarkshore-host/src/callers.rs
@@ -1,8 +1,10 @@
-//! The callers' interface: models, services, and which hosts to use.
+//! The HTTP interface for callers: requests to models and services, and discovery of hosts and models.
+//!
+//! Start with [`serve`].
 
-mod check;
-mod entry;
-mod invalid;
+mod discovery;
+mod parse;
+mod request_error;
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -30,54 +32,54 @@
 use crate::server::{self, MAX_HEADERS};
 use crate::upstreams::forwarded;
 
-use check::{Asked, ChatBody, ServiceCall};
-use invalid::Invalid;
+use parse::{ModelBody, RequestHeaders, ServiceCall};
+use request_error::RequestError;
 
-/// The most bytes of names and values in a request's headers.
+/// The most bytes of header names and values in a request.
 const MAX_HEADERS_LEN: usize = 16 * 1024;
 
-/// What answers callers need.
+/// The state shared by the request handlers.
 #[derive(Clone, Debug)]
 struct CallerState {
     exchange: Exchange,
-    rotation: entry::Rotation,
+    rotation: discovery::Rotation,
 }
 
-/// Begins to serve callers on a listener.
+/// Starts serving callers on a listener.
 ///
 /// # Errors
 ///
-/// The system gives no threads.
+/// The system can't start threads.
 pub(crate) fn serve(
     exchange: Exchange,
     listener: std::net::TcpListener,
 ) -> std::io::Result<server::RunningServer> {
     let connections = Arc::clone(&exchange.connections);
-    let watched = WatchedListener::new(listener, connections, tokio::runtime::Handle::current());
+    let watched_listener = WatchedListener::new(listener, connections, tokio::runtime::Handle::current());
     let head_timeout = exchange.intake.head_timeout;
-    let state = CallerState { exchange, rotation: entry::Rotation::default() };
+    let state = CallerState { exchange, rotation: discovery::Rotation::default() };
     let app = App::new().with_state(state).at("/", fn_service(handle)).at("/{*path}", fn_service(handle));
-    server::start(app.serve(), [watched], head_timeout, server::caller_workers())
+    server::start(app.serve(), [watched_listener], head_timeout, server::caller_workers())
 }
 
 async fn handle(mut ctx: WebContext<'_, CallerState>) -> Result<WebResponse, Infallible> {
     let state = ctx.state().clone();
     if state.exchange.connections.is_closed() {
-        let mut res = Invalid::NotReady.response();
+        let mut res = RequestError::NotReady.response();
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         return Ok(res);
     }
     let head = Head::of(&ctx);
-    let id = match check::request_id(&head.headers) {
+    let id = match parse::request_id(&head.headers) {
         Ok(id) => id,
-        Err(invalid) => return Ok(state.invalid(&invalid, &check::generated_id())),
+        Err(invalid) => return Ok(state.invalid(&invalid, &parse::generated_id())),
     };
     let body = ctx.body_get_mut();
     let mut res = match state.answer(&head, body).await {
         Ok(res) => res,
         Err(invalid) => {
-            debug!(state.exchange.env.log, "request_invalid"; "path" => head.uri.path(), "reason" => invalid.word());
-            if !matches!(invalid, Invalid::BodySlow { .. } | Invalid::BodyBroken) {
+            debug!(state.exchange.env.log, "request_invalid"; "path" => head.uri.path(), "reason" => invalid.label());
+            if !matches!(invalid, RequestError::BodySlow { .. } | RequestError::BodyBroken) {
                 read_off(body).await;
             }
             state.invalid(&invalid, &id)
@@ -85,13 +87,13 @@
     };
     res.headers_mut().insert(REQUEST_ID_HEADER, id);
     if state.exchange.snapshots.borrow().leaving {
-        // A caller that keeps its connection would only notice the end when it breaks.
+        // Otherwise a caller that keeps its connection would see it break when the process exits.
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(res)
 }
 
-/// What a request begins with.
+/// The head of a request.
 #[derive(Debug)]
 struct Head {
     method: Method,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Returns the caller's name for the request, if it gave one.
+    /// Returns the request id that the caller chose, or `unnamed`.
     fn label(&self) -> String {
         let named = self.headers.get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
         named.unwrap_or("unnamed").to_owned()
@@ -129,10 +131,10 @@
         &self,
         head: &Head,
         body: &mut xitca_web::body::RequestBody,
-    ) -> Result<WebResponse, Invalid> {
+    ) -> Result<WebResponse, RequestError> {
         let len: usize = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         if head.headers.len() > MAX_HEADERS || len > MAX_HEADERS_LEN {
-            return Err(Invalid::HeaderFlood);
+            return Err(RequestError::HeadersTooLarge);
         }
         let path = head.uri.path();
         if let Some(rest) = path.strip_prefix("/services/") {
@@ -141,13 +143,13 @@
         let expected = match path {
             "/v1/chat/completions" | "/v1/completions" => Method::POST,
             "/v1/models" | "/v1/entry" | HEALTH_PATH => Method::GET,
-            _ => return Err(Invalid::NoSuchPath { path: path.to_owned() }),
+            _ => return Err(RequestError::NoSuchPath { path: path.to_owned() }),
         };
         if head.method != expected {
-            return Err(Invalid::WrongMethod { method: head.method.clone(), expected });
+            return Err(RequestError::WrongMethod { method: head.method.clone(), expected });
         }
         match path {
-            "/v1/models" => Ok(entry::models(&self.exchange.snapshot())),
+            "/v1/models" => Ok(discovery::models(&self.exchange.snapshot())),
             "/v1/entry" => Ok(self.entry_hosts()),
             HEALTH_PATH => Ok(self.health()),
             _ => self.call_model(head, body).await,
@@ -158,24 +160,25 @@
         &self,
         head: &Head,
         body: &mut xitca_web::body::RequestBody,
-    ) -> Result<WebResponse, Invalid> {
-        let common = Common::read(self, head)?;
-        let snapshot = self.known_document()?;
+    ) -> Result<WebResponse, RequestError> {
+        let context = RequestContext::read(self, head)?;
+        let snapshot = self.configured_snapshot()?;
         let charge = charge(&snapshot, head)?;
         let body = self.exchange.read_body(body, &head.headers).await?;
-        let chat = ChatBody::parse(&body)?;
+        let chat = ModelBody::parse(&body)?;
         let target = snapshot.document.catalogue.resolve(&chat.model);
-        let target = Target::Model(target.ok_or_else(|| Invalid::UnknownModel { name: chat.model.clone() })?);
-        let repeat = check::repeat(&head.headers, &common.caller, None, false)?;
+        let target =
+            Target::Model(target.ok_or_else(|| RequestError::UnknownModel { name: chat.model.clone() })?);
+        let repeat = parse::repeat(&head.headers, &context.caller, None, false)?;
         let path = head.path_and_query();
         let arrival = Arrival {
-            caller: common.caller,
+            caller: context.caller,
             target,
             repeat,
             digest: request_digest(&head.method, &path, &body),
             prefix: chat.prefix,
-            deadline: common.deadline,
-            policy: RequestPolicy::plain(common.deadline, true),
+            deadline: context.deadline,
+            policy: RequestPolicy::plain(context.deadline, true),
             charge,
         };
         let outgoing = Outgoing {
@@ -193,24 +196,26 @@
         head: &Head,
         rest: &str,
         body: &mut xitca_web::body::RequestBody,
-    ) -> Result<WebResponse, Invalid> {
-        let common = Common::read(self, head)?;
+    ) -> Result<WebResponse, RequestError> {
+        let context = RequestContext::read(self, head)?;
         let call = ServiceCall::parse(rest, head.uri.query())?;
-        let snapshot = self.known_document()?;
+        let snapshot = self.configured_snapshot()?;
         let charge = charge(&snapshot, head)?;
         let service = snapshot.document.catalogue.services.get(&call.service);
-        let service = service.ok_or_else(|| Invalid::UnknownService { name: call.service.to_string() })?;
-        let is_once = call.spellings().iter().any(|path| service.is_at_most_once(path));
-        let repeat = check::repeat(&head.headers, &common.caller, Some(&call.service), is_once)?;
+        let service =
+            service.ok_or_else(|| RequestError::UnknownService { name: call.service.to_string() })?;
+        let is_at_most_once_call = call.spellings().iter().any(|path| service.is_at_most_once(path));
+        let repeat =
+            parse::repeat(&head.headers, &context.caller, Some(&call.service), is_at_most_once_call)?;
         let body = self.exchange.read_body(body, &head.headers).await?;
         let arrival = Arrival {
-            caller: common.caller,
+            caller: context.caller,
             target: Target::Service(call.service.clone()),
             repeat,
             digest: request_digest(&head.method, &head.path_and_query(), &body),
             prefix: None,
-            deadline: common.deadline,
-            policy: RequestPolicy::plain(common.deadline, false),
+            deadline: context.deadline,
+            policy: RequestPolicy::plain(context.deadline, false),
             charge,
         };
         let outgoing = Outgoing {
@@ -243,14 +248,14 @@
 
     fn entry_hosts(&self) -> WebResponse {
         let Exchange { data_centre, entry_ttl, .. } = &self.exchange;
-        entry::hosts(&self.exchange.snapshot(), data_centre, *entry_ttl, &self.rotation)
+        discovery::hosts(&self.exchange.snapshot(), data_centre, *entry_ttl, &self.rotation)
     }
 
-    /// Returns the snapshot once there is a document to check requests against.
-    fn known_document(&self) -> Result<Arc<Snapshot>, Invalid> {
+    /// Returns the snapshot; fails while no document is in force.
+    fn configured_snapshot(&self) -> Result<Arc<Snapshot>, RequestError> {
         let snapshot = self.exchange.snapshot();
         if !snapshot.document.is_configured() {
-            return Err(Invalid::NotReady);
+            return Err(RequestError::NotReady);
         }
         Ok(snapshot)
     }
@@ -260,7 +265,7 @@
         server::json(StatusCode::OK, &health)
     }
 
-    fn invalid(&self, invalid: &Invalid, id: &HeaderValue) -> WebResponse {
+    fn invalid(&self, invalid: &RequestError, id: &HeaderValue) -> WebResponse {
         self.exchange.env.metrics.request_invalid();
         let mut res = invalid.response();
         res.headers_mut().insert(REQUEST_ID_HEADER, id.clone());
@@ -268,18 +273,19 @@
     }
 }
 
-/// Finds the client account of a request, where callers need one.
-fn charge(snapshot: &Snapshot, head: &Head) -> Result<Option<Charge>, Invalid> {
+/// Finds the client account of a request; `None` if the document has no accounts.
+fn charge(snapshot: &Snapshot, head: &Head) -> Result<Option<Charge>, RequestError> {
     let accounts = &snapshot.document.catalogue.accounts;
     if accounts.is_empty() {
         return Ok(None);
     }
-    let shown = accounts::only_value(&head.headers, &AUTHORIZATION).map(HeaderValue::as_bytes);
-    let key = shown.and_then(|value| value.strip_prefix(b"Bearer ")).ok_or(Invalid::UnknownAccount)?;
-    accounts::charge(accounts, key, None).map(Some).ok_or(Invalid::UnknownAccount)
+    let authorization = accounts::only_value(&head.headers, &AUTHORIZATION).map(HeaderValue::as_bytes);
+    let key =
+        authorization.and_then(|value| value.strip_prefix(b"Bearer ")).ok_or(RequestError::UnknownAccount)?;
+    accounts::charge(accounts, key, None).map(Some).ok_or(RequestError::UnknownAccount)
 }
 
-/// Returns the headers for the upstream, which name the client account to it.
+/// Returns the headers for the upstream, including the name of the client account.
 fn forwarded_for(headers: &HeaderMap, arrival: &Arrival) -> HeaderMap {
     let mut headers = forwarded(headers);
     let account = arrival.charge.as_ref().map(|charge| &charge.account);
@@ -287,17 +293,17 @@
     headers
 }
 
-/// What every request that is sent upstream has in common.
-struct Common {
+/// The caller and deadline of a request that is sent upstream.
+struct RequestContext {
     caller: skylarkshore_core::id::CallerId,
     deadline: Time,
 }
 
-impl Common {
-    fn read(state: &CallerState, head: &Head) -> Result<Self, Invalid> {
-        let Asked { timeout, caller } = Asked::read(&head.headers)?;
-        let waited = head.begun.elapsed();
-        let deadline = state.exchange.env.clock.now().after(timeout.saturating_sub(waited));
+impl RequestContext {
+    fn read(state: &CallerState, head: &Head) -> Result<Self, RequestError> {
+        let RequestHeaders { timeout, caller } = RequestHeaders::read(&head.headers)?;
+        let elapsed_since_head = head.begun.elapsed();
+        let deadline = state.exchange.env.clock.now().after(timeout.saturating_sub(elapsed_since_head));
         Ok(Self { caller, deadline })
     }
 }
--- a/crates/skylarkshore-host/src/callers/entry.rs
+++ b/crates/skylarkshore-host/src/callers/discovery.rs
@@ -1,4 +1,4 @@
-//! Which hosts callers may use, and which models there are.
+//! Discovery: the lists of entry hosts and of models.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 use crate::driver::{Member, Snapshot};
 use crate::server;
 
-/// Counts the answers, so that each one begins with another host.
+/// Counts answers, so that each one starts with another host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rotation(Arc<AtomicUsize>);
 
@@ -23,20 +23,20 @@
     }
 }
 
-/// Names the hosts to use: those of the asked one's data centre first, spread over them.
+/// Lists the hosts, those of this host's data centre first, each group rotated per answer.
 pub(super) fn hosts(
     snapshot: &Snapshot,
     data_centre: &DataCentre,
     entry_ttl: Duration,
     rotation: &Rotation,
 ) -> WebResponse {
-    let staying = snapshot.members.iter().filter(|member| !member.leaving);
-    let (near, far): (Vec<&Member>, Vec<&Member>) =
-        staying.partition(|member| member.data_centre == *data_centre);
-    let turn = rotation.next();
-    let hosts = rotated(near, turn)
+    let listed = snapshot.members.iter().filter(|member| !member.leaving);
+    let (local, remote): (Vec<&Member>, Vec<&Member>) =
+        listed.partition(|member| member.data_centre == *data_centre);
+    let offset = rotation.next();
+    let hosts = rotated(local, offset)
         .into_iter()
-        .chain(rotated(far, turn))
+        .chain(rotated(remote, offset))
         .map(|member| EntryHost { address: member.caller_address, data_centre: member.data_centre.clone() });
     let max_age_s = entry_ttl.as_secs();
     let answer = EntryAnswer { hosts: hosts.collect(), max_age_s };
@@ -47,15 +47,15 @@
     res
 }
 
-fn rotated(mut members: Vec<&Member>, turn: usize) -> Vec<&Member> {
+fn rotated(mut members: Vec<&Member>, offset: usize) -> Vec<&Member> {
     if !members.is_empty() {
-        let by = turn % members.len();
-        members.rotate_left(by);
+        let count = offset % members.len();
+        members.rotate_left(count);
     }
     members
 }
 
-/// Names the models and adapters.
+/// Lists the models and adapters.
 pub(super) fn models(snapshot: &Snapshot) -> WebResponse {
     let entry = |id: &str, parent: Option<&str>| ModelEntry {
         id: id.to_owned(),
--- a/crates/skylarkshore-host/src/callers/check.rs
+++ b/crates/skylarkshore-host/src/callers/parse.rs
@@ -1,4 +1,4 @@
-//! Turns headers, paths and bodies into what the core takes.
+//! Parses and validates the headers, paths and bodies of requests.
 
 use std::time::Duration;
 
@@ -15,21 +15,21 @@
 };
 use skylarkshore_wire::percent;
 
-use crate::callers::invalid::Invalid;
+use crate::callers::request_error::RequestError;
 use crate::digest::digest;
 
-/// The caller of a request that names none.
+/// The caller id of a request without one.
 const ANONYMOUS: &str = "anonymous";
-/// How much of a prompt decides to which engine's cache it fits best.
+/// Bytes of a prompt whose digest selects an engine by its prefix cache.
 const PREFIX_LEN: usize = 512;
 
-/// Returns the caller's name for the request, or a new one.
-pub(super) fn request_id(headers: &HeaderMap) -> Result<HeaderValue, Invalid> {
+/// Returns the request id that the caller chose, or a new one.
+pub(super) fn request_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
     let Some(id) = headers.get(REQUEST_ID_HEADER) else { return Ok(generated_id()) };
-    if is_token(id) { Ok(id.clone()) } else { Err(Invalid::BadRequestId) }
+    if is_token(id) { Ok(id.clone()) } else { Err(RequestError::BadRequestId) }
 }
 
-/// Returns a new name for a request.
+/// Returns a random request id.
 pub(super) fn generated_id() -> HeaderValue {
     let id: u128 = rand::rng().random();
     HeaderValue::try_from(format!("{id:032x}")).unwrap_or(HeaderValue::from_static("unnamed"))
@@ -40,64 +40,64 @@
     !bytes.is_empty() && bytes.len() <= MAX_TOKEN_LEN && bytes.iter().all(u8::is_ascii_graphic)
 }
 
-/// What the headers say of a request.
+/// The values of a request's optional headers.
 #[derive(Debug)]
-pub(super) struct Asked {
+pub(super) struct RequestHeaders {
     pub(super) timeout: Duration,
     pub(super) caller: CallerId,
 }
 
-impl Asked {
-    pub(super) fn read(headers: &HeaderMap) -> Result<Self, Invalid> {
+impl RequestHeaders {
+    pub(super) fn read(headers: &HeaderMap) -> Result<Self, RequestError> {
         Ok(Self { timeout: timeout(headers)?, caller: caller(headers)? })
     }
 }
 
-fn timeout(headers: &HeaderMap) -> Result<Duration, Invalid> {
+fn timeout(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let Some(value) = headers.get(TIMEOUT_HEADER) else { return Ok(DEFAULT_TIMEOUT) };
     let ms = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
     let timeout = ms.map(Duration::from_millis).filter(|timeout| !timeout.is_zero());
-    timeout.filter(|timeout| *timeout <= MAX_TIMEOUT).ok_or(Invalid::BadTimeout)
+    timeout.filter(|timeout| *timeout <= MAX_TIMEOUT).ok_or(RequestError::BadTimeout)
 }
 
-fn caller(headers: &HeaderMap) -> Result<CallerId, Invalid> {
+fn caller(headers: &HeaderMap) -> Result<CallerId, RequestError> {
     let text = match headers.get(CALLER_HEADER) {
-        Some(value) => value.to_str().map_err(|_opaque| Invalid::BadCaller)?,
+        Some(value) => value.to_str().map_err(|_opaque| RequestError::BadCaller)?,
         None => ANONYMOUS,
     };
-    text.parse().map_err(|_invalid| Invalid::BadCaller)
+    text.parse().map_err(|_invalid| RequestError::BadCaller)
 }
 
-/// Finds out whether the request may run a second time.
+/// Determines whether the request may be repeated.
 ///
-/// The key is digested together with the caller and the service, so that two
-/// callers who happen to choose the same key don't get each other's answers.
+/// The digest of the key includes the caller and the service, so that two
+/// callers with the same key don't receive each other's answers.
 pub(super) fn repeat(
     headers: &HeaderMap,
     caller: &CallerId,
     service: Option<&ServiceName>,
-    is_once: bool,
-) -> Result<Repeat, Invalid> {
+    is_at_most_once_call: bool,
+) -> Result<Repeat, RequestError> {
     let Some(key) = headers.get(IDEMPOTENCY_HEADER) else {
-        return if is_once { Err(Invalid::MissingKey) } else { Ok(Repeat::Allowed) };
+        return if is_at_most_once_call { Err(RequestError::MissingKey) } else { Ok(Repeat::Allowed) };
     };
     if !is_token(key) {
-        return Err(Invalid::BadKey);
+        return Err(RequestError::BadKey);
     }
     let service = service.map_or("", ServiceName::as_str);
     Ok(Repeat::Once { key: digest(&[caller.as_str().as_bytes(), service.as_bytes(), key.as_bytes()]) })
 }
 
-/// What is read of a request to a model.
+/// The fields that are read from the body of a request to a model.
 #[derive(Debug)]
-pub(super) struct ChatBody {
+pub(super) struct ModelBody {
     pub(super) model: String,
-    /// The digest of the prompt's beginning.
+    /// The digest of the prompt's first [`PREFIX_LEN`] bytes.
     pub(super) prefix: Option<Digest>,
 }
 
 #[derive(Deserialize)]
-struct Fields<'a> {
+struct BodyFields<'a> {
     #[serde(default)]
     model: Option<serde_json::Value>,
     #[serde(borrow, default)]
@@ -106,17 +106,17 @@
     prompt: Option<&'a RawValue>,
 }
 
-impl ChatBody {
-    pub(super) fn parse(body: &Bytes) -> Result<Self, Invalid> {
-        // A list would pass for the fields in their order.
+impl ModelBody {
+    pub(super) fn parse(body: &Bytes) -> Result<Self, RequestError> {
+        // Serde would accept an array as the fields in order.
         if body.trim_ascii_start().first() != Some(&b'{') {
-            return Err(Invalid::NotJson { reason: "it doesn't begin with a brace".to_owned() });
+            return Err(RequestError::NotJson { reason: "it doesn't begin with a brace".to_owned() });
         }
-        let fields: Fields<'_> =
-            serde_json::from_slice(body).map_err(|err| Invalid::NotJson { reason: err.to_string() })?;
-        let Some(serde_json::Value::String(model)) = fields.model else { return Err(Invalid::NoModel) };
+        let fields: BodyFields<'_> =
+            serde_json::from_slice(body).map_err(|err| RequestError::NotJson { reason: err.to_string() })?;
+        let Some(serde_json::Value::String(model)) = fields.model else { return Err(RequestError::NoModel) };
         if model.is_empty() {
-            return Err(Invalid::NoModel);
+            return Err(RequestError::NoModel);
         }
         let prompt = fields.messages.or(fields.prompt);
         let prefix = prompt.map(|prompt| {
@@ -127,41 +127,41 @@
     }
 }
 
-/// A call of a service.
+/// The target of a request to a service.
 #[derive(Debug)]
 pub(super) struct ServiceCall {
     pub(super) service: ServiceName,
-    /// What is sent to the service.
+    /// The path and query to send to the service.
     pub(super) path_and_query: String,
     path: String,
     decoded: String,
 }
 
 impl ServiceCall {
-    /// Reads what follows `/services/`.
+    /// Parses the part of a path that follows `/services/`.
     ///
-    /// A service may take `/%62ookings` or `/x/../bookings` for `/bookings`.
-    /// Such a spelling would slip past the paths whose calls may not be repeated,
-    /// and a booking could be made twice; so the path is looked at decoded as
-    /// well, and parts that servers fold are refused.
-    pub(super) fn parse(rest: &str, query: Option<&str>) -> Result<Self, Invalid> {
+    /// A service may treat `/%62ookings` or `/x/../bookings` as `/bookings`. Such a
+    /// spelling would bypass the list of at-most-once paths, and a booking could be
+    /// made twice. The path is therefore also matched in decoded form, and segments
+    /// that servers normalize are refused.
+    pub(super) fn parse(rest: &str, query: Option<&str>) -> Result<Self, RequestError> {
         let (name, path) = rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash));
-        let unknown = |_invalid| Invalid::UnknownService { name: name.to_owned() };
+        let unknown = |_invalid| RequestError::UnknownService { name: name.to_owned() };
         let service = name.parse().map_err(unknown)?;
-        let decoded = percent::decode(path).map_err(|_invalid| Invalid::BadPath)?;
-        let mut parts = decoded[1..].split('/').collect::<Vec<_>>();
-        if parts.last().is_some_and(|last| last.is_empty()) {
-            parts.pop();
+        let decoded = percent::decode(path).map_err(|_invalid| RequestError::BadPath)?;
+        let mut segments = decoded[1..].split('/').collect::<Vec<_>>();
+        if segments.last().is_some_and(|last| last.is_empty()) {
+            segments.pop();
         }
-        let is_folded = |part: &&str| matches!(*part, "" | "." | "..") || part.contains('\\');
-        if parts.iter().any(is_folded) {
-            return Err(Invalid::BadPath);
+        let is_normalized = |segment: &&str| matches!(*segment, "" | "." | "..") || segment.contains('\\');
+        if segments.iter().any(is_normalized) {
+            return Err(RequestError::BadPath);
         }
         let path_and_query = query.map_or_else(|| path.to_owned(), |query| format!("{path}?{query}"));
         Ok(Self { service, path_and_query, path: path.to_owned(), decoded })
     }
 
-    /// Returns the path in all spellings that the service may understand.
+    /// Returns the path as sent and decoded.
     pub(super) fn spellings(&self) -> [&str; 2] {
         [&self.path, &self.decoded]
     }
--- a/crates/skylarkshore-host/src/callers/invalid.rs
+++ b/crates/skylarkshore-host/src/callers/request_error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a request, and the remedy for each.
+//! Errors of invalid requests, each with its status, reason and remedy.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use crate::exchange::BodyFault;
 use crate::server::{self, MAX_HEADERS};
 
-/// Why a request is turned away before anything is sent upstream.
+/// Why a request is rejected before anything is sent upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Invalid {
+pub(super) enum RequestError {
     BodyTooLarge { limit: usize },
     BodySlow { limit: Duration },
     BodyBroken,
-    HeaderFlood,
+    HeadersTooLarge,
     NotJson { reason: String },
     NoModel,
     UnknownModel { name: String },
@@ -37,7 +37,7 @@
     NotReady,
 }
 
-impl From<BodyFault> for Invalid {
+impl From<BodyFault> for RequestError {
     fn from(fault: BodyFault) -> Self {
         match fault {
             BodyFault::TooLarge { limit } => Self::BodyTooLarge { limit },
@@ -47,12 +47,12 @@
     }
 }
 
-impl Invalid {
-    /// Returns the answer that tells the caller.
+impl RequestError {
+    /// Builds the error response.
     pub(super) fn response(&self) -> WebResponse {
         let body = ErrorBody {
             outcome: OutcomeWire::NotRun,
-            reason: self.word().to_owned(),
+            reason: self.label().to_owned(),
             error: ErrorText { message: self.message(), remedy: self.remedy() },
         };
         let mut res = server::json(self.status(), &body);
@@ -74,7 +74,7 @@
         match self {
             Self::BodyTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodySlow { .. } => StatusCode::REQUEST_TIMEOUT,
-            Self::HeaderFlood => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Self::HeadersTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::UnknownModel { .. } | Self::UnknownService { .. } | Self::NoSuchPath { .. } => {
                 StatusCode::NOT_FOUND
             }
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Returns the short fixed word for it; programs may rely on it.
-    pub(super) const fn word(&self) -> &'static str {
+    /// Returns the reason code, which is part of the interface.
+    pub(super) const fn label(&self) -> &'static str {
         match self {
             Self::BodyTooLarge { .. } => "body_too_large",
             Self::BodySlow { .. } => "body_slow",
             Self::BodyBroken => "body_broken",
-            Self::HeaderFlood => "header_flood",
+            Self::HeadersTooLarge => "header_flood",
             Self::NotJson { .. } => "not_json",
             Self::NoModel => "no_model",
             Self::UnknownModel { .. } => "unknown_model",
@@ -122,11 +122,11 @@
             Self::BodyTooLarge { limit } => format!("the body has more than {limit} bytes"),
             Self::BodySlow { limit } => format!("the body took more than {} ms", limit.as_millis()),
             Self::BodyBroken => "the body can't be read to its end".to_owned(),
-            Self::HeaderFlood => "the request has too many headers".to_owned(),
+            Self::HeadersTooLarge => "the request has too many headers".to_owned(),
             Self::NotJson { reason } => format!("the body is no JSON object: {reason}"),
             Self::NoModel => "the body names no model".to_owned(),
-            Self::UnknownModel { name } => format!("there is no model or adapter '{}'", shortened(name)),
-            Self::UnknownService { name } => format!("there is no service '{}'", shortened(name)),
+            Self::UnknownModel { name } => format!("there is no model or adapter '{}'", truncated(name)),
+            Self::UnknownService { name } => format!("there is no service '{}'", truncated(name)),
             Self::MissingKey => "this call may not be repeated and has no idempotency key".to_owned(),
             Self::BadKey => "the idempotency key is no plain text or too long".to_owned(),
             Self::BadTimeout => format!("the {TIMEOUT_HEADER} header makes no sense"),
@@ -134,7 +134,7 @@
             Self::BadCaller => format!("the {CALLER_HEADER} header is no name"),
             Self::UnknownAccount => "no client account holds the key".to_owned(),
             Self::BadPath => "the path has empty parts, dots as parts or broken percent signs".to_owned(),
-            Self::NoSuchPath { path } => format!("there is nothing at '{}'", shortened(path)),
+            Self::NoSuchPath { path } => format!("there is nothing at '{}'", truncated(path)),
             Self::WrongMethod { method, .. } => format!("{method} isn't answered here"),
             Self::NotReady => "this host doesn't know yet what is served".to_owned(),
         }
@@ -147,7 +147,7 @@
             }
             Self::BodySlow { .. } => "send the body at once after the head".to_owned(),
             Self::BodyBroken => "send as many bytes as content-length says, or whole chunks".to_owned(),
-            Self::HeaderFlood => {
+            Self::HeadersTooLarge => {
                 format!("send at most {MAX_HEADERS} headers with {MAX_HEADERS_LEN} bytes in all")
             }
             Self::NotJson { .. } => "send a JSON object with a 'model' field".to_owned(),
@@ -172,9 +172,9 @@
     }
 }
 
-/// Shortens what a caller sent before it is sent back.
-fn shortened(text: &str) -> String {
-    const LONGEST: usize = 128;
+/// Limits the length of a caller's text that is sent back.
+fn truncated(text: &str) -> String {
+    const MAX_CHARS: usize = 128;
 
-    text.chars().take(LONGEST).collect()
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/skylarkshore-host/src/clock.rs
+++ b/crates/skylarkshore-host/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clock, which goes on while the machine is suspended.
+//! A monotonic clock that includes the time while the machine is suspended.
 
 use std::time::Duration;
 
@@ -9,12 +9,11 @@
 
 use crate::log::unix_millis;
 
-/// Tells the core's time.
+/// The core's clock.
 ///
-/// The usual monotonic clock stands still while a machine is suspended. A
-/// process that woke up would then take its lease for valid, and give orders
-/// beside the one that has taken its engines over meanwhile. The clock used
-/// here counts that time.
+/// The usual monotonic clock stops while the machine is suspended. A resumed
+/// process would consider its expired lease valid and send orders to engines
+/// that another process has taken over. This clock counts the suspended time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
@@ -25,16 +24,16 @@
         Self { start: since_boot() }
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time::START.after(since_boot().saturating_sub(self.start))
     }
 
-    /// Returns when `time` comes, for the runtime's timers.
+    /// Converts `time` to an instant of the runtime's timers.
     pub fn instant(&self, time: Time) -> Instant {
-        // A day is far longer than any deadline, and never overflows the system's clock.
-        let longest = Duration::from_hours(24);
-        Instant::now() + time.remaining(self.now()).min(longest)
+        // A day exceeds every deadline and can't overflow the system's clock.
+        let max_delay = Duration::from_hours(24);
+        Instant::now() + time.remaining(self.now()).min(max_delay)
     }
 }
 
@@ -43,7 +42,7 @@
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// Returns the time of day for the rules.
+/// Returns the time of day that the rules are evaluated at.
 pub(crate) fn time_of_day() -> MinuteOfDay {
     MinuteOfDay::from_unix_secs(unix_millis() / 1000)
 }
--- a/crates/skylarkshore-host/src/config.rs
+++ b/crates/skylarkshore-host/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a host: JSON with comments, checked as a whole.
+//! The settings of a host: JSON with comments, validated completely before use. Start with [`Config`].
 
 pub(crate) mod invalid;
 mod limits;
@@ -29,85 +29,85 @@
 pub use section::Fault;
 pub use url::{HttpUrl, InvalidHttpUrl};
 
-use section::{Report, Section, flag, json_of, text};
+use section::{Report, Section, boolean, json_of, text};
 
 /// The settings of a host.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The host's name, the same after every restart.
+    /// The host's name, which stays the same across restarts.
     pub host: HostId,
-    /// Where the host stands.
+    /// The host's data centre.
     pub data_centre: DataCentre,
-    /// Where callers connect to.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers connect to.
+    /// The address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators connect to.
+    /// The address for operators.
     pub operator_address: SocketAddr,
-    /// The platform on which the host runs.
+    /// The platform and its addresses.
     pub platform: PlatformSettings,
-    /// The rules in force until operators write their own.
+    /// The rules in force until operators apply a document.
     pub default_rules: Rules,
-    /// Who watches the key-value service.
+    /// Which hosts watch the key-value service.
     pub watchers: Watchers,
-    /// What the host can do beside the others.
+    /// The host's capacity relative to the others.
     pub capacity: Capacity,
-    /// The least important events that are logged.
+    /// The lowest level that is logged.
     pub log_level: LogLevel,
-    /// How much callers may send, and how long they may take.
+    /// Limits on the size and duration of callers' requests.
     pub intake: Intake,
-    /// How much the process takes on.
+    /// Limits on the work that the process accepts.
     pub limits: Limits,
-    /// The times it keeps.
+    /// Intervals and time-outs.
     pub timings: Timings,
 }
 
-/// The platform on which a host runs, and how it is reached.
+/// The platform on which a host runs, and its addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformSettings {
     /// An etcd v3 JSON gateway and a host list.
     Etcd(EtcdSettings),
-    /// A key-value service in which upstreams register themselves.
+    /// A key-value service with self-registered upstreams.
     Registry(RegistrySettings),
 }
 
-/// Where an etcd v3 JSON gateway and a host list are reached.
+/// The addresses of an etcd v3 JSON gateway and a host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EtcdSettings {
     /// The key-value service's endpoints, tried in turn.
     pub store_endpoints: Vec<HttpUrl>,
-    /// Where the host list is read.
+    /// The URL of the host list.
     pub hosts_url: HttpUrl,
 }
 
-/// Where a registry is reached, and where it reaches this host.
+/// The address of a registry, and the addresses that this host serves for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistrySettings {
-    /// Where the key-value service answers.
+    /// The address of the key-value service.
     pub address: SocketAddr,
-    /// Where callers ask which hosts to use.
+    /// The address on which callers request the list of hosts.
     pub directory_address: SocketAddr,
-    /// Where the platform asks whether the host is ready.
+    /// The address of the readiness check.
     pub readiness_address: SocketAddr,
-    /// Whether engines refuse orders with old fences.
+    /// Whether engines reject orders with outdated fences.
     pub checks_fences: bool,
-    /// How long upstreams serve on after they have said that they leave.
+    /// How long upstreams keep serving after they announce that they leave.
     ///
-    /// News of it has to be here within that time; every look at what has
-    /// changed is a call that counts.
+    /// The announcement has to arrive here within that time; every poll for
+    /// changes costs a call.
     pub leaving_notice: Duration,
     /// The shortest lease that the service grants.
     pub least_lease: Duration,
 }
 
-/// How much callers may send, and how long they may take to send it.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intake {
     /// The largest body of a request, in bytes.
     pub body_len: usize,
-    /// How long the head of a request may take.
+    /// Time-out for the head of a request.
     pub head_timeout: Duration,
-    /// How long the body of a request may take.
+    /// Time-out for the body of a request.
     pub body_timeout: Duration,
 }
 
@@ -121,11 +121,11 @@
     }
 }
 
-/// The least important events that are logged.
+/// The lowest level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLevel(pub Level);
 
-/// A text that is no level.
+/// A text that isn't a log level.
 #[derive(Debug, Display, Error)]
 #[display("'{text}' is no level; use one of error, warning, info, debug, trace")]
 pub struct InvalidLogLevel {
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// The file can't be read or its settings are wrong.
+    /// The file can't be read or its settings are invalid.
     pub fn read(path: &Path) -> Result<Self, ProgramError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ProgramError::ReadSettings { path: path.to_owned(), source })?;
@@ -172,7 +172,7 @@
     }
 }
 
-/// JSON with comments and trailing commas; nothing else that the parser could let pass.
+/// JSON with comments and trailing commas; the parser's other extensions are disabled.
 const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
@@ -196,7 +196,7 @@
         }
     };
     let Some(Value::Object(object)) = &parsed.value else {
-        report.add("the file", 1, "holds no object; write { ... }");
+        report.add("the file", 1, "does not contain an object; write { ... }");
         return None;
     };
     read_root(Section::root(report, object), report)
@@ -210,8 +210,8 @@
     let operator_address = root.required(report, "operator_address", "\"10.0.0.1:8082\"", address);
     let platform = platform::read(&mut root, report);
     let default_rules = read_rules(&mut root, report);
-    let everyone_watches = root.optional(report, "everyone_watches", false, flag);
-    let news_relayed = root.optional(report, "news_relayed", false, flag);
+    let everyone_watches = root.optional(report, "everyone_watches", false, boolean);
+    let news_relayed = root.optional(report, "news_relayed", false, boolean);
     let capacity = root.optional(report, "cores", Capacity::default(), limits::capacity);
     let log_level = read_log(&mut root, report);
     let (intake, limits) = limits::read_limits(&mut root, report);
@@ -249,7 +249,7 @@
     Ok(address)
 }
 
-/// Reads the rules that hold until operators write their own.
+/// Reads the rules in force until operators apply a document.
 fn read_rules(root: &mut Section<'_>, report: &mut Report<'_>) -> Rules {
     let read = |value: &Value<'_>| {
         let wire =
--- a/crates/skylarkshore-host/src/config/invalid.rs
+++ b/crates/skylarkshore-host/src/config/invalid.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file.
+//! The error for an invalid settings file.
 
 use std::fmt;
 
@@ -6,10 +6,10 @@
 
 use super::section::Fault;
 
-/// Everything that is wrong with a settings file.
+/// All faults of a settings file.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub struct InvalidSettings {
-    /// The faults in the order of their lines.
+    /// The faults, ordered by line.
     pub faults: Vec<Fault>,
 }
 
--- a/crates/skylarkshore-host/src/config/limits.rs
+++ b/crates/skylarkshore-host/src/config/limits.rs
@@ -1,4 +1,4 @@
-//! The section `limits` of the settings: how much a process takes on.
+//! The section `limits` of the settings.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use skylarkshore_core::config::{Limits, QuotaPolicy, RetryLimits, SuspectPolicy};
 use skylarkshore_core::units::{Capacity, Credits};
 
-use super::section::{Report, Section, flag, fraction, number};
+use super::section::{Report, Section, boolean, fraction, number};
 use super::{Intake, timings};
 
-/// The most that all client accounts may be allowed beside their limits.
+/// The largest allowance for all client accounts beyond their limits, in credits.
 const MAX_SLACK: f64 = 1e9;
 const MAX_COUNT: u64 = 1_000_000;
 const MAX_BODY_LEN: u64 = 64 * 1024 * 1024;
-/// The key-value service takes values up to a mebibyte, and Base64 takes a third more.
+/// In bytes. The key-value service limits values to a mebibyte, and Base64 adds a third.
 const MAX_RECORDED_ANSWER: u64 = 700 * 1024;
 
 pub(super) fn read_limits(root: &mut Section<'_>, report: &mut Report<'_>) -> (Intake, Limits) {
@@ -39,7 +39,7 @@
     limits.homes_ahead = section.optional(report, "homes_ahead", limits.homes_ahead, size(1, 100));
     limits.retries = read_retries(&mut section, report);
     limits.quota = read_quota(&mut section, report);
-    let counts_ends = section.optional(report, "suspects_run_beside_others", false, flag);
+    let counts_ends = section.optional(report, "suspects_run_beside_others", false, boolean);
     limits.suspects = if counts_ends { SuspectPolicy::CountEnds } else { SuspectPolicy::RunAlone };
     intake.head_timeout =
         section.optional(report, "head_timeout_ms", intake.head_timeout, timings::millis(100, 60_000));
@@ -55,10 +55,11 @@
         return RetryLimits::PerProcess;
     };
     let mut shared = shared;
-    let percent = shared
-        .required(report, "ratio", "0.2", |value| fraction(value, 0.0, 1.0).map(|ratio| part(ratio, 100.0)));
+    let percent = shared.required(report, "ratio", "0.2", |value| {
+        fraction(value, 0.0, 1.0).map(|ratio| scaled(ratio, 100.0))
+    });
     let slack = shared.required(report, "slack", "50", |value| {
-        fraction(value, 0.0, f64::from(u16::MAX)).map(|slack| part(slack, 1.0))
+        fraction(value, 0.0, f64::from(u16::MAX)).map(|slack| scaled(slack, 1.0))
     });
     let window = shared
         .required(report, "window_s", "10", |value| fraction(value, 0.1, 600.0).map(Duration::from_secs_f64));
@@ -69,32 +70,32 @@
     }
 }
 
-/// Reads how closely the limits of client accounts are kept.
+/// Reads how strictly the limits of client accounts are enforced.
 fn read_quota(limits: &mut Section<'_>, report: &mut Report<'_>) -> QuotaPolicy {
     let mut section = limits.optional_section(report, "account_limits");
-    let usual = QuotaPolicy::default();
+    let defaults = QuotaPolicy::default();
     let window = |value: &Value<'_>| fraction(value, 0.1, 600.0).map(Duration::from_secs_f64);
-    let overage = |value: &Value<'_>| fraction(value, 0.0, 1.0).map(|ratio| part(ratio, 100.0));
+    let overage = |value: &Value<'_>| fraction(value, 0.0, 1.0).map(|ratio| scaled(ratio, 100.0));
     let slack =
-        |value: &Value<'_>| fraction(value, 0.0, MAX_SLACK).map(|slack| Credits(part(slack, 1.0).into()));
+        |value: &Value<'_>| fraction(value, 0.0, MAX_SLACK).map(|slack| Credits(scaled(slack, 1.0).into()));
     let policy = QuotaPolicy {
-        window: section.optional(report, "window_s", usual.window, window),
-        overage_percent: section.optional(report, "overage", usual.overage_percent, overage),
-        slack: section.optional(report, "slack", usual.slack, slack),
+        window: section.optional(report, "window_s", defaults.window, window),
+        overage_percent: section.optional(report, "overage", defaults.overage_percent, overage),
+        slack: section.optional(report, "slack", defaults.slack, slack),
     };
     section.finish(report);
     policy
 }
 
-/// Reads the share of a core that the host has, or how many cores.
+/// Reads the number of cores of the host, which may be a fraction.
 pub(super) fn capacity(value: &Value<'_>) -> Result<Capacity, String> {
-    fraction(value, 0.001, 10_000.0).map(|cores| Capacity(part(cores, 1000.0)))
+    fraction(value, 0.001, 10_000.0).map(|cores| Capacity(scaled(cores, 1000.0)))
 }
 
-/// Returns so many parts of a number, rounded down.
+/// Returns `number * parts`, rounded down.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "the number was checked")]
-fn part(number: f64, parts: f64) -> u32 {
-    // A product that should be whole may fall short of it by a rounding error.
+fn scaled(number: f64, parts: f64) -> u32 {
+    // Compensates for products that fall just short of a whole number.
     const ROUNDING: f64 = 1e-6;
     (number * parts + ROUNDING) as u32
 }
--- a/crates/skylarkshore-host/src/config/platform.rs
+++ b/crates/skylarkshore-host/src/config/platform.rs
@@ -1,15 +1,15 @@
-//! Which platform the host runs on, and how it is reached.
+//! The settings of the platform on which the host runs.
 
 use std::time::Duration;
 
-use super::section::{Report, Section, flag, text, texts};
+use super::section::{Report, Section, boolean, text, texts};
 use super::{EtcdSettings, PlatformSettings, RegistrySettings, address, timings};
 
-/// How long upstreams serve on after they have said that they leave, unless told otherwise.
+/// The default of [`RegistrySettings::leaving_notice`].
 const LEAVING_NOTICE: Duration = Duration::from_secs(2);
-const LEAST_LEASE: Duration = Duration::from_secs(1);
+const MIN_LEASE: Duration = Duration::from_secs(1);
 
-/// Reads the section of the platform that is named, the product's own where none is.
+/// Reads the section `registry` if it is present, otherwise those of the product's own platform.
 pub(super) fn read(root: &mut Section<'_>, report: &mut Report<'_>) -> Option<PlatformSettings> {
     let registry = root.present_section(report, "registry");
     match registry {
@@ -32,10 +32,10 @@
     let store = section.required(report, "address", "\"10.0.0.9:8142\"", address);
     let directory = section.required(report, "directory_address", "\"10.0.0.1:8143\"", address);
     let readiness = section.required(report, "readiness_address", "\"10.0.0.1:8141\"", address);
-    let checks_fences = section.optional(report, "checks_fences", false, flag);
+    let checks_fences = section.optional(report, "checks_fences", false, boolean);
     let leaving_notice =
         section.optional(report, "leaving_notice_ms", LEAVING_NOTICE, timings::millis(100, 600_000));
-    let least_lease = section.optional(report, "least_lease_ms", LEAST_LEASE, timings::millis(1, 600_000));
+    let least_lease = section.optional(report, "least_lease_ms", MIN_LEASE, timings::millis(1, 600_000));
     section.finish(report);
     Some(RegistrySettings {
         address: store?,
--- a/crates/skylarkshore-host/src/config/section.rs
+++ b/crates/skylarkshore-host/src/config/section.rs
@@ -1,4 +1,4 @@
-//! Reads an object of the settings and collects what is wrong with it.
+//! Reads objects of the settings and collects their faults. Start with [`Section`].
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 
-/// Something wrong in a settings file.
+/// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The keys that lead to the place, joined by dots.
+    /// The keys on the path to it, joined by dots.
     pub path: String,
-    /// The line, the first one being 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong, and the remedy.
+    /// The problem and its remedy.
     pub problem: String,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The settings' text and what was found wrong in it so far.
+/// The text of the settings and the faults found so far.
 #[derive(Debug)]
 pub(super) struct Report<'a> {
     text: &'a str,
@@ -49,32 +49,37 @@
     }
 }
 
-/// An object of the settings; keys that nobody asked for are faults.
+/// An object of the settings; keys that are never read are faults.
 #[derive(Debug)]
 pub(super) struct Section<'a> {
     path: String,
     line: usize,
     object: Option<&'a Object<'a>>,
-    known: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
 }
 
 impl<'a> Section<'a> {
     pub(super) fn root(report: &Report<'_>, object: &'a Object<'a>) -> Self {
-        Self { path: String::new(), line: report.line_of(object), object: Some(object), known: Vec::new() }
+        Self {
+            path: String::new(),
+            line: report.line_of(object),
+            object: Some(object),
+            read_keys: Vec::new(),
+        }
     }
 
-    /// Returns the line of a key, or of the section where it is absent.
+    /// Returns the line of a key, or that of the section if the key is absent.
     pub(super) fn line(&self, report: &Report<'_>, key: &str) -> usize {
         let prop = self.object.and_then(|object| object.properties.iter().find(|p| p.name.as_str() == key));
         prop.map_or(self.line, |prop| report.line_of(prop))
     }
 
-    /// Returns the keys that lead to `key`.
+    /// Returns the full path of `key`.
     pub(super) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    /// Reads a key that has to be there.
+    /// Reads a required key.
     pub(super) fn required<T>(
         &mut self,
         report: &mut Report<'_>,
@@ -83,7 +88,7 @@
         read: impl FnOnce(&'a Value<'a>) -> Result<T, String>,
     ) -> Option<T> {
         let Some(value) = self.value(key) else {
-            // A section that is missing as a whole has its own fault.
+            // A missing section is reported as one fault.
             if self.object.is_some() {
                 report.add(
                     self.path_of(key),
@@ -96,7 +101,7 @@
         self.read(report, key, value, read)
     }
 
-    /// Reads a key that may be absent.
+    /// Reads an optional key.
     pub(super) fn optional<T>(
         &mut self,
         report: &mut Report<'_>,
@@ -108,45 +113,45 @@
         self.read(report, key, value, read).unwrap_or(default)
     }
 
-    /// Opens an object that has to be there.
+    /// Opens a required object.
     pub(super) fn required_section(&mut self, report: &mut Report<'_>, key: &'static str) -> Self {
         let object = self.required(report, key, "{ ... }", object);
-        self.opened(report, key, object)
+        self.subsection(report, key, object)
     }
 
-    /// Opens an object if it is there.
+    /// Opens an object if it is present.
     pub(super) fn present_section(&mut self, report: &mut Report<'_>, key: &'static str) -> Option<Self> {
         let found = self.optional(report, key, None, |value| object(value).map(Some));
-        found.map(|found| self.opened(report, key, Some(found)))
+        found.map(|found| self.subsection(report, key, Some(found)))
     }
 
-    /// Opens an object that may be absent.
+    /// Opens an optional object; if it is absent, its keys are too.
     pub(super) fn optional_section(&mut self, report: &mut Report<'_>, key: &'static str) -> Self {
         let found = self.optional(report, key, None, |value| object(value).map(Some));
-        self.opened(report, key, found)
+        self.subsection(report, key, found)
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Reports duplicate keys and keys that were never read.
     pub(super) fn finish(self, report: &mut Report<'_>) {
         let Some(object) = self.object else { return };
         for (i, prop) in object.properties.iter().enumerate() {
             let key = prop.name.as_str();
-            if object.properties[..i].iter().any(|earlier| earlier.name.as_str() == key) {
+            if object.properties[..i].iter().any(|previous| previous.name.as_str() == key) {
                 report.add(self.path_of(key), report.line_of(prop), "stands twice; remove one of them");
             }
-            if !self.known.contains(&key) {
-                let remedy = format!("is unknown; remove it, or use one of: {}", self.known.join(", "));
+            if !self.read_keys.contains(&key) {
+                let remedy = format!("is unknown; remove it, or use one of: {}", self.read_keys.join(", "));
                 report.add(self.path_of(key), report.line_of(prop), remedy);
             }
         }
     }
 
-    fn opened(&self, report: &Report<'_>, key: &'static str, object: Option<&'a Object<'a>>) -> Self {
-        Self { path: self.path_of(key), line: self.line(report, key), object, known: Vec::new() }
+    fn subsection(&self, report: &Report<'_>, key: &'static str, object: Option<&'a Object<'a>>) -> Self {
+        Self { path: self.path_of(key), line: self.line(report, key), object, read_keys: Vec::new() }
     }
 
     fn value(&mut self, key: &'static str) -> Option<&'a Value<'a>> {
-        self.known.push(key);
+        self.read_keys.push(key);
         let prop = self.object?.properties.iter().find(|prop| prop.name.as_str() == key)?;
         Some(&prop.value)
     }
@@ -169,33 +174,34 @@
 }
 
 fn object<'a>(value: &'a Value<'a>) -> Result<&'a Object<'a>, String> {
-    value.as_object().ok_or_else(|| "is no object; write { ... }".to_owned())
+    value.as_object().ok_or_else(|| "is not an object; write { ... }".to_owned())
 }
 
-/// Reads a text that stands for a checked value.
+/// Parses a string into a typed value.
 pub(super) fn text<T>(value: &Value<'_>) -> Result<T, String>
 where
     T: FromStr,
     T::Err: fmt::Display,
 {
-    let text = value.as_string_lit().ok_or_else(|| "is no text; write it in double quotes".to_owned())?;
+    let text =
+        value.as_string_lit().ok_or_else(|| "is not a string; write it in double quotes".to_owned())?;
     text.value.parse().map_err(|err: T::Err| err.to_string())
 }
 
-/// Reads a list of texts with at least one entry.
+/// Parses a non-empty list of strings into typed values.
 pub(super) fn texts<T>(value: &Value<'_>) -> Result<Vec<T>, String>
 where
     T: FromStr,
     T::Err: fmt::Display,
 {
-    let list = value.as_array().ok_or_else(|| "is no list; write [ ... ]".to_owned())?;
+    let list = value.as_array().ok_or_else(|| "is not a list; write [ ... ]".to_owned())?;
     if list.elements.is_empty() {
         return Err("is empty; name at least one".to_owned());
     }
     list.elements.iter().map(text).collect()
 }
 
-/// Reads a whole number within a range.
+/// Reads an integer within a range.
 pub(super) fn number(value: &Value<'_>, min: u64, max: u64) -> Result<u64, String> {
     value
         .as_number_lit()
@@ -204,27 +210,26 @@
         .ok_or_else(|| format!("is no whole number from {min} to {max}; write one"))
 }
 
-/// Reads a number within a range, which may be a fraction.
+/// Reads a number within a range; fractions are accepted.
 ///
-/// What a platform fills in may be one; a host that refused to start for it
-/// would be missing for nothing.
+/// Platforms may fill in fractions, and a host must not refuse to start for that.
 pub(super) fn fraction(value: &Value<'_>, min: f64, max: f64) -> Result<f64, String> {
     value
         .as_number_lit()
         .and_then(|number| number.value.parse().ok())
         .filter(|number| (min..=max).contains(number))
-        .ok_or_else(|| format!("is no number from {min} to {max}; write one"))
+        .ok_or_else(|| format!("is not a number from {min} to {max}; write one"))
 }
 
-/// Reads true or false.
-pub(super) fn flag(value: &Value<'_>) -> Result<bool, String> {
+/// Reads a boolean.
+pub(super) fn boolean(value: &Value<'_>) -> Result<bool, String> {
     match value {
         Value::BooleanLit(literal) => Ok(literal.value),
         _ => Err("is neither true nor false; write one of them without quotes".to_owned()),
     }
 }
 
-/// Turns a part of the settings into plain JSON, for what has a format of its own.
+/// Converts a value to plain JSON, for parts with a format of their own.
 pub(super) fn json_of(value: &Value<'_>) -> serde_json::Value {
     match value {
         Value::StringLit(text) => serde_json::Value::from(text.value.to_string()),
--- a/crates/skylarkshore-host/src/config/timings.rs
+++ b/crates/skylarkshore-host/src/config/timings.rs
@@ -1,4 +1,4 @@
-//! The times that a process keeps, and how they have to fit together.
+//! The section `timings` of the settings, and the constraints between its values.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const MAX_MILLIS: u32 = 3_600_000;
 
-/// Reads a number of milliseconds within a range.
+/// Returns a reader for milliseconds within a range.
 pub(super) fn millis(min: u32, max: u32) -> impl Fn(&Value<'_>) -> Result<Duration, String> {
     move |value| {
         let ms = fraction(value, min.into(), max.into())?;
@@ -51,10 +51,10 @@
     timings
 }
 
-/// Checks what holds between the times.
+/// Checks the constraints between the values.
 ///
-/// A process that acts for longer than its lease lives could meet its successor
-/// at an engine that ignores fences: two loads where the rules allow one.
+/// A process that acts on a lease after its end could conflict with the next
+/// owner at an engine that ignores fences: two loads where the rules allow one.
 fn check(timings: &Timings, section: &Section<'_>, report: &mut Report<'_>) {
     let mut expect = |holds: bool, key: &str, remedy: &str| {
         if !holds {
--- a/crates/skylarkshore-host/src/config/url.rs
+++ b/crates/skylarkshore-host/src/config/url.rs
@@ -1,21 +1,21 @@
-//! Where the platform's services are reached.
+//! URLs of the platform's services.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
 
 use derive_more::{Display, Error};
 
-/// An `http://` address with an IP number, a port and perhaps a path.
+/// An `http://` URL with an IP address, a port and an optional path.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("http://{address}{path}")]
 pub struct HttpUrl {
-    /// Where to connect to.
+    /// The socket address.
     pub address: SocketAddr,
     /// The path, empty or with a leading slash.
     pub path: String,
 }
 
-/// A text that is no such address.
+/// A text that isn't such a URL.
 #[derive(Debug, Display, Error)]
 #[display(
     "'{text}' is no address of a service; write http://, an IP number and a port, for example http://10.0.0.9:2379"
@@ -32,8 +32,8 @@
         let rest = s.strip_prefix("http://").ok_or_else(invalid)?;
         let (address, path) = rest.find('/').map_or((rest, ""), |slash| rest.split_at(slash));
         let address = address.parse().map_err(|_invalid| invalid())?;
-        let plain = path.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'#');
-        if !plain {
+        let is_valid_path = path.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'#');
+        if !is_valid_path {
             return Err(invalid());
         }
         Ok(Self { address, path: path.trim_end_matches('/').to_owned() })
--- a/crates/skylarkshore-host/src/engines.rs
+++ b/crates/skylarkshore-host/src/engines.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and their reports.
+//! Sends orders to engines and fetches their reports. Start with [`EngineProtocol`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,43 +16,43 @@
 use crate::http::{CallError, PooledClient, call, call_anew, client, json_request};
 use crate::store::BoxFuture;
 
-/// How long an engine may take to accept an order; loading goes on after that.
+/// How long an engine may take to accept an order; loading itself takes longer.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order with what goes with it.
+/// An order with its preconditions.
 #[derive(Clone, Debug)]
 pub struct EngineOrder {
-    /// The order's number within this process.
+    /// The order's id within this process.
     pub order: OrderId,
     /// The owner's fence.
     pub fence: Fence,
-    /// The time after which it may not be sent any more.
+    /// The time after which it must not be sent.
     pub not_after: Time,
-    /// How many orders the engine must have accepted before, where it numbers them.
+    /// The number of orders that the engine must have accepted before, if it numbers them.
     pub after: Option<u64>,
-    /// What the engine is to do.
+    /// The action to perform.
     pub action: Order,
 }
 
-/// How engines take orders and tell how they stand.
+/// The protocol between hosts and engines.
 pub trait EngineProtocol: Send + Sync {
-    /// Gives an order, unless its time has passed by the moment of sending.
+    /// Sends an order, unless `not_after` has passed at the moment of sending.
     ///
-    /// A process that was frozen wakes up believing that it still owns the
-    /// engine. One that ignores fences would carry its order out beside the
-    /// successor's, and two replicas would run where one is allowed; so the time
-    /// is checked after the connection stands, right before the order is sent.
+    /// A process that was frozen may act on an engine that it no longer owns. An
+    /// engine that ignores fences would execute its order in addition to the new
+    /// owner's, and two replicas would run where one is allowed. The time is
+    /// therefore checked after connecting, right before the order is sent.
     ///
-    /// An order with a number must be given so that no other life of the engine
-    /// carries it out: the core forgets those of a life that has ended.
+    /// A numbered order must be sent so that no other incarnation of the engine
+    /// executes it: the core discards the orders of an ended incarnation.
     fn give<'a>(&'a self, engine: &'a Upstream, order: EngineOrder) -> BoxFuture<'a, OrderAnswer>;
 
-    /// Asks an engine how it stands; none when it doesn't say in time.
+    /// Fetches an engine's report; `None` if it doesn't arrive in time.
     fn ask<'a>(&'a self, engine: &'a Upstream) -> BoxFuture<'a, Option<EngineReport>>;
 }
 
-/// Engines that speak the product's own protocol.
+/// The product's own engine protocol.
 #[derive(Clone, Debug)]
 pub(crate) struct NativeEngines {
     client: PooledClient,
@@ -65,7 +65,7 @@
         Self { client: client(), clock, log }
     }
 
-    async fn give_to(&self, address: SocketAddr, engine_order: EngineOrder) -> OrderAnswer {
+    async fn send_order_to(&self, address: SocketAddr, engine_order: EngineOrder) -> OrderAnswer {
         let not_after = engine_order.not_after;
         let body = OrderRequest {
             order: engine_order.order,
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn ask_at(&self, address: SocketAddr) -> Option<EngineReport> {
+    async fn fetch_report_from(&self, address: SocketAddr) -> Option<EngineReport> {
         let req = json_request(Method::GET, address, REPORT_PATH, Bytes::new());
         let answer = call(&self.client, req, Instant::now() + REPORT_TIMEOUT).await;
         let answer = answer.inspect_err(|err| {
@@ -103,15 +103,15 @@
 
 impl EngineProtocol for NativeEngines {
     fn give<'a>(&'a self, engine: &'a Upstream, order: EngineOrder) -> BoxFuture<'a, OrderAnswer> {
-        Box::pin(self.give_to(engine.address, order))
+        Box::pin(self.send_order_to(engine.address, order))
     }
 
     fn ask<'a>(&'a self, engine: &'a Upstream) -> BoxFuture<'a, Option<EngineReport>> {
-        Box::pin(self.ask_at(engine.address))
+        Box::pin(self.fetch_report_from(engine.address))
     }
 }
 
-/// Reads an order's answer; one that can't be understood leaves open what was done.
+/// Reads the answer to an order; if it can't be parsed, the outcome is unknown.
 fn read_reply(body: &[u8]) -> OrderAnswer {
     serde_json::from_slice::<OrderReply>(body).map_or(OrderAnswer::Lost, OrderAnswer::from)
 }
--- a/crates/skylarkshore-host/src/entry_hosts.rs
+++ b/crates/skylarkshore-host/src/entry_hosts.rs
@@ -1,4 +1,4 @@
-//! Which hosts a caller is told of that asks for a few.
+//! Selects the entry hosts to list for a caller. Start with [`choose`].
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 
 use crate::driver::Member;
 
-/// From how many hosts in the caller's data centre on it is told of these alone.
+/// The number of hosts in the caller's data centre from which only these are listed.
 ///
-/// Requests that cross data centres cost the operators. With fewer hosts than
-/// that, the loss of some would leave the caller none to go to until it asks again.
-const ENOUGH_NEAR: usize = 8;
+/// Requests across data centres cost the operators. With fewer hosts, the loss
+/// of some could leave the caller without any until it asks again.
+const MIN_LOCAL_HOSTS: usize = 8;
 
-/// Chooses at most `most` of the hosts that stay, for a caller in a data centre.
+/// Chooses at most `max` hosts for a caller; hosts that are shutting down are excluded.
 ///
-/// Where there are more than that, each answer names others. Were they always
-/// the same, the rest would get no requests at all.
+/// The choice is random, since hosts that are never listed would receive no
+/// requests.
 pub fn choose(
     members: &[Member],
     data_centre: Option<&str>,
-    most: usize,
+    max: usize,
     rng: &mut impl Rng,
 ) -> Vec<SocketAddr> {
-    let staying: Vec<&Member> = members.iter().filter(|member| !member.leaving).collect();
-    let is_near = |member: &&Member| Some(member.data_centre.as_str()) == data_centre;
-    let near: Vec<&Member> = staying.iter().copied().filter(is_near).collect();
-    let chosen = if near.len() >= ENOUGH_NEAR { near } else { staying };
-    chosen.choose_multiple(rng, most).map(|member| member.caller_address).collect()
+    let active: Vec<&Member> = members.iter().filter(|member| !member.leaving).collect();
+    let is_local = |member: &&Member| Some(member.data_centre.as_str()) == data_centre;
+    let local: Vec<&Member> = active.iter().copied().filter(is_local).collect();
+    let chosen = if local.len() >= MIN_LOCAL_HOSTS { local } else { active };
+    chosen.choose_multiple(rng, max).map(|member| member.caller_address).collect()
 }
--- a/crates/skylarkshore-host/src/env.rs
+++ b/crates/skylarkshore-host/src/env.rs
@@ -1,4 +1,4 @@
-//! What nearly every part of the program needs.
+//! The environment shared by most parts of the program. Start with [`Env`].
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,29 +6,29 @@
 
 use crate::clock::Clock;
 use crate::driver::Inbox;
-use crate::log::LineBudget;
+use crate::log::LineRateLimiter;
 use crate::metrics::Metrics;
 use crate::pending::Requests;
 
-/// What nearly every part of the program needs; cheap to clone.
+/// Shared handles; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Env {
-    /// The time.
+    /// The clock.
     pub clock: Clock,
-    /// The way to the core.
+    /// The queue of the task that owns the core.
     pub inbox: Inbox,
-    /// The numbers that are kept.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
     /// The requests in progress.
     pub requests: Arc<Requests>,
-    /// How many lines of each kind may be written yet.
-    pub lines: Arc<Mutex<LineBudget>>,
-    /// Where events are logged.
+    /// The rate limit of log lines.
+    pub lines: Arc<Mutex<LineRateLimiter>>,
+    /// The logger.
     pub log: Logger,
 }
 
 impl Env {
-    /// Tells whether one more line of a kind may be written in this second.
+    /// Reports whether the rate limit admits another log line of this kind.
     pub fn may_log(&self, kind: &'static str) -> bool {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.allows(&self.log, kind)
--- a/crates/skylarkshore-host/src/etcd_platform.rs
+++ b/crates/skylarkshore-host/src/etcd_platform.rs
@@ -1,4 +1,4 @@
-//! The product's own interface: an etcd v3 JSON gateway, a host list, engines that name the orders they settle.
+//! The product's own platform: an etcd v3 JSON gateway, a host list, and engines that report finished orders.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::store::{EtcdStore, Store};
 use crate::upstreams::{NativeUpstreams, UpstreamProtocol};
 
-/// The product's own interface.
+/// The product's own platform.
 #[derive(Clone, Debug)]
 pub(crate) struct EtcdPlatform {
     settings: EtcdSettings,
--- a/crates/skylarkshore-host/src/host_list.rs
+++ b/crates/skylarkshore-host/src/host_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's host list every few seconds.
+//! Polls the platform's host list.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 use crate::driver::Inbox;
 use crate::http::{PooledClient, call, client, json_request};
 
-const READ_EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the host list until the process ends.
+/// Polls the host list until the process ends; logs only the first failure in a row.
 pub(crate) async fn poll(url: HttpUrl, inbox: Inbox, log: Logger) {
     let client = client();
     let mut failing = false;
     loop {
-        match read(&client, &url, &log).await {
+        match fetch(&client, &url, &log).await {
             Ok(list) => {
                 failing = false;
                 inbox.event(Event::HostList(list.upstreams)).await;
@@ -33,13 +33,13 @@
             }
             Err(_) => {}
         }
-        // Jitter keeps the hosts from asking all at once after a common start.
-        let rest = READ_EVERY.mul_f64(rand::rng().random_range(0.75..1.25));
-        sleep(rest).await;
+        // Jitter spreads the requests of hosts that started together.
+        let delay = POLL_INTERVAL.mul_f64(rand::rng().random_range(0.75..1.25));
+        sleep(delay).await;
     }
 }
 
-async fn read(client: &PooledClient, url: &HttpUrl, log: &Logger) -> Result<CheckedHostList, String> {
+async fn fetch(client: &PooledClient, url: &HttpUrl, log: &Logger) -> Result<CheckedHostList, String> {
     let req = json_request(Method::GET, url.address, &url.path, Bytes::new());
     let answer = call(client, req, Instant::now() + TIMEOUT).await.map_err(|err| err.to_string())?;
     if answer.status != StatusCode::OK {
--- a/crates/skylarkshore-host/src/http.rs
+++ b/crates/skylarkshore-host/src/http.rs
@@ -1,4 +1,6 @@
-//! Calls to the platform and to engines: one request, one small answer, one deadline.
+//! HTTP calls to the platform and to engines, with small answers and a deadline.
+//!
+//! Start with [`call`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,22 +20,21 @@
 
 pub use crate::call_error::CallError;
 
-/// How long a connection may take to be made.
+/// Time-out for connecting.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a connection is kept for reuse. Most servers close idle ones after
-/// five seconds or more; a request sent on one that is just being closed would
-/// be lost, and couldn't be told from one that has run.
+/// How long an idle connection is kept. Most servers close idle ones after five
+/// seconds or more; whether a request sent during the close has run is unknown.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// After how long without traffic the system checks that the other end is still there; a watch can be quiet for long.
-const KEEPALIVE: Duration = Duration::from_secs(10);
+/// Idle time before TCP keep-alive probes start; a watch can be idle for long.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
 const KEEPALIVE_RETRIES: u32 = 3;
-/// Connections that are kept for one address.
-const IDLE_PER_ADDRESS: usize = 32;
-/// The largest answer that is read whole, in bytes.
+/// The most idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
+/// The largest answer, in bytes.
 const MAX_ANSWER_LEN: usize = 16 * 1024 * 1024;
 
-/// An answer that was read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
@@ -42,29 +43,29 @@
     pub body: Bytes,
 }
 
-/// A client with a pool of connections, which never sends a request twice.
+/// A client with a connection pool, which never retries a request.
 pub type PooledClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Makes a client.
+/// Creates a client.
 ///
-/// The client's own retry is off: it would send a request again when a reused
-/// connection was closed first, and a booking could be made twice.
+/// Hyper's retry is disabled: it repeats a request when a reused connection
+/// was closed, and a booking could be made twice.
 pub fn client() -> PooledClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-    connector.set_keepalive(Some(KEEPALIVE));
+    connector.set_keepalive(Some(KEEPALIVE_IDLE));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
     Client::builder(TokioExecutor::new())
         .retry_canceled_requests(false)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(IDLE_TIMEOUT)
-        .pool_max_idle_per_host(IDLE_PER_ADDRESS)
+        .pool_max_idle_per_host(MAX_IDLE_PER_ADDRESS)
         .build(connector)
 }
 
-/// Makes a request with a JSON body, or none.
+/// Builds a request with a JSON or empty body.
 pub fn json_request(method: Method, address: SocketAddr, path: &str, body: Bytes) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(body));
     *req.method_mut() = method;
@@ -73,7 +74,7 @@
     req
 }
 
-/// Sends a request on a pooled connection and reads the whole answer by `deadline`.
+/// Sends a request on a pooled connection and reads the complete answer by `deadline`.
 ///
 /// # Errors
 ///
@@ -88,16 +89,15 @@
             let reason = chain(&err);
             if err.is_connect() { CallError::NotConnected { reason } } else { CallError::Lost { reason } }
         })?;
-        read_whole(res).await
+        read_complete(res).await
     };
     tokio::time::timeout_at(deadline, exchange).await.unwrap_or_else(|_elapsed| Err(timed_out()))
 }
 
-/// Connects anew, asks `may_send` once the connection stands, sends and reads the whole answer.
+/// Sends a request on a new connection if `may_send` permits it, and reads the complete answer.
 ///
-/// Returns none when `may_send` said no; nothing was sent then. Connecting can
-/// take long enough for the leave to act to run out in the meantime, so it is
-/// asked as late as possible.
+/// Returns `None` if `may_send` returns false; nothing was sent then. It is
+/// called after connecting, since the permission can expire in the meantime.
 ///
 /// # Errors
 ///
@@ -117,12 +117,12 @@
     }
     let exchange = async {
         let res = connection.send(req).await.map_err(|err| CallError::Lost { reason: chain(&err) })?;
-        read_whole(res).await.map(Some)
+        read_complete(res).await.map(Some)
     };
     tokio::time::timeout_at(deadline, exchange).await.unwrap_or_else(|_elapsed| Err(timed_out()))
 }
 
-/// Turns an absolute address into the path and `host` header that servers expect.
+/// Replaces an absolute URI by its path and a `host` header, as servers expect.
 fn to_origin_form(req: &mut Request<Full<Bytes>>, address: SocketAddr) {
     if let Some(path) = req.uri().path_and_query().cloned() {
         *req.uri_mut() = path.into();
@@ -132,7 +132,7 @@
     }
 }
 
-async fn read_whole(res: http::Response<Incoming>) -> Result<Answer, CallError> {
+async fn read_complete(res: http::Response<Incoming>) -> Result<Answer, CallError> {
     let status = res.status();
     let body = Limited::new(res.into_body(), MAX_ANSWER_LEN);
     let body = body.collect().await.map_err(|err| CallError::Lost { reason: err.to_string() })?;
--- a/crates/skylarkshore-host/src/lib.rs
+++ b/crates/skylarkshore-host/src/lib.rs
@@ -1,9 +1,8 @@
-//! Sockets and timers round the core of skylarkshore.
+//! Sockets, timers and platform access for the core of skylarkshore.
 //!
-//! [`run`] puts the parts together. One task, the driver, owns the core:
-//! everything that happens outside reaches it as an event, and what it wants
-//! done is carried out in tasks of their own. What differs from one platform to
-//! another is behind the traits that [`platform`] brings together.
+//! Start with [`run`]. One task, the [`driver`], owns the core: it receives
+//! everything as events, and executes the core's effects in tasks of their own.
+//! The differences between platforms are behind the traits in [`platform`].
 
 pub mod accounts;
 pub mod call_error;
--- a/crates/skylarkshore-host/src/log.rs
+++ b/crates/skylarkshore-host/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines: one event each, as key=value pairs on standard output.
+//! Logging: one event per line, as key=value pairs on standard output.
 
 use std::io::{Write, stdout};
 
@@ -9,10 +9,10 @@
 
 use crate::config::{Config, LogLevel};
 
-/// Lines that wait to be written; more are dropped and counted in a line of their own.
+/// Lines queued for writing; more are dropped and counted in a line of their own.
 const QUEUE_LEN: usize = 4096;
 
-/// Makes the logger; its last lines are written when the guard is dropped.
+/// Creates the logger; dropping the guard flushes it.
 pub(crate) fn logger(config: &Config) -> (Logger, AsyncGuard) {
     let (drain, guard) = Async::new(drain(stdout(), config.log_level).fuse())
         .chan_size(QUEUE_LEN)
@@ -22,44 +22,44 @@
     (root, guard)
 }
 
-/// Makes the drain that writes lines of at least the level.
+/// Creates the drain that writes lines of at least the level.
 pub fn drain<W: Write>(writer: W, level: LogLevel) -> impl Drain<Ok = (), Err = slog::Never> {
     let logfmt = Logfmt::new(writer).set_prefix(prefix).print_level(true).build();
     LevelFilter::new(logfmt, level.0).fuse()
 }
 
-/// Writes when and what: the message of each event is a fixed word.
+/// Writes the time and the event name, which is the record's message.
 fn prefix(writer: &mut dyn Write, record: &slog::Record<'_>) -> slog::Result {
     write!(writer, "ts={} event={} ", unix_millis(), record.msg())?;
     Ok(())
 }
 
-/// How many lines of one kind are written in a second.
+/// Lines of one kind that are written per second.
 ///
-/// A kind that comes more often comes from overload, where the lines beyond tell
-/// nothing new and writing them would slow the answers down further.
-const LINES_PER_SECOND: u32 = 200;
+/// Higher rates occur under overload, when further lines add no information
+/// and writing them would slow the answers down.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// Holds down how often lines of one kind are written.
+/// Limits the rate of lines per kind.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct LineRateLimiter {
     second: u64,
     written: HashMap<&'static str, u32>,
 }
 
-impl LineBudget {
-    /// Tells whether one more line of a kind may be written; says now and then how many were left out.
+impl LineRateLimiter {
+    /// Reports whether another line of a kind may be written; logs the number of omitted lines.
     pub fn allows(&mut self, log: &Logger, kind: &'static str) -> bool {
         let second = unix_millis() / 1000;
         if second != self.second {
             self.second = second;
-            for (kind, lines) in self.written.drain().filter(|(_, lines)| *lines > LINES_PER_SECOND) {
-                warn!(log, "lines_left_out"; "count" => lines - LINES_PER_SECOND, "kind" => kind);
+            for (kind, lines) in self.written.drain().filter(|(_, lines)| *lines > MAX_LINES_PER_SECOND) {
+                warn!(log, "lines_left_out"; "count" => lines - MAX_LINES_PER_SECOND, "kind" => kind);
             }
         }
         let lines = self.written.entry(kind).or_default();
         *lines += 1;
-        *lines <= LINES_PER_SECOND
+        *lines <= MAX_LINES_PER_SECOND
     }
 }
 
--- a/crates/skylarkshore-host/src/metrics.rs
+++ b/crates/skylarkshore-host/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Numbers for `/metrics`, named after the conventions of Prometheus.
+//! Prometheus metrics for `/metrics`. Start with [`Metrics`].
 
 mod process;
 
@@ -9,17 +9,17 @@
     Counter, Encoder, Gauge, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
     Opts, Registry, TextEncoder,
 };
-use skylarkshore_core::dump::Gauge as Reading;
+use skylarkshore_core::dump::Gauge as CoreGauge;
 use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::store::{StoreFailure, StoreResult};
 
 const NAMESPACE: &str = "skylarkshore";
 
-/// From a warm request's overhead to the longest cold start that is waited for.
+/// In seconds, from the overhead of a warm request to the longest cold start.
 const LATENCY_BUCKETS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0, 300.0];
 
-/// The numbers that the process keeps outside of the core.
+/// The metrics that are recorded outside of the core.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -37,18 +37,18 @@
     events: IntCounter,
 }
 
-/// How a request ended, for its counter.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An upstream's answer was passed on whole.
+    /// An upstream's answer was forwarded completely.
     Answered,
-    /// It was wrong in itself and nothing was sent upstream.
+    /// The request was invalid; nothing was sent upstream.
     Invalid,
-    /// It was refused, with this outcome.
+    /// The request was refused with this outcome.
     Refused(&'static str),
-    /// The answer was broken off after a part was passed on.
+    /// The answer was aborted after a part was forwarded.
     BrokenOff,
-    /// The caller went away first.
+    /// The caller disconnected first.
     CallerGone,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Which way a peer's message goes.
+/// The direction of a peer message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
     Sent,
@@ -89,11 +89,11 @@
 }
 
 impl Metrics {
-    /// Makes and registers the numbers.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Two of them have the same name.
+    /// Two metrics have the same name.
     fn build() -> prometheus::Result<Self> {
         let this = Self {
             registry: Registry::new(),
@@ -149,13 +149,13 @@
         Ok(this)
     }
 
-    /// Makes and registers the numbers.
+    /// Creates and registers the metrics.
     ///
     /// # Panics
     ///
-    /// Never, as their names are constant and differ.
+    /// Never, as the names are constant and distinct.
     pub(crate) fn new() -> Self {
-        Self::build().expect("the metrics' names are constant and differ")
+        Self::build().expect("the metrics' names are constant and distinct")
     }
 
     fn collectors(&self) -> Vec<Box<dyn Collector>> {
@@ -189,7 +189,7 @@
         self.duration.with_label_values(&[target]).observe(after.as_secs_f64());
     }
 
-    /// Counts a request that was wrong in itself.
+    /// Counts an invalid request.
     pub fn request_invalid(&self) {
         self.requests.with_label_values(&["none", RequestEnd::Invalid.label()]).inc();
     }
@@ -206,7 +206,7 @@
         self.attempts.with_label_values(&[label]).inc();
     }
 
-    /// Counts an event that operators ought to know of.
+    /// Counts a logged event.
     pub fn count_event(&self, event: &str) {
         self.log_events.with_label_values(&[event]).inc();
     }
@@ -236,12 +236,12 @@
         self.events.inc();
     }
 
-    /// Writes all numbers, the core's among them, as Prometheus reads them.
-    pub(crate) fn render(&self, readings: &[Reading]) -> String {
+    /// Renders all metrics, including the core's, in the Prometheus text format.
+    pub(crate) fn render(&self, core_gauges: &[CoreGauge]) -> String {
         let mut families = self.registry.gather();
-        families.extend(readings.iter().filter_map(family));
+        families.extend(core_gauges.iter().filter_map(metric_family));
         let mut buf = Vec::new();
-        // Writing to a buffer only fails on a family without numbers, and there is none.
+        // Encoding to a buffer fails only for an empty family, and there is none.
         _ = TextEncoder::new().encode(&families, &mut buf);
         let mut text = String::from_utf8_lossy(&buf).into_owned();
         text.push_str(&process::render());
@@ -249,14 +249,14 @@
     }
 }
 
-fn family(reading: &Reading) -> Option<prometheus::proto::MetricFamily> {
-    let opts = opts(reading.name, "See the page OPERATIONS.");
-    if reading.name.ends_with("_total") {
+fn metric_family(core_gauge: &CoreGauge) -> Option<prometheus::proto::MetricFamily> {
+    let opts = opts(core_gauge.name, "See the page OPERATIONS.");
+    if core_gauge.name.ends_with("_total") {
         let counter = Counter::with_opts(opts).ok()?;
-        counter.inc_by(reading.value);
+        counter.inc_by(core_gauge.value);
         return counter.collect().into_iter().next();
     }
     let gauge = Gauge::with_opts(opts).ok()?;
-    gauge.set(reading.value);
+    gauge.set(core_gauge.value);
     gauge.collect().into_iter().next()
 }
--- a/crates/skylarkshore-host/src/metrics/process.rs
+++ b/crates/skylarkshore-host/src/metrics/process.rs
@@ -1,12 +1,12 @@
-//! What the process takes of its host, by the names that Prometheus uses for every process.
+//! Memory and processor time of the process, under Prometheus' standard names.
 
 use std::fmt::Write;
 
-/// Ticks per second in the system's process files; fixed on Linux.
+/// Ticks per second in `/proc/self/stat`; fixed on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 const BYTES_PER_KIBIBYTE: u64 = 1024;
 
-/// Writes memory and processor time; nothing where the system doesn't tell.
+/// Renders memory and processor time; omits what can't be read.
 pub(super) fn render() -> String {
     let mut text = String::new();
     if let Some(bytes) = resident_bytes() {
@@ -36,7 +36,7 @@
 
 fn cpu_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
-    // The program's name in parentheses may hold spaces; the fields count from after it.
+    // The program's name in parentheses may contain spaces; fields are counted after it.
     let (_, fields) = stat.rsplit_once(')')?;
     let mut fields = fields.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
--- a/crates/skylarkshore-host/src/operators.rs
+++ b/crates/skylarkshore-host/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, on an address of its own.
+//! The HTTP interface for operators, on an address of its own. Start with [`serve`].
 
 mod explain;
 
@@ -22,7 +22,7 @@
 use crate::probe::HEALTH_PATH;
 use crate::server;
 
-/// What answers to operators need.
+/// The state shared by the request handlers.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorState {
     pub(crate) env: Env,
@@ -32,11 +32,11 @@
     pub(crate) data_centre: DataCentre,
 }
 
-/// Begins to serve operators on a listener.
+/// Starts serving operators on a listener.
 ///
 /// # Errors
 ///
-/// The system gives no threads.
+/// The system can't start threads.
 pub(crate) fn serve(
     state: OperatorState,
     listener: std::net::TcpListener,
@@ -60,7 +60,7 @@
                 Method::GET
             }
             _ => {
-                return refused(
+                return error_response(
                     StatusCode::NOT_FOUND,
                     "no_such_path",
                     "see the page INTERFACES for the paths",
@@ -68,7 +68,11 @@
             }
         };
         if *method != expected {
-            return refused(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", &format!("use {expected}"));
+            return error_response(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "wrong_method",
+                &format!("use {expected}"),
+            );
         }
         match path {
             "/metrics" => self.metrics().await,
@@ -102,14 +106,14 @@
     }
 
     async fn metrics(&self) -> WebResponse {
-        let readings = self.env.inbox.gauges().await;
-        server::text(StatusCode::OK, self.env.metrics.render(&readings))
+        let core_gauges = self.env.inbox.gauges().await;
+        server::text(StatusCode::OK, self.env.metrics.render(&core_gauges))
     }
 
     async fn state(&self) -> WebResponse {
         match self.env.inbox.dump().await {
             Some(dump) => server::json(StatusCode::OK, &dump),
-            None => refused(StatusCode::SERVICE_UNAVAILABLE, "ending", "ask another host"),
+            None => error_response(StatusCode::SERVICE_UNAVAILABLE, "ending", "ask another host"),
         }
     }
 
@@ -120,7 +124,7 @@
     fn explain(&self, query: &str) -> WebResponse {
         match explain::explain(&self.snapshot().document, &self.data_centre, query) {
             Ok(explanation) => server::json(StatusCode::OK, &explanation),
-            Err(reason) => refused(StatusCode::BAD_REQUEST, "bad_question", &reason.to_string()),
+            Err(reason) => error_response(StatusCode::BAD_REQUEST, "bad_question", &reason.to_string()),
         }
     }
 
@@ -135,11 +139,11 @@
     }
 }
 
-fn refused(status: StatusCode, word: &str, remedy: &str) -> WebResponse {
+fn error_response(status: StatusCode, reason_code: &str, remedy: &str) -> WebResponse {
     let body = ErrorBody {
         outcome: OutcomeWire::NotRun,
-        reason: word.to_owned(),
-        error: ErrorText { message: word.replace('_', " "), remedy: remedy.to_owned() },
+        reason: reason_code.to_owned(),
+        error: ErrorText { message: reason_code.replace('_', " "), remedy: remedy.to_owned() },
     };
     server::json(status, &body)
 }
--- a/crates/skylarkshore-host/src/peers/link.rs
+++ b/crates/skylarkshore-host/src/peers/link.rs
@@ -23,7 +23,7 @@
 /// Why a message wasn't sent.
 #[derive(Debug, Display, Error, From)]
 enum LinkError {
-    #[display("no member key has told where it is; wait for it to start")]
+    #[display("its address is unknown, as it has no member key yet; wait for it to start")]
     #[from(skip)]
     Unknown,
     #[display("it doesn't answer in time; check the network between the hosts")]
--- a/crates/skylarkshore-host/src/platform.rs
+++ b/crates/skylarkshore-host/src/platform.rs
@@ -1,4 +1,4 @@
-//! What differs from one platform to another, behind traits.
+//! The traits behind which platforms differ. Start with [`Platform`].
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 
 /// A platform on which entry hosts run.
 ///
-/// It says how the key-value service, the list of upstreams, engines, plain
-/// services and callers are met; all decisions are the core's.
+/// It provides access to the key-value service, the list of upstreams, engines,
+/// plain services and callers; the core makes all decisions.
 pub trait Platform: Send + Sync {
-    /// Returns the client of the key-value service.
+    /// Creates the client of the key-value service.
     fn store(&self, env: &Env) -> Arc<dyn Store>;
 
-    /// Begins to tell the core of the upstreams, where the store's watch doesn't.
+    /// Starts sending the list of upstreams to the core, unless the store's watch does.
     fn follow_upstreams(&self, env: &Env);
 
-    /// Returns how engines take orders and tell how they stand.
+    /// Creates the protocol for engines.
     fn engines(&self, env: &Env) -> Arc<dyn EngineProtocol>;
 
-    /// Returns how requests are sent to upstreams.
+    /// Creates the protocol for requests to upstreams.
     fn upstreams(&self, env: &Env) -> Arc<dyn UpstreamProtocol>;
 
-    /// Begins to serve callers on a listener, and whatever else the platform asks of an entry host.
+    /// Starts serving callers on a listener, and the other servers that the platform requires.
     ///
     /// # Errors
     ///
-    /// The system gives no threads, or an address is taken.
+    /// The system can't start threads, or an address is in use.
     fn serve(
         &self,
         exchange: Exchange,
--- a/crates/skylarkshore-host/src/probe.rs
+++ b/crates/skylarkshore-host/src/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a life of a process has ended for certain.
+//! Determines whether an incarnation of a process has ended for certain.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,25 +13,25 @@
 
 use crate::http::{call_anew, json_request};
 
-/// Where a process tells which life of it answers.
+/// The path on which a process reports its incarnation.
 pub(crate) const HEALTH_PATH: &str = "/healthz";
 
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells whether the life of the process has ended.
+/// Reports whether the incarnation of the process has ended.
 ///
-/// It has when the system of a live host refuses connections to its address, or
-/// when a later life of the same host answers there. A frozen process doesn't
-/// look so: its system still takes connections for it. Silence proves nothing.
+/// This is certain if its address refuses connections, or if a later
+/// incarnation of the same host answers there. The kernel still accepts
+/// connections for a frozen process. A time-out proves nothing.
 pub(crate) async fn has_ended(host: &HostId, incarnation: Incarnation, address: SocketAddr) -> bool {
     match timeout(TIMEOUT, TcpStream::connect(address)).await {
         Err(_elapsed) => false,
         Ok(Err(err)) => err.kind() == ErrorKind::ConnectionRefused,
-        Ok(Ok(_stream)) => later_life_answers(host, incarnation, address).await,
+        Ok(Ok(_stream)) => later_incarnation_answers(host, incarnation, address).await,
     }
 }
 
-async fn later_life_answers(host: &HostId, incarnation: Incarnation, address: SocketAddr) -> bool {
+async fn later_incarnation_answers(host: &HostId, incarnation: Incarnation, address: SocketAddr) -> bool {
     let req = json_request(Method::GET, address, HEALTH_PATH, Bytes::new());
     let Ok(Some(answer)) = call_anew(address, req, || true, Instant::now() + TIMEOUT).await else {
         return false;
--- a/crates/skylarkshore-host/src/run.rs
+++ b/crates/skylarkshore-host/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of an entry host together and runs them.
+//! Assembles the parts of an entry host and runs them. Start with [`run`].
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::process::ExitCode;
@@ -30,22 +30,22 @@
 use crate::shutdown::Signals;
 use crate::upstreams::Upstreams;
 
-/// The most threads that run the core, its calls and its peers' messages.
-const MOST_WORKERS: usize = 4;
-/// How long slow callers are given to read the last answers.
-const LAST_ANSWERS: Duration = Duration::from_secs(30);
-const LAST_BYTES: Duration = Duration::from_millis(100);
+/// The most threads for the core, its calls and its peer messages.
+const MAX_WORKERS: usize = 4;
+/// How long slow callers may take to read the last answers.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes the platform that the settings name, given which life of the process this is.
+/// Creates the configured platform for an incarnation of the process.
 pub type PlatformMaker = dyn Fn(&Config, Incarnation) -> Box<dyn Platform>;
 
-/// Reads the settings, at the start and whenever the process is asked to.
+/// Reads the settings, at the start and at each reload.
 pub type SettingsSource<'a> = dyn Fn() -> Result<Config, Error> + 'a;
 
-/// Reads the settings again and puts into force what can change while the process runs.
+/// Reloads the settings and applies those that can change at run time.
 ///
-/// Addresses and the platform stay as they were until the next start. Settings
-/// that are wrong change nothing.
+/// Addresses and the platform only change at the next start. Invalid settings
+/// change nothing.
 fn reload(source: &SettingsSource<'_>, env: &Env) {
     match source() {
         Ok(config) => {
@@ -59,33 +59,33 @@
 
 /// Returns the product's own platform.
 ///
-/// Its settings are read along with the others; see [`Config::platform`].
+/// Its settings are part of [`Config::platform`].
 pub fn own_platform(config: &Config, settings: EtcdSettings, incarnation: Incarnation) -> Box<dyn Platform> {
     Box::new(EtcdPlatform::new(config, settings, incarnation))
 }
 
-/// Runs an entry host until it has left in order or is told to end at once.
+/// Runs an entry host until it has shut down gracefully or is told to exit at once.
 ///
 /// # Errors
 ///
-/// An address is taken, or the system gives no threads or randomness.
+/// The settings are invalid, an address is in use, or the system provides no threads or randomness.
 pub fn run(source: &SettingsSource<'_>, platforms: &PlatformMaker) -> Result<ExitCode, Error> {
     let config = source()?;
     let (log, guard) = logger(&config);
     let runtime = runtime()?;
     let code = runtime.block_on(serve(config, source, platforms, log));
-    // Calls that are still on their way have no one left to answer.
+    // The results of pending calls are no longer needed.
     runtime.shutdown_background();
     drop(guard);
     code
 }
 
-/// Makes the runtime of the core and of all that speaks to others.
+/// Creates the runtime of the core and its I/O.
 ///
-/// The core runs on the main thread. Where threads can't run beside each other,
-/// everything else does too: a second one would have to be woken at each event.
+/// The core runs on the main thread. On a single processor everything else does
+/// too, as a second thread would have to be woken for each event.
 fn runtime() -> Result<Runtime, Error> {
-    let workers = workers(MOST_WORKERS);
+    let workers = workers(MAX_WORKERS);
     let mut builder = if workers > 1 { Builder::new_multi_thread() } else { Builder::new_current_thread() };
     if workers > 1 {
         builder.worker_threads(workers);
@@ -93,7 +93,7 @@
     builder.thread_name("skylarkshore").enable_all().build().map_err(|source| Error::Runtime { source })
 }
 
-/// The sockets of a host, with the addresses that others are told.
+/// The sockets of a host.
 struct Sockets {
     callers: TcpListener,
     operators: TcpListener,
@@ -105,7 +105,7 @@
         let callers = bind(config.caller_address, "callers", "caller_address", TcpListener::bind)?;
         let operators = bind(config.operator_address, "operators", "operator_address", TcpListener::bind)?;
         let peers = bind(config.peer_address, "peers", "peer_address", UdpSocket::bind)?;
-        // A port 0 in the settings stands for any free one.
+        // Port 0 in the settings selects any free port.
         let unknown = |source| Error::Runtime { source };
         config.caller_address = callers.local_addr().map_err(unknown)?;
         config.operator_address = operators.local_addr().map_err(unknown)?;
@@ -129,8 +129,8 @@
     platforms: &PlatformMaker,
     log: Logger,
 ) -> Result<ExitCode, Error> {
-    let system = |source| Error::Runtime { source };
-    let signals = Signals::listen().map_err(system)?;
+    let runtime_error = |source| Error::Runtime { source };
+    let signals = Signals::listen().map_err(runtime_error)?;
     let sockets = Sockets::bind(&mut config)?;
     let identity = Identity::generate()?;
     let (inbox, receiver) = Inbox::open();
@@ -143,7 +143,7 @@
         log,
     };
     let node_config = node_config(&config, &identity);
-    announce(&config, node_config.incarnation, &env);
+    log_start(&config, node_config.incarnation, &env);
     let (snapshot, snapshots) = watch::channel(Arc::new(Snapshot::default()));
     let incarnation = node_config.incarnation;
     let peers = Peers::listen(
@@ -157,7 +157,7 @@
     let exchange = exchange(&config, incarnation, &env, snapshots.clone());
     let connections = Arc::clone(&exchange.connections);
     let effects = effects(&config, &*platform, &env, peers.clone(), connections);
-    let (node, first) = Node::start(node_config, env.clock.now());
+    let (node, initial_effects) = Node::start(node_config, env.clock.now());
     let driver = Driver::new(node, env.clock, effects, snapshot, Arc::clone(&env.metrics));
     let operator_state = OperatorState {
         env: env.clone(),
@@ -166,10 +166,11 @@
         incarnation,
         data_centre: config.data_centre.clone(),
     };
-    let operators = operators::serve(operator_state, sockets.operators).map_err(system)?;
+    let operators = operators::serve(operator_state, sockets.operators).map_err(runtime_error)?;
     let callers = platform.serve(exchange, sockets.callers)?;
     platform.follow_upstreams(&env);
-    let code = until_end(driver, receiver, first, signals, || reload(source, &env), &env).await;
+    let code =
+        run_until_exit(driver, receiver, initial_effects, signals, || reload(source, &env), &env).await;
     stop(&callers, &operators, &peers);
     Ok(code)
 }
@@ -191,7 +192,7 @@
     }
 }
 
-fn announce(config: &Config, incarnation: Incarnation, env: &Env) {
+fn log_start(config: &Config, incarnation: Incarnation, env: &Env) {
     info!(env.log, "started";
         "version" => env!("CARGO_PKG_VERSION"),
         "incarnation" => %incarnation,
@@ -232,33 +233,32 @@
     }
 }
 
-/// Runs until the core has left and the callers have their last bytes.
+/// Runs until the core has exited and the callers have read their answers.
 ///
-/// The core has nothing in progress any more as soon as the last answer has
-/// come from its upstream. A caller that reads slowly is still getting it; if
-/// the process ended now, its answer would be cut.
-async fn leave(driver: Driver, receiver: InboxReceiver, first: Vec<Effect>, env: &Env) {
-    Box::pin(driver.run(receiver, first)).await;
-    let deadline = Instant::now() + LAST_ANSWERS;
+/// For the core a request ends when its upstream has sent the last of the
+/// answer. A slow caller may still be reading it; exiting then would cut it off.
+async fn run_until_drained(driver: Driver, receiver: InboxReceiver, initial_effects: Vec<Effect>, env: &Env) {
+    Box::pin(driver.run(receiver, initial_effects)).await;
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
     while env.requests.len() > 0 && Instant::now() < deadline {
-        sleep(LAST_BYTES).await;
+        sleep(FLUSH_INTERVAL).await;
     }
-    // The server writes the end of an answer after it has taken the last piece.
-    sleep(LAST_BYTES).await;
+    // The server writes the end of an answer after it has received the last piece.
+    sleep(FLUSH_INTERVAL).await;
     info!(env.log, "left"; "requests_cut_off" => env.requests.len());
 }
 
-async fn until_end(
+async fn run_until_exit(
     driver: Driver,
     receiver: InboxReceiver,
-    first: Vec<Effect>,
+    initial_effects: Vec<Effect>,
     signals: Signals,
     reload: impl Fn(),
     env: &Env,
 ) -> ExitCode {
     tokio::select! {
-        () = leave(driver, receiver, first, env) => ExitCode::SUCCESS,
-        () = signals.until_second(env.clone(), reload) => {
+        () = run_until_drained(driver, receiver, initial_effects, env) => ExitCode::SUCCESS,
+        () = signals.until_second_signal(env.clone(), reload) => {
             let cut = env.requests.len();
             eprintln!("skylarkshore: ended at the second signal; {cut} requests in progress were cut off");
             ExitCode::FAILURE
--- a/crates/skylarkshore-host/src/server.rs
+++ b/crates/skylarkshore-host/src/server.rs
@@ -1,4 +1,4 @@
-//! What the servers for callers and operators have in common.
+//! The HTTP server used for callers and operators. Start with [`start`].
 
 use std::fmt;
 use std::num::NonZero;
@@ -17,38 +17,38 @@
 use xitca_web::service::Service;
 use xitca_web::service::ready::ReadyService;
 
-/// The most headers of a request; more are refused with the remedy.
+/// The most headers of a request; more are refused with an error body.
 pub const MAX_HEADERS: usize = 64;
-/// The most headers that are read at all; more are refused without a word on why.
+/// The most headers that the server reads; more are refused without an error body.
 const HARD_MAX_HEADERS: usize = 256;
-/// The largest head that is read at all.
+/// The largest head that the server reads, in bytes.
 const HARD_MAX_HEAD_LEN: usize = 64 * 1024;
-/// How long a connection may stay idle between requests.
+/// Idle time-out of connections between requests.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
 /// The most threads that serve callers.
-const MOST_CALLER_WORKERS: usize = 2;
+const MAX_CALLER_WORKERS: usize = 2;
 /// Threads that serve operators.
 pub const OPERATOR_WORKERS: usize = 1;
 
-/// Returns how many threads serve callers: no more than can run at a time.
+/// Returns the number of threads that serve callers, limited by the available parallelism.
 pub fn caller_workers() -> usize {
-    workers(MOST_CALLER_WORKERS)
+    workers(MAX_CALLER_WORKERS)
 }
 
-/// Returns how many of `most` threads can run at a time on this host.
-pub(crate) fn workers(most: usize) -> usize {
-    available_parallelism().map_or(1, NonZero::get).min(most)
+/// Returns the available parallelism, at most `max`.
+pub(crate) fn workers(max: usize) -> usize {
+    available_parallelism().map_or(1, NonZero::get).min(max)
 }
 
-/// A server that runs.
-#[expect(missing_debug_implementations, reason = "the handle of the library's server shows nothing")]
+/// A running server.
+#[expect(missing_debug_implementations, reason = "the server's handle has no useful debug output")]
 pub struct RunningServer {
     handle: ServerHandle,
 }
 
 impl RunningServer {
-    /// Ends the server and its connections.
+    /// Stops the server and closes its connections.
     pub fn stop(&self) {
         self.handle.stop(false);
     }
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// The system gives no threads.
+/// The system can't start threads.
 pub fn start<S, B, L>(
     server: HttpServer<S>,
     listeners: impl IntoIterator<Item = L>,
@@ -88,23 +88,23 @@
     }
     let mut server = server.run();
     let handle = server.handle()?;
-    // The server holds a runtime of its own, which may not be dropped inside another one.
+    // The server owns a runtime, which must not be dropped inside another one.
     std::thread::Builder::new().name("skylarkshore-accept".to_owned()).spawn(move || server.wait())?;
     Ok(RunningServer { handle })
 }
 
-/// Makes an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    whole(status, "application/json", body)
+    response(status, "application/json", body)
 }
 
-/// Makes an answer with a text body.
+/// Builds a response with a text body.
 pub fn text(status: StatusCode, body: String) -> WebResponse {
-    whole(status, "text/plain; charset=utf-8", body.into_bytes())
+    response(status, "text/plain; charset=utf-8", body.into_bytes())
 }
 
-fn whole(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> WebResponse {
+fn response(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> WebResponse {
     let mut res = WebResponse::new(ResponseBody::bytes(body));
     *res.status_mut() = status;
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/crates/skylarkshore-host/src/shutdown.rs
+++ b/crates/skylarkshore-host/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM and SIGINT: leave in order at the first, end at once at the second. SIGHUP: read the settings again.
+//! Signal handling: the first SIGTERM or SIGINT starts a graceful shutdown, the second one exits at once;
+//! SIGHUP reloads the settings.
 
 use skylarkshore_core::Event;
 use slog::info;
@@ -6,7 +7,7 @@
 
 use crate::env::Env;
 
-/// The signals that ask the process to end.
+/// The signals that the process handles.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -14,11 +15,11 @@
 }
 
 impl Signals {
-    /// Begins to listen for them.
+    /// Registers the signal handlers.
     ///
     /// # Errors
     ///
-    /// The system refuses.
+    /// The system rejects a handler.
     pub(crate) fn listen() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -37,10 +38,10 @@
         }
     }
 
-    /// Returns at the second signal, having told the core of the first.
+    /// Starts the shutdown at the first signal and returns at the second.
     ///
-    /// Calls `reload` at every request to read the settings again.
-    pub(crate) async fn until_second(mut self, env: Env, reload: impl Fn()) {
+    /// Calls `reload` at every SIGHUP.
+    pub(crate) async fn until_second_signal(mut self, env: Env, reload: impl Fn()) {
         self.next(&reload).await;
         info!(env.log, "leaving"; "requests_in_progress" => env.requests.len());
         env.inbox.event(Event::Shutdown).await;
--- a/crates/skylarkshore-host/src/store/etcd/convert.rs
+++ b/crates/skylarkshore-host/src/store/etcd/convert.rs
@@ -22,7 +22,9 @@
     #[display("{_0}")]
     Value(InvalidValue),
     /// A failed transaction didn't return the current value.
-    #[display("the key-value service left out what it found; check that it is an etcd v3 JSON gateway")]
+    #[display(
+        "the key-value service didn't return the current value; check that it is an etcd v3 JSON gateway"
+    )]
     MissingCurrentValue,
 }
 
--- a/crates/skylarkshore-host/src/upstreams/attempt.rs
+++ b/crates/skylarkshore-host/src/upstreams/attempt.rs
@@ -262,9 +262,7 @@
         let mut splitter = Splitter::default();
         let mut head = Some(head);
         while let Some(data) = next_data(&mut body).await? {
-            let Some(events) = splitter.push(&data).map_err(|_too_large| AnswerError::Unusable)? else {
-                continue;
-            };
+            let Some(events) = splitter.push(&data).map_err(|_err| AnswerError::Unusable)? else { continue };
             if let Some(head) = head.take() {
                 self.start_forwarding(head).await?;
             }
--- a/crates/skylarkshore-host/tests/entry_hosts.rs
+++ b/crates/skylarkshore-host/tests/entry_hosts.rs
@@ -1,4 +1,4 @@
-//! Which hosts callers are told of.
+//! Selection of the entry hosts that are listed for callers.
 
 use std::net::SocketAddr;
 
@@ -21,10 +21,9 @@
     (from..from + count).map(member).collect()
 }
 
-/// There are more hosts than an answer may name.
-///
-/// If each answer named the same ones, the others would stand idle, and the
-/// platform would take them for broken since they get no connection.
+/// Guards against answers that always list the same hosts when there are more
+/// than an answer may list. The others would get no connections, and the
+/// platform would consider them broken.
 #[test]
 fn every_host_is_named_to_some_callers() {
     let members = members("north", 80, 1);
@@ -48,9 +47,8 @@
     assert_eq!(choose(&all, None, 64, &mut rng).len(), 15);
 }
 
-/// A host that is about to end still has its key.
-///
-/// If it were named, callers would run into its end.
+/// Guards against listing a host that is shutting down but still has its member
+/// key. Callers would connect to it just before it exits.
 #[test]
 fn a_host_that_leaves_is_not_named() {
     let mut all = members("north", 3, 1);
