--- a/crates/skylarkshore-host/src/call_error.rs
+++ b/crates/skylarkshore-host/src/call_error.rs
@@ -12,7 +12,7 @@
         reason: String,
     },
     /// The request was sent, but the answer is missing, incomplete or too large.
-    #[display("no whole answer: {reason}")]
+    #[display("no complete answer: {reason}")]
     Lost {
         /// The text of the error with its causes.
         reason: String,
--- a/crates/skylarkshore-host/src/callers.rs
+++ b/crates/skylarkshore-host/src/callers.rs
@@ -30,7 +30,7 @@
 use crate::pending::{JsonRefusalFormat, Outgoing};
 use crate::probe::HEALTH_PATH;
 use crate::server::{self, MAX_HEADERS};
-use crate::upstreams::forwarded;
+use crate::upstreams::forwardable_headers;
 
 use parse::{ModelBody, RequestHeaders, ServiceCall};
 use request_error::RequestError;
@@ -185,7 +185,7 @@
             label: head.label(),
             method: head.method.clone(),
             path,
-            headers: forwarded_for(&head.headers, &arrival),
+            headers: upstream_headers(&head.headers, &arrival),
             body,
         };
         Ok(self.run(head, "model", arrival, outgoing).await)
@@ -204,7 +204,7 @@
         let service = snapshot.document.catalogue.services.get(&call.service);
         let service =
             service.ok_or_else(|| RequestError::UnknownService { name: call.service.to_string() })?;
-        let is_at_most_once_call = call.spellings().iter().any(|path| service.is_at_most_once(path));
+        let is_at_most_once_call = call.path_variants().iter().any(|path| service.is_at_most_once(path));
         let repeat =
             parse::repeat(&head.headers, &context.caller, Some(&call.service), is_at_most_once_call)?;
         let body = self.exchange.read_body(body, &head.headers).await?;
@@ -222,7 +222,7 @@
             label: head.label(),
             method: head.method.clone(),
             path: call.path_and_query,
-            headers: forwarded_for(&head.headers, &arrival),
+            headers: upstream_headers(&head.headers, &arrival),
             body,
         };
         Ok(self.run(head, "service", arrival, outgoing).await)
@@ -286,8 +286,8 @@
 }
 
 /// Returns the headers for the upstream, including the name of the client account.
-fn forwarded_for(headers: &HeaderMap, arrival: &Arrival) -> HeaderMap {
-    let mut headers = forwarded(headers);
+fn upstream_headers(headers: &HeaderMap, arrival: &Arrival) -> HeaderMap {
+    let mut headers = forwardable_headers(headers);
     let account = arrival.charge.as_ref().map(|charge| &charge.account);
     accounts::name_account(&mut headers, &HeaderName::from_static(ACCOUNT_HEADER), account);
     headers
--- a/crates/skylarkshore-host/src/callers/discovery.rs
+++ b/crates/skylarkshore-host/src/callers/discovery.rs
@@ -34,9 +34,9 @@
     let (local, remote): (Vec<&Member>, Vec<&Member>) =
         listed.partition(|member| member.data_centre == *data_centre);
     let offset = rotation.next();
-    let hosts = rotated(local, offset)
+    let hosts = rotate(local, offset)
         .into_iter()
-        .chain(rotated(remote, offset))
+        .chain(rotate(remote, offset))
         .map(|member| EntryHost { address: member.caller_address, data_centre: member.data_centre.clone() });
     let max_age_s = entry_ttl.as_secs();
     let answer = EntryAnswer { hosts: hosts.collect(), max_age_s };
@@ -47,7 +47,7 @@
     res
 }
 
-fn rotated(mut members: Vec<&Member>, offset: usize) -> Vec<&Member> {
+fn rotate(mut members: Vec<&Member>, offset: usize) -> Vec<&Member> {
     if !members.is_empty() {
         let count = offset % members.len();
         members.rotate_left(count);
--- a/crates/skylarkshore-host/src/callers/parse.rs
+++ b/crates/skylarkshore-host/src/callers/parse.rs
@@ -19,7 +19,7 @@
 use crate::digest::digest;
 
 /// The caller id of a request without one.
-const ANONYMOUS: &str = "anonymous";
+const ANONYMOUS_CALLER: &str = "anonymous";
 /// Bytes of a prompt whose digest selects an engine by its prefix cache.
 const PREFIX_LEN: usize = 512;
 
@@ -63,7 +63,7 @@
 fn caller(headers: &HeaderMap) -> Result<CallerId, RequestError> {
     let text = match headers.get(CALLER_HEADER) {
         Some(value) => value.to_str().map_err(|_opaque| RequestError::BadCaller)?,
-        None => ANONYMOUS,
+        None => ANONYMOUS_CALLER,
     };
     text.parse().map_err(|_invalid| RequestError::BadCaller)
 }
@@ -162,7 +162,7 @@
     }
 
     /// Returns the path as sent and decoded.
-    pub(super) fn spellings(&self) -> [&str; 2] {
+    pub(super) fn path_variants(&self) -> [&str; 2] {
         [&self.path, &self.decoded]
     }
 }
--- a/crates/skylarkshore-host/src/driver.rs
+++ b/crates/skylarkshore-host/src/driver.rs
@@ -1,6 +1,6 @@
 //! The task that owns the core: it feeds events in and executes the effects that come out.
 //!
-//! Start with [`Driver`]; other tasks reach it through [`Inbox`].
+//! Start with `Driver`; other tasks reach it through [`Inbox`].
 
 mod effects;
 mod snapshot;
@@ -21,8 +21,8 @@
 pub use snapshot::{Member, Snapshot};
 
 /// Inputs queued for the core before senders block.
-const INBOX_LEN: usize = 8192;
-const TICK_EVERY: Duration = Duration::from_millis(50);
+const INBOX_CAPACITY: usize = 8192;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Ticks between unconditional snapshots, which pick up changes that raise no revision.
 const TICKS_PER_SNAPSHOT: u32 = 20;
 
@@ -44,7 +44,7 @@
 impl Inbox {
     /// Opens the queue; must be called inside the main runtime.
     pub(crate) fn open() -> (Self, InboxReceiver) {
-        let (tx, rx) = mpsc::channel(INBOX_LEN);
+        let (tx, rx) = mpsc::channel(INBOX_CAPACITY);
         (Self { tx, runtime: tokio::runtime::Handle::current() }, InboxReceiver { rx })
     }
 
@@ -116,7 +116,7 @@
 
     /// Runs the event loop until the core emits `Effect::Exit`.
     pub(crate) async fn run(mut self, mut receiver: InboxReceiver, initial_effects: Vec<Effect>) {
-        let mut ticks = interval(TICK_EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tick_count = 0;
         let mut step = self.execute(initial_effects);
--- a/crates/skylarkshore-host/src/driver/effects.rs
+++ b/crates/skylarkshore-host/src/driver/effects.rs
@@ -82,7 +82,7 @@
         match effect {
             Effect::Store { call, request } => self.call_store(call, request),
             Effect::Watch { from } => self.watch(from),
-            Effect::Unwatch => self.unwatch(),
+            Effect::Unwatch => self.stop_watch(),
             Effect::ApplyNews(news) => self.store.take_news(news),
             Effect::ApplyStatePart(part) => self.store.take_state(part),
             Effect::ExtendStateWait => self.store.await_state(),
@@ -173,7 +173,7 @@
     }
 
     fn watch(&mut self, from: StoreRevision) {
-        self.unwatch();
+        self.stop_watch();
         let store = Arc::clone(&self.store);
         let inbox = self.env.inbox.clone();
         let task = tokio::spawn(async move {
@@ -183,7 +183,7 @@
         self.watch = Some(task.abort_handle());
     }
 
-    fn unwatch(&mut self) {
+    fn stop_watch(&mut self) {
         if let Some(task) = self.watch.take() {
             task.abort();
         }
--- a/crates/skylarkshore-host/src/driver/snapshot.rs
+++ b/crates/skylarkshore-host/src/driver/snapshot.rs
@@ -45,8 +45,9 @@
     /// Takes a snapshot of a node; reuses the previous member list if it is unchanged.
     pub(crate) fn of(node: &Node, before: &Self) -> Self {
         let version = node.cache().members_version();
-        let is_same = version == before.members_version;
-        let members = if is_same { Arc::clone(&before.members) } else { Arc::new(members_of(node)) };
+        let is_unchanged = version == before.members_version;
+        let members =
+            if is_unchanged { Arc::clone(&before.members) } else { Arc::new(collect_members(node)) };
         Self {
             document: Arc::clone(node.document()),
             store_revision: node.cache().latest_revision(),
@@ -70,7 +71,7 @@
     }
 }
 
-fn members_of(node: &Node) -> Vec<Member> {
+fn collect_members(node: &Node) -> Vec<Member> {
     let members = node.cache().members().map(|(host, record)| Member {
         host: host.clone(),
         caller_address: record.caller_address,
--- a/crates/skylarkshore-host/src/entry_hosts.rs
+++ b/crates/skylarkshore-host/src/entry_hosts.rs
@@ -10,7 +10,7 @@
 /// The number of hosts in the caller's data centre from which only these are listed.
 ///
 /// Requests across data centres cost the operators. With fewer hosts, the loss
-/// of some could leave the caller without any until it asks again.
+/// of some could leave the caller without any until it requests a new list.
 const MIN_LOCAL_HOSTS: usize = 8;
 
 /// Chooses at most `max` hosts for a caller; hosts that are shutting down are excluded.
--- a/crates/skylarkshore-host/src/exchange.rs
+++ b/crates/skylarkshore-host/src/exchange.rs
@@ -63,7 +63,7 @@
     pub begun: Instant,
     /// The kind of target, as a metrics label.
     pub target: &'static str,
-    /// The request as the core sees it.
+    /// The request as it is passed to the core.
     pub arrival: Arrival,
     /// The request as it is sent upstream.
     pub outgoing: Outgoing,
--- a/crates/skylarkshore-host/src/exchange/connections.rs
+++ b/crates/skylarkshore-host/src/exchange/connections.rs
@@ -51,14 +51,14 @@
 #[derive(Debug, Default)]
 pub struct Connections {
     open: Mutex<OrderedMap<SocketAddr, WatchedConnection>>,
-    closed: CancelFlag,
+    closed: CloseFlag,
 }
 
 /// A flag that is set once and can be awaited.
 #[derive(Debug)]
-struct CancelFlag(watch::Sender<bool>);
+struct CloseFlag(watch::Sender<bool>);
 
-impl Default for CancelFlag {
+impl Default for CloseFlag {
     fn default() -> Self {
         Self(watch::Sender::new(false))
     }
--- a/crates/skylarkshore-host/src/log.rs
+++ b/crates/skylarkshore-host/src/log.rs
@@ -10,12 +10,12 @@
 use crate::config::{Config, LogLevel};
 
 /// Lines queued for writing; more are dropped and counted in a line of their own.
-const QUEUE_LEN: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// Creates the logger; dropping the guard flushes it.
 pub(crate) fn logger(config: &Config) -> (Logger, AsyncGuard) {
     let (drain, guard) = Async::new(drain(stdout(), config.log_level).fuse())
-        .chan_size(QUEUE_LEN)
+        .chan_size(QUEUE_CAPACITY)
         .thread_name("skylarkshore-log".to_owned())
         .build_with_guard();
     let root = Logger::root(drain.fuse(), o!("host" => config.host.to_string()));
--- a/crates/skylarkshore-host/src/peers.rs
+++ b/crates/skylarkshore-host/src/peers.rs
@@ -33,7 +33,7 @@
 
 /// Messages queued for one peer; more are dropped. Requests are repeated until
 /// they are answered, so a lost message costs only time.
-const QUEUE_LEN: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// Sends and receives peer messages; cheap to clone.
 #[derive(Clone, Debug)]
@@ -115,7 +115,7 @@
     fn queue(&self, host: HostId) -> mpsc::Sender<Bytes> {
         let mut queues = self.shared.queues.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = queues.entry(host.clone()).or_insert_with(|| {
-            let (tx, rx) = mpsc::channel(QUEUE_LEN);
+            let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
             tokio::spawn(Link::new(self.clone(), host).run(rx));
             tx
         });
--- a/crates/skylarkshore-host/src/run.rs
+++ b/crates/skylarkshore-host/src/run.rs
@@ -64,7 +64,7 @@
     Box::new(EtcdPlatform::new(config, settings, incarnation))
 }
 
-/// Runs an entry host until it has shut down gracefully or is told to exit at once.
+/// Runs an entry host until it has shut down gracefully or a second signal ends it.
 ///
 /// # Errors
 ///
--- a/crates/skylarkshore-host/src/store/etcd.rs
+++ b/crates/skylarkshore-host/src/store/etcd.rs
@@ -43,7 +43,7 @@
 }
 
 /// Why a call has no usable answer.
-enum Failure {
+enum CallFailure {
     /// See [`StoreFailure`].
     Store(StoreFailure),
     /// The lease doesn't exist.
@@ -60,7 +60,7 @@
         Self { client: client(), endpoints, current: AtomicUsize::new(0), timeout, metrics, log }
     }
 
-    async fn execute(&self, request: StoreCall) -> Result<StoreAnswer, Failure> {
+    async fn execute(&self, request: StoreCall) -> Result<StoreAnswer, CallFailure> {
         match request {
             StoreCall::ReadShared => {
                 let range = RangeRequest {
@@ -115,7 +115,7 @@
         &self,
         path: &str,
         body: &A,
-    ) -> Result<B, Failure> {
+    ) -> Result<B, CallFailure> {
         let body = Bytes::from(serde_json::to_vec(body).map_err(|err| self.unreadable(&err))?);
         let deadline = Instant::now() + self.timeout;
         let first = self.current.load(Ordering::Relaxed);
@@ -134,28 +134,28 @@
                 Err(CallError::Lost { reason }) => {
                     debug!(self.log, "store_answer_lost"; "endpoint" => %url, "path" => path, "reason" => reason);
                     self.current.store(index + 1, Ordering::Relaxed);
-                    return Err(Failure::Store(StoreFailure::Unknown));
+                    return Err(CallFailure::Store(StoreFailure::Unknown));
                 }
             }
         }
-        Err(Failure::Store(StoreFailure::NotDone))
+        Err(CallFailure::Store(StoreFailure::NotDone))
     }
 
-    fn read<B: DeserializeOwned>(&self, path: &str, answer: &Answer) -> Result<B, Failure> {
+    fn read<B: DeserializeOwned>(&self, path: &str, answer: &Answer) -> Result<B, CallFailure> {
         if answer.status == StatusCode::OK {
             return serde_json::from_slice(&answer.body).map_err(|err| self.unreadable(&err));
         }
         let error: ErrorResponse = serde_json::from_slice(&answer.body).unwrap_or_default();
         if error.code == ErrorResponse::NOT_FOUND {
-            return Err(Failure::NoSuchLease);
+            return Err(CallFailure::NoSuchLease);
         }
         warn!(self.log, "store_refuses"; "path" => path, "status" => answer.status.as_u16(), "message" => error.message);
-        Err(Failure::Store(StoreFailure::Unknown))
+        Err(CallFailure::Store(StoreFailure::Unknown))
     }
 
-    fn unreadable(&self, err: &dyn std::error::Error) -> Failure {
+    fn unreadable(&self, err: &dyn std::error::Error) -> CallFailure {
         warn!(self.log, "store_unreadable"; "reason" => err.to_string());
-        Failure::Store(StoreFailure::Unknown)
+        CallFailure::Store(StoreFailure::Unknown)
     }
 
     async fn watch_once(&self, from: StoreRevision, sink: &dyn WatchSink) -> Result<(), String> {
@@ -227,8 +227,8 @@
             let started = Instant::now();
             let result = match self.execute(call).await {
                 Ok(answer) => Ok(answer),
-                Err(Failure::NoSuchLease) => Ok(StoreAnswer::LeaseGone),
-                Err(Failure::Store(failure)) => Err(failure),
+                Err(CallFailure::NoSuchLease) => Ok(StoreAnswer::LeaseGone),
+                Err(CallFailure::Store(failure)) => Err(failure),
             };
             self.metrics.store_call(name, &result, started.elapsed());
             result
--- a/crates/skylarkshore-host/src/store/etcd/convert.rs
+++ b/crates/skylarkshore-host/src/store/etcd/convert.rs
@@ -89,18 +89,18 @@
 /// that they don't hide the others.
 pub(super) fn shared(response: RangeResponse, log: &Logger) -> StoreAnswer {
     let revision = StoreRevision(response.header.revision.0);
-    let records = response.kvs.into_iter().filter_map(|kv| or_skip_logged(versioned(&kv), log)).collect();
+    let records = response.kvs.into_iter().filter_map(|kv| log_if_invalid(versioned(&kv), log)).collect();
     StoreAnswer::Shared { revision, records }
 }
 
 pub(super) fn members(response: RangeResponse, log: &Logger) -> StoreAnswer {
     StoreAnswer::Members(
-        response.kvs.into_iter().filter_map(|kv| or_skip_logged(versioned(&kv), log)).collect(),
+        response.kvs.into_iter().filter_map(|kv| log_if_invalid(versioned(&kv), log)).collect(),
     )
 }
 
 pub(super) fn changes(events: Vec<WatchEvent>, log: &Logger) -> Vec<Versioned> {
-    events.into_iter().filter_map(|event| or_skip_logged(change(&event), log)).collect()
+    events.into_iter().filter_map(|event| log_if_invalid(change(&event), log)).collect()
 }
 
 pub(super) fn lease(response: &LeaseResponse) -> StoreAnswer {
@@ -136,6 +136,6 @@
     Ok(Key::try_from(&text)?)
 }
 
-fn or_skip_logged(found: Result<Versioned, InvalidAnswer>, log: &Logger) -> Option<Versioned> {
+fn log_if_invalid(found: Result<Versioned, InvalidAnswer>, log: &Logger) -> Option<Versioned> {
     found.inspect_err(|err| warn!(log, "stored_value_left_out"; "reason" => err.to_string())).ok()
 }
--- a/crates/skylarkshore-host/src/upstreams.rs
+++ b/crates/skylarkshore-host/src/upstreams.rs
@@ -1,6 +1,6 @@
 //! Sends requests to upstreams and forwards their answers.
 //!
-//! Start with [`Upstreams`]; [`UpstreamProtocol`] is the part that differs between platforms.
+//! Start with `Upstreams`; [`UpstreamProtocol`] is the part that differs between platforms.
 
 mod attempt;
 mod events;
@@ -26,7 +26,7 @@
 
 use attempt::Attempt;
 
-pub(crate) use native::{NativeUpstreams, forwarded};
+pub(crate) use native::{NativeUpstreams, forwardable_headers};
 
 /// One attempt at a request.
 #[expect(clippy::struct_excessive_bools, reason = "the options are independent of each other")]
--- a/crates/skylarkshore-host/src/upstreams/attempt.rs
+++ b/crates/skylarkshore-host/src/upstreams/attempt.rs
@@ -19,7 +19,7 @@
 use crate::upstreams::{Call, Dispatch, StreamEnd, Upstreams, Verdict, remove_hop_by_hop};
 
 /// The largest body of a rejection, in bytes.
-const MAX_NOT_RUN_LEN: usize = 1024;
+const MAX_REJECTION_LEN: usize = 1024;
 /// The largest answer that is read completely before it is forwarded, in bytes.
 ///
 /// If such an answer is cut short, the request can be retried, since the caller
@@ -186,7 +186,7 @@
         connection: Connection,
         idle_timeout: Option<Duration>,
     ) -> AttemptOutcome {
-        let rest = Limited::new(body, MAX_NOT_RUN_LEN).collect();
+        let rest = Limited::new(body, MAX_REJECTION_LEN).collect();
         if let Ok(Ok(_rest)) = tokio::time::timeout(DRAIN_TIMEOUT, rest).await {
             self.return_to_pool(connection, idle_timeout);
         }
@@ -200,7 +200,7 @@
         headers: HeaderMap,
         body: Incoming,
     ) -> Result<AttemptOutcome, AnswerError> {
-        let limited = Limited::new(body, MAX_NOT_RUN_LEN);
+        let limited = Limited::new(body, MAX_REJECTION_LEN);
         let body = limited.collect().await.map_err(|_error| AnswerError::Broken)?.to_bytes();
         if let Some(rejection) = self.upstreams.protocol.read_not_run(&body) {
             return Ok(AttemptOutcome::Rejected(rejection));
@@ -360,7 +360,7 @@
     Ok(None)
 }
 
-/// Drains a body after its end marker, so that the upstream sees its answer read to the end.
+/// Drains a body after its end marker, so that the upstream can finish sending it.
 async fn drain(mut body: Incoming, connection: Connection) {
     let rest = async { while let Ok(Some(_)) = next_data(&mut body).await {} };
     // After the time-out the connection is closed.
--- a/crates/skylarkshore-host/src/upstreams/events.rs
+++ b/crates/skylarkshore-host/src/upstreams/events.rs
@@ -43,9 +43,9 @@
             let Some(len) = event_len(&self.buf[end..], self.scanned.saturating_sub(end)) else { break };
             let event = &self.buf[end..end + len];
             match event_kind(event) {
-                Kind::Data => delivered.events += 1,
-                Kind::End => has_end_marker = true,
-                Kind::Other => {}
+                EventKind::Data => delivered.events += 1,
+                EventKind::End => has_end_marker = true,
+                EventKind::Other => {}
             }
             delivered.last_id = id_of(event).or(delivered.last_id);
             end += len;
@@ -82,14 +82,14 @@
     })
 }
 
-enum Kind {
+enum EventKind {
     Data,
     End,
     Other,
 }
 
-fn event_kind(event: &[u8]) -> Kind {
+fn event_kind(event: &[u8]) -> EventKind {
     let mut lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
-    let Some(data) = lines.find_map(|line| line.strip_prefix(b"data:")) else { return Kind::Other };
-    if data.trim_ascii() == STREAM_END.as_bytes() { Kind::End } else { Kind::Data }
+    let Some(data) = lines.find_map(|line| line.strip_prefix(b"data:")) else { return EventKind::Other };
+    if data.trim_ascii() == STREAM_END.as_bytes() { EventKind::End } else { EventKind::Data }
 }
--- a/crates/skylarkshore-host/src/upstreams/native.rs
+++ b/crates/skylarkshore-host/src/upstreams/native.rs
@@ -83,7 +83,7 @@
 /// Returns the caller's headers that are forwarded upstream.
 ///
 /// `accept-encoding` is removed, as the events of a compressed stream can't be split.
-pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn forwardable_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     remove_hop_by_hop(&mut headers);
     for name in [HOST, CONTENT_LENGTH, EXPECT, ACCEPT_ENCODING] {
--- a/crates/skylarkshore-host/tests/entry_hosts.rs
+++ b/crates/skylarkshore-host/tests/entry_hosts.rs
@@ -25,36 +25,36 @@
 /// than an answer may list. The others would get no connections, and the
 /// platform would consider them broken.
 #[test]
-fn every_host_is_named_to_some_callers() {
+fn every_host_is_listed_for_some_callers() {
     let members = members("north", 80, 1);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut named = OrderedSet::new();
+    let mut listed = OrderedSet::new();
     for _ in 0..40 {
         let answer = choose(&members, None, 64, &mut rng);
         assert_eq!(answer.len(), 64);
-        named.extend(answer);
+        listed.extend(answer);
     }
-    assert_eq!(named.len(), 80);
+    assert_eq!(listed.len(), 80);
 }
 
 #[test]
-fn callers_stay_in_their_data_centre_where_it_has_enough_hosts() {
+fn only_local_hosts_are_listed_if_the_data_centre_has_enough() {
     let all = [members("north", 8, 1), members("south", 7, 100)].concat();
     let mut rng = SmallRng::seed_from_u64(1);
     let near = choose(&all, Some("north"), 64, &mut rng);
     assert!(near.len() == 8 && near.iter().all(|address| address.port() < 100), "{near:?}");
-    assert_eq!(choose(&all, Some("south"), 64, &mut rng).len(), 15, "seven may be lost at once");
+    assert_eq!(choose(&all, Some("south"), 64, &mut rng).len(), 15, "all seven local hosts may be lost at once");
     assert_eq!(choose(&all, None, 64, &mut rng).len(), 15);
 }
 
 /// Guards against listing a host that is shutting down but still has its member
 /// key. Callers would connect to it just before it exits.
 #[test]
-fn a_host_that_leaves_is_not_named() {
+fn a_host_that_shuts_down_is_not_listed() {
     let mut all = members("north", 3, 1);
     all[0].leaving = true;
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut named = choose(&all, Some("north"), 64, &mut rng);
-    named.sort();
-    assert_eq!(named, [all[1].caller_address, all[2].caller_address]);
+    let mut listed = choose(&all, Some("north"), 64, &mut rng);
+    listed.sort();
+    assert_eq!(listed, [all[1].caller_address, all[2].caller_address]);
 }
