--- a/crates/skylarkshore-host/src/peers.rs
+++ b/crates/skylarkshore-host/src/peers.rs
@@ -91,7 +91,7 @@
         Ok(this)
     }
 
-    /// Queues a message; drops it if the queue is full.
+    /// Queues a message; it is dropped if the queue is full or the peer is unknown.
     pub(crate) fn send(&self, envelope: Envelope) {
         let env = &self.shared.env;
         let bytes = match encode(&envelope.message) {
--- a/crates/skylarkshore-host/src/pool.rs
+++ b/crates/skylarkshore-host/src/pool.rs
@@ -120,7 +120,7 @@
 
     /// Returns a connection to the pool after a complete and valid answer.
     ///
-    /// Bytes that follow an invalid answer belong to no request; a connection that
+    /// Bytes sent with or after an invalid answer belong to no request; a connection that
     /// carried one must be dropped instead.
     pub async fn put(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
         // The connection becomes ready once the answer has been read completely.
