--- a/crates/skylarkshore-host/src/driver.rs
+++ b/crates/skylarkshore-host/src/driver.rs
@@ -17,13 +17,15 @@
 use crate::clock::{Clock, time_of_day};
 use crate::metrics::Metrics;
 
-pub(crate) use effects::Effects;
+pub(crate) use effects::EffectExecutor;
 pub use snapshot::{Member, Snapshot};
 
 /// Inputs queued for the core before senders block.
 const INBOX_CAPACITY: usize = 8192;
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Ticks between unconditional snapshots, which pick up changes that raise no revision.
+/// Ticks between snapshots that are taken even if `Snapshot::is_outdated` finds no change.
+///
+/// They pick up changes that don't raise `Snapshot::store_revision`.
 const TICKS_PER_SNAPSHOT: u32 = 20;
 
 /// An input of the task that owns the core.
@@ -42,7 +44,9 @@
 }
 
 impl Inbox {
-    /// Opens the queue; must be called inside the main runtime.
+    /// Opens the queue; must be called inside the runtime of the driver.
+    ///
+    /// `event_later` spawns on that runtime, also when a server's thread outside it calls.
     pub(crate) fn open() -> (Self, InboxReceiver) {
         let (tx, rx) = mpsc::channel(INBOX_CAPACITY);
         (Self { tx, runtime: tokio::runtime::Handle::current() }, InboxReceiver { rx })
@@ -54,9 +58,9 @@
         _ = self.tx.send(Input::Event(Box::new(event))).await;
     }
 
-    /// Sends an event to the core without blocking.
+    /// Sends an event to the core without waiting, for callers that can't await.
     ///
-    /// If the queue is full, a task is spawned that waits for room.
+    /// If the queue is full, a task is spawned that waits for room; later events may overtake this one.
     pub fn event_later(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(input)) = self.tx.try_send(Input::Event(Box::new(event))) {
             let tx = self.tx.clone();
@@ -91,7 +95,7 @@
 pub(crate) struct Driver {
     node: Node,
     clock: Clock,
-    effects: Effects,
+    executor: EffectExecutor,
     snapshot: watch::Sender<Arc<Snapshot>>,
     metrics: Arc<Metrics>,
 }
@@ -107,11 +111,11 @@
     pub(crate) fn new(
         node: Node,
         clock: Clock,
-        effects: Effects,
+        executor: EffectExecutor,
         snapshot: watch::Sender<Arc<Snapshot>>,
         metrics: Arc<Metrics>,
     ) -> Self {
-        Self { node, clock, effects, snapshot, metrics }
+        Self { node, clock, executor, snapshot, metrics }
     }
 
     /// Runs the event loop until the core emits `Effect::Exit`.
@@ -128,6 +132,7 @@
                     if tick_count % TICKS_PER_SNAPSHOT == 0 {
                         self.publish();
                     }
+                    // The wall clock is for rules that depend on the time of day; `clock` is monotonic.
                     self.handle(Event::Tick { at: time_of_day() })
                 }
             };
@@ -151,7 +156,7 @@
 
     fn handle(&mut self, event: Event) -> Step {
         self.metrics.core_event_handled();
-        self.effects.before_event(&event);
+        self.executor.before_event(&event);
         let effects = self.node.handle(self.clock.now(), event);
         if self.snapshot.borrow().is_outdated(&self.node) {
             self.publish();
@@ -165,7 +170,7 @@
             if matches!(effect, Effect::Exit) {
                 step = Step::Exit;
             } else {
-                self.effects.execute(effect, self.node.upstreams());
+                self.executor.execute(effect, self.node.upstreams());
             }
         }
         step
@@ -176,8 +181,10 @@
         self.snapshot.send_replace(Arc::new(next));
     }
 
+    /// Builds the state dump. The cache holds the latest known state of the key-value service (the store).
     fn dump(&mut self) -> StateDump {
         let now = self.clock.now();
+        // A belief is an entry of the dump: what this process knows of a request, an engine and so on.
         let beliefs = self.node.dump(now).into_iter().map(|belief| BeliefWire::new(belief, now)).collect();
         StateDump {
             host: self.node.config().host.clone(),
--- a/crates/skylarkshore-host/src/driver/effects.rs
+++ b/crates/skylarkshore-host/src/driver/effects.rs
@@ -23,14 +23,16 @@
 use crate::upstreams::{Dispatch, Upstreams};
 
 /// Executes the core's effects.
-pub(crate) struct Effects {
+pub(crate) struct EffectExecutor {
     env: Env,
     store: Arc<dyn Store>,
     engines: Arc<dyn EngineProtocol>,
     upstreams: Upstreams,
     peers: Peers,
     connections: Arc<Connections>,
+    /// The task that watches the key-value service.
     watch: Option<AbortHandle>,
+    /// The tasks of the running attempts.
     attempts: HashMap<AttemptId, AbortHandle>,
 }
 
@@ -58,7 +60,7 @@
     }
 }
 
-impl Effects {
+impl EffectExecutor {
     pub(crate) fn new(
         env: Env,
         store: Arc<dyn Store>,
@@ -70,7 +72,7 @@
         Self { env, store, engines, upstreams, peers, connections, watch: None, attempts: HashMap::default() }
     }
 
-    /// Updates the table of running attempts before the core handles an event.
+    /// Removes an attempt that has ended from the running ones, before the core handles the event.
     pub(crate) fn before_event(&mut self, event: &Event) {
         if let Event::AttemptEnded { attempt, .. } = event {
             self.attempts.remove(attempt);
@@ -129,6 +131,7 @@
                     keep_failure,
                 });
             }
+            // The held answer is a stored failure; see `PendingRequest::store_failure`.
             Effect::ForwardHeldAnswer { request } => {
                 if let Some(pending) = self.env.requests.get(request) {
                     pending.forward_failure();
@@ -137,7 +140,7 @@
             Effect::Cancel { attempt } => self.cancel(attempt),
             Effect::Answer { request, answer } => {
                 if let Some(pending) = self.env.requests.get(request) {
-                    pending.answer(answer);
+                    pending.send_recorded_answer(answer);
                 }
             }
             Effect::Refuse { request, refusal } | Effect::Abort { request, refusal } => {
--- a/crates/skylarkshore-host/src/pending.rs
+++ b/crates/skylarkshore-host/src/pending.rs
@@ -1,6 +1,9 @@
 //! Requests in progress: what is sent upstream, and the channel that returns the answer.
 //!
 //! Start with [`PendingRequest`]; [`Requests`] is the table of all of them.
+//!
+//! A refusal goes from the host to the caller, in place of an answer. A rejection goes from an
+//! upstream to the host: the upstream didn't run the request.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,7 +30,7 @@
 /// A request as it is sent upstream.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// The request id that the caller chose, for the log.
+    /// The request id that the caller chose, for the log; `RequestId` is the host's own id.
     pub label: String,
     /// The method.
     pub method: Method,
@@ -74,7 +77,7 @@
     }
 }
 
-/// The head of an answer and its body.
+/// An answer or a refusal as the caller interface receives it: its head and body.
 #[derive(Debug)]
 pub struct Reply {
     /// The status.
@@ -104,14 +107,16 @@
     },
 }
 
-/// A piece of a body. A body that ends without `End` or `BrokenOff` is incomplete.
+/// A piece of a body.
+///
+/// If the channel closes without `End` or `BrokenOff`, the body is handled like `BrokenOff(None)`.
 #[derive(Debug)]
 pub enum Piece {
     /// Some bytes.
     Data(Bytes),
     /// The body is complete.
     End,
-    /// The body is aborted; the last bytes, if any, state the error.
+    /// The body is incomplete; the last bytes, if any, state the error.
     BrokenOff(Option<Bytes>),
 }
 
@@ -124,26 +129,30 @@
     pub headers: HeaderMap,
     /// The length of the body, if known.
     pub len: Option<u64>,
-    /// Whether it is a stream of server-sent events.
-    pub events: bool,
+    /// Whether the body is handled as a stream of server-sent events: another attempt can resume it,
+    /// and it ends in an error event if it is aborted.
+    pub is_event_stream: bool,
 }
 
-/// The answer has no receiver: the caller has disconnected or another attempt has taken over.
+/// The answer can't be forwarded.
+///
+/// The caller has disconnected, another attempt has taken over, the request has
+/// ended, or the answer doesn't fit the part that was already forwarded.
 #[derive(Debug)]
-pub struct Closed;
+pub struct NotForwarded;
 
 /// How much of an event stream has been forwarded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
     /// The number of data events.
-    pub events: u64,
+    pub event_count: u64,
     /// The id of the last event that had one.
     pub last_id: Option<HeaderValue>,
 }
 
 impl Delivered {
     fn extend(&mut self, more: Self) {
-        self.events += more.events;
+        self.event_count += more.event_count;
         if more.last_id.is_some() {
             self.last_id = more.last_id;
         }
@@ -155,8 +164,8 @@
     /// Nothing was forwarded yet.
     Waiting(oneshot::Sender<Reply>),
     /// A part was forwarded.
-    Forwarding { pieces: mpsc::Sender<Piece>, events: bool, delivered: Delivered },
-    /// The last piece was forwarded.
+    Forwarding { pieces: mpsc::Sender<Piece>, is_event_stream: bool, delivered: Delivered },
+    /// Nothing more can be forwarded: the request was answered or refused, or the caller has disconnected.
     Done,
 }
 
@@ -214,7 +223,7 @@
         }
     }
 
-    /// Reports whether a part of the answer was forwarded.
+    /// Reports whether a part of the answer was forwarded or the request has ended.
     pub(crate) fn has_forwarded(&self) -> bool {
         !matches!(self.lock().state, State::Waiting(_))
     }
@@ -222,26 +231,30 @@
     /// Forwards the head, unless an earlier attempt did.
     ///
     /// When a stream is resumed, the answer must be a stream too; otherwise its
-    /// error text would be inserted among the events.
-    pub(crate) fn forward_head(&self, attempt: AttemptId, head: Head) -> Result<(), Closed> {
+    /// body, such as an error page, would be mixed into the events.
+    pub(crate) fn forward_head(&self, attempt: AttemptId, head: Head) -> Result<(), NotForwarded> {
         let mut inner = self.lock();
         if inner.attempt != attempt {
-            return Err(Closed);
+            return Err(NotForwarded);
         }
         let waiting = match std::mem::replace(&mut inner.state, State::Done) {
             State::Waiting(tx) => tx,
-            State::Forwarding { pieces, events, delivered } => {
-                inner.state = State::Forwarding { pieces, events, delivered };
-                return if head.events && events { Ok(()) } else { Err(Closed) };
+            State::Forwarding { pieces, is_event_stream, delivered } => {
+                inner.state = State::Forwarding { pieces, is_event_stream, delivered };
+                return if head.is_event_stream && is_event_stream { Ok(()) } else { Err(NotForwarded) };
             }
-            State::Done => return Err(Closed),
+            State::Done => return Err(NotForwarded),
         };
         let (tx, rx) = mpsc::channel(MAX_BUFFERED_PIECES);
         let body = ReplyBody::Pieces { pieces: rx, len: head.len };
         waiting
             .send(Reply { status: head.status, headers: head.headers, body })
-            .map_err(|_disconnected| Closed)?;
-        inner.state = State::Forwarding { pieces: tx, events: head.events, delivered: Delivered::default() };
+            .map_err(|_disconnected| NotForwarded)?;
+        inner.state = State::Forwarding {
+            pieces: tx,
+            is_event_stream: head.is_event_stream,
+            delivered: Delivered::default(),
+        };
         Ok(())
     }
 
@@ -251,24 +264,24 @@
         attempt: AttemptId,
         bytes: Bytes,
         more: Delivered,
-    ) -> Result<(), Closed> {
-        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| Closed)?;
+    ) -> Result<(), NotForwarded> {
+        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| NotForwarded)?;
         let mut inner = self.lock();
         if inner.attempt != attempt {
-            return Err(Closed);
+            return Err(NotForwarded);
         }
-        let State::Forwarding { delivered, .. } = &mut inner.state else { return Err(Closed) };
+        let State::Forwarding { delivered, .. } = &mut inner.state else { return Err(NotForwarded) };
         delivered.extend(more);
         permit.send(Piece::Data(bytes));
         Ok(())
     }
 
     /// Forwards the end of the body.
-    pub(crate) async fn forward_end(&self, attempt: AttemptId) -> Result<(), Closed> {
-        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| Closed)?;
+    pub(crate) async fn forward_end(&self, attempt: AttemptId) -> Result<(), NotForwarded> {
+        let permit = self.sender(attempt)?.reserve_owned().await.map_err(|_disconnected| NotForwarded)?;
         let mut inner = self.lock();
         if inner.attempt != attempt {
-            return Err(Closed);
+            return Err(NotForwarded);
         }
         inner.state = State::Done;
         permit.send(Piece::End);
@@ -282,13 +295,13 @@
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<(), Closed> {
+    ) -> Result<(), NotForwarded> {
         let inner = self.lock();
         if inner.attempt != attempt || !matches!(inner.state, State::Waiting(_)) {
-            return Err(Closed);
+            return Err(NotForwarded);
         }
         drop(inner);
-        self.reply(status, headers, body, RequestEnd::Answered);
+        self.send_complete(status, headers, body, RequestEnd::Answered);
         Ok(())
     }
 
@@ -309,17 +322,17 @@
     /// Forwards the stored failure answer, if any.
     pub(crate) fn forward_failure(&self) {
         let Some(FailureAnswer { status, headers, body }) = self.lock().failure_answer.take() else { return };
-        self.reply(status, headers, body, RequestEnd::Answered);
+        self.send_complete(status, headers, body, RequestEnd::Answered);
     }
 
     /// Sends a recorded answer to the caller.
-    pub(crate) fn answer(&self, answer: RecordedAnswer) {
+    pub(crate) fn send_recorded_answer(&self, answer: RecordedAnswer) {
         let mut headers = HeaderMap::new();
         if let Some(value) = answer.content_type.and_then(|value| HeaderValue::try_from(value).ok()) {
             headers.insert(CONTENT_TYPE, value);
         }
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        self.reply(status, headers, answer.body.into(), RequestEnd::Answered);
+        self.send_complete(status, headers, answer.body.into(), RequestEnd::Answered);
     }
 
     /// Refuses the request, or aborts the answer if a part was forwarded.
@@ -334,15 +347,16 @@
                 // Fails only if the caller has disconnected.
                 _ = tx.send(Reply { status, headers, body });
             }
-            State::Forwarding { pieces, events, .. } => {
-                let last = if events { self.refusals.last_event(refusal) } else { None };
+            State::Forwarding { pieces, is_event_stream, .. } => {
+                let last = if is_event_stream { self.refusals.last_event(refusal) } else { None };
                 break_off(pieces, last);
             }
             State::Done => {}
         }
     }
 
-    fn reply(&self, status: StatusCode, headers: HeaderMap, body: Bytes, end: RequestEnd) {
+    /// Sends a complete answer, unless a part of one was forwarded or the request has ended.
+    fn send_complete(&self, status: StatusCode, headers: HeaderMap, body: Bytes, end: RequestEnd) {
         let state = std::mem::replace(&mut self.lock().state, State::Done);
         if let State::Waiting(tx) = state {
             // Fails only if the caller has disconnected.
@@ -350,11 +364,11 @@
         }
     }
 
-    fn sender(&self, attempt: AttemptId) -> Result<mpsc::Sender<Piece>, Closed> {
+    fn sender(&self, attempt: AttemptId) -> Result<mpsc::Sender<Piece>, NotForwarded> {
         let inner = self.lock();
         match &inner.state {
             State::Forwarding { pieces, .. } if inner.attempt == attempt => Ok(pieces.clone()),
-            _ => Err(Closed),
+            _ => Err(NotForwarded),
         }
     }
 
@@ -408,9 +422,9 @@
 
 /// How many ended requests keep their labels for the log.
 ///
-/// The core logs a decision after the caller has disconnected; without the
-/// label, that line couldn't be found by the caller's request id. The line is
-/// written within milliseconds, in which far fewer requests end.
+/// The core may log a decision on a request after its caller has disconnected;
+/// without the label, that line couldn't be found by the caller's request id. The
+/// line follows within milliseconds, and far fewer requests end in that time.
 const MAX_ENDED_LABELS: usize = 256;
 
 /// The requests in progress.
--- a/crates/skylarkshore-host/src/run.rs
+++ b/crates/skylarkshore-host/src/run.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, EtcdSettings};
-use crate::driver::{Driver, Effects, Inbox, InboxReceiver, Snapshot};
+use crate::driver::{Driver, EffectExecutor, Inbox, InboxReceiver, Snapshot};
 use crate::env::Env;
 use crate::error::Error;
 use crate::etcd_platform::EtcdPlatform;
@@ -156,9 +156,9 @@
     let platform = platforms(&config, incarnation);
     let exchange = exchange(&config, incarnation, &env, snapshots.clone());
     let connections = Arc::clone(&exchange.connections);
-    let effects = effects(&config, &*platform, &env, peers.clone(), connections);
+    let executor = effect_executor(&config, &*platform, &env, peers.clone(), connections);
     let (node, initial_effects) = Node::start(node_config, env.clock.now());
-    let driver = Driver::new(node, env.clock, effects, snapshot, Arc::clone(&env.metrics));
+    let driver = Driver::new(node, env.clock, executor, snapshot, Arc::clone(&env.metrics));
     let operator_state = OperatorState {
         env: env.clone(),
         snapshots,
@@ -202,17 +202,17 @@
         "operator_address" => %config.operator_address);
 }
 
-fn effects(
+fn effect_executor(
     config: &Config,
     platform: &dyn Platform,
     env: &Env,
     peers: Peers,
     connections: Arc<Connections>,
-) -> Effects {
+) -> EffectExecutor {
     let store = platform.store(env);
     let engines = platform.engines(env);
     let upstreams = Upstreams::new(platform.upstreams(env), config.limits.recorded_answer, env.clone());
-    Effects::new(env.clone(), store, engines, upstreams, peers, connections)
+    EffectExecutor::new(env.clone(), store, engines, upstreams, peers, connections)
 }
 
 fn exchange(
--- a/crates/skylarkshore-host/src/upstreams.rs
+++ b/crates/skylarkshore-host/src/upstreams.rs
@@ -44,15 +44,16 @@
     pub order: ServiceOrder,
     /// Whether to resume the stream of an earlier attempt.
     pub resume: bool,
-    /// Whether to withhold the answer until it is recorded.
+    /// Whether to return the complete answer to the core, which records it under the request's
+    /// idempotency key before the caller receives it.
     pub hold: bool,
     /// Whether the request may run at most once.
     pub once: bool,
-    /// Whether another attempt follows if the upstream reports a failure.
+    /// Whether to store an answer that reports a failure of the upstream, as another attempt may follow.
     pub keep_failure: bool,
 }
 
-/// The input of a protocol for the head of a request.
+/// What a protocol needs to know of an attempt to write the head of its request.
 #[derive(Debug)]
 pub struct Call<'a> {
     /// The attempt.
@@ -72,11 +73,11 @@
     Answer,
     /// It is the answer to the request and reports a failure of the upstream.
     Failure,
-    /// It says that the upstream did not run the request.
+    /// It is a rejection: the upstream did not run the request.
     NotRun(Rejection),
-    /// Its body tells whether the upstream ran the request.
+    /// It may be a rejection; only the body tells.
     PerhapsNotRun,
-    /// It belongs to another request or to none.
+    /// It answers another request, or no request: it carries the wrong request id or none.
     Foreign,
 }
 
@@ -106,7 +107,10 @@
     /// Reads the upstream's load, if the answer reports it.
     fn read_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// Reports whether an answer without a length may end with its connection.
+    /// Reports whether an answer may be unframed: without a length or chunks, so that it ends with
+    /// its connection.
+    ///
+    /// An unframed answer looks complete if the upstream closes the connection early.
     fn takes_unframed(&self) -> bool;
 
     /// Returns how the streams of an upstream end.
@@ -119,13 +123,13 @@
     protocol: Arc<dyn UpstreamProtocol>,
     pool: Arc<Pool>,
     env: Env,
-    /// The largest answer that is held for recording, in bytes.
-    hold_limit: usize,
+    /// The largest answer that is recorded, in bytes.
+    max_recorded_len: usize,
 }
 
 impl Upstreams {
-    pub(crate) fn new(protocol: Arc<dyn UpstreamProtocol>, hold_limit: usize, env: Env) -> Self {
-        Self { protocol, pool: Arc::new(Pool::default()), env, hold_limit }
+    pub(crate) fn new(protocol: Arc<dyn UpstreamProtocol>, max_recorded_len: usize, env: Env) -> Self {
+        Self { protocol, pool: Arc::new(Pool::default()), env, max_recorded_len }
     }
 
     /// Runs an attempt and returns its outcome.
@@ -133,19 +137,19 @@
         let Some(pending) = self.env.requests.get(dispatch.request) else { return AttemptOutcome::NotSent };
         let deadline = self.env.clock.instant(dispatch.deadline);
         let attempt = Attempt::new(self, &dispatch, &pending);
-        let end = match tokio::time::timeout_at(deadline, attempt.run()).await {
-            Ok(end) => end,
+        let outcome = match tokio::time::timeout_at(deadline, attempt.run()).await {
+            Ok(outcome) => outcome,
             // A missed deadline doesn't count as a failure of the upstream.
             Err(_elapsed) => AttemptOutcome::Lost { passed_on: pending.has_forwarded(), died: false },
         };
-        self.env.metrics.attempt_ended(&end);
+        self.env.metrics.attempt_ended(&outcome);
         debug!(self.env.log, "attempt_ended";
             "request" => %dispatch.request, "attempt" => %dispatch.attempt,
-            "upstream" => %dispatch.upstream.id, "end" => end.label());
-        end
+            "upstream" => %dispatch.upstream.id, "end" => outcome.label());
+        outcome
     }
 
-    fn call<'a>(
+    fn prepare_call<'a>(
         &self,
         dispatch: &'a Dispatch,
         pending: &'a PendingRequest,
@@ -155,7 +159,7 @@
         Call { dispatch, outgoing: &pending.outgoing, remaining, delivered }
     }
 
-    fn request(&self, call: &Call<'_>) -> Request<Full<bytes::Bytes>> {
+    fn build_request(&self, call: &Call<'_>) -> Request<Full<bytes::Bytes>> {
         let outgoing = call.outgoing;
         let mut req = Request::new(Full::new(outgoing.body.clone()));
         *req.method_mut() = outgoing.method.clone();
--- a/crates/skylarkshore-host/src/upstreams/attempt.rs
+++ b/crates/skylarkshore-host/src/upstreams/attempt.rs
@@ -13,7 +13,7 @@
 use skylarkshore_core::store::RecordedAnswer;
 use slog::{debug, warn};
 
-use crate::pending::{Closed, Delivered, Head, PendingRequest};
+use crate::pending::{Delivered, Head, NotForwarded, PendingRequest};
 use crate::pool::{Connection, reason};
 use crate::upstreams::events::Splitter;
 use crate::upstreams::{Call, Dispatch, StreamEnd, Upstreams, Verdict, remove_hop_by_hop};
@@ -28,26 +28,26 @@
 /// How long the rest of a body may take after a stream's end marker or a rejection's head.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An attempt in progress.
+/// An attempt in progress: its options (`dispatch`) and the request that it is for (`pending`).
 pub(super) struct Attempt<'a> {
     upstreams: &'a Upstreams,
     dispatch: &'a Dispatch,
     pending: &'a PendingRequest,
 }
 
-/// Why an answer is incomplete.
+/// Why an attempt yields no usable answer.
 enum AnswerError {
-    /// The connection broke or the body was cut short.
-    Broken,
+    /// The connection broke, before the head or within the body, or an event stream lacks its end.
+    Interrupted,
     /// The answer belongs to another request or is malformed.
     Unusable,
-    /// The answer has no receiver any more.
-    Closed,
+    /// The answer can't be forwarded.
+    NotForwarded,
 }
 
-impl From<Closed> for AnswerError {
-    fn from(_: Closed) -> Self {
-        Self::Closed
+impl From<NotForwarded> for AnswerError {
+    fn from(_: NotForwarded) -> Self {
+        Self::NotForwarded
     }
 }
 
@@ -71,17 +71,17 @@
 
     pub(super) async fn run(&self) -> AttemptOutcome {
         let delivered = self.pending.begin_attempt(self.dispatch.attempt);
-        let call = self.upstreams.call(self.dispatch, self.pending, &delivered);
+        let call = self.upstreams.prepare_call(self.dispatch, self.pending, &delivered);
         let (res, connection) = match self.send_request(&call).await {
             Ok(answered) => answered,
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         };
         if let Some(load) = self.upstreams.protocol.read_load(res.headers()) {
             let upstream = self.dispatch.upstream.id.clone();
             self.upstreams.env.inbox.event_later(Event::LoadReported { upstream, load });
         }
         match self.handle_response(&call, res, connection).await {
-            Ok(end) => end,
+            Ok(outcome) => outcome,
             Err(error) => self.lost_outcome(&error),
         }
     }
@@ -101,24 +101,29 @@
         } else {
             self.upstreams.pool.get(address).await
         };
-        let mut connection = connection.map_err(|err| self.no_answer(&err.to_string(), None))?;
-        let req = self.upstreams.request(call);
-        let res = connection.send(req).await.map_err(|err| self.no_answer(&reason(&err), Some(&err)))?;
+        let mut connection = connection.map_err(|err| self.no_answer_outcome(&err.to_string(), None))?;
+        let req = self.upstreams.build_request(call);
+        let res =
+            connection.send(req).await.map_err(|err| self.no_answer_outcome(&reason(&err), Some(&err)))?;
         Ok((res, connection))
     }
 
-    fn no_answer(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptOutcome {
+    fn no_answer_outcome(&self, reason: &str, cause: Option<&hyper::Error>) -> AttemptOutcome {
         debug!(self.upstreams.env.log, "upstream_gave_no_answer";
             "upstream" => %self.dispatch.upstream.id, "request" => %self.dispatch.request, "reason" => reason);
         // A request that hyper cancelled was never written to the connection.
         let Some(cause) = cause.filter(|cause| !cause.is_canceled()) else { return AttemptOutcome::NotSent };
-        self.lost_outcome(if cause.is_parse() { &AnswerError::Unusable } else { &AnswerError::Broken })
+        self.lost_outcome(if cause.is_parse() { &AnswerError::Unusable } else { &AnswerError::Interrupted })
     }
 
+    /// Builds the outcome of an attempt whose request may have run.
+    ///
+    /// `passed_on` means that the caller already has a part of the answer, `died` that the answer was
+    /// interrupted, so the upstream may have crashed.
     fn lost_outcome(&self, error: &AnswerError) -> AttemptOutcome {
         AttemptOutcome::Lost {
             passed_on: self.pending.has_forwarded(),
-            died: matches!(error, AnswerError::Broken),
+            died: matches!(error, AnswerError::Interrupted),
         }
     }
 
@@ -133,6 +138,7 @@
         let idle_timeout = idle_timeout(res.headers());
         let (parts, body) = res.into_parts();
         match verdict {
+            // E.g. the upstream has mixed up two connections.
             Verdict::Foreign => {
                 self.upstreams.env.metrics.count_event("answer_crossed");
                 warn!(self.upstreams.env.log, "answer_crossed";
@@ -147,26 +153,34 @@
             }
             Verdict::Answer | Verdict::Failure => {}
         }
-        let is_stream = is_event_stream(&parts.headers);
-        let has_marker = protocol.stream_end(&self.dispatch.upstream) == StreamEnd::Marker;
-        let events = is_stream && (has_marker || protocol.takes_unframed());
+        let is_stream = has_event_stream_type(&parts.headers);
+        let requires_end_marker = protocol.stream_end(&self.dispatch.upstream) == StreamEnd::Marker;
+        // Any other stream is forwarded like a plain body.
+        let is_event_stream = is_stream && (requires_end_marker || protocol.takes_unframed());
+        // An unframed body ends with its connection; only an end marker shows that it is complete.
         let framed = body.size_hint().exact().is_some() || parts.headers.contains_key(TRANSFER_ENCODING);
-        if !framed && !events && !protocol.takes_unframed() {
+        if !framed && !is_event_stream && !protocol.takes_unframed() {
             return Err(AnswerError::Unusable);
         }
-        let head = self.head(parts.status, parts.headers, &body, events);
+        let head = self.head(parts.status, parts.headers, &body, is_event_stream);
         let is_failure = verdict == Verdict::Failure;
         let started = StartedAnswer { head, body, connection, idle_timeout, is_failure };
         if self.dispatch.hold {
-            return self.hold(started.head, started.body).await;
+            return self.read_for_recording(started.head, started.body).await;
         }
-        if events {
+        if is_event_stream {
             return self.forward_events(started).await;
         }
         self.forward_body(started).await
     }
 
-    fn head(&self, status: StatusCode, mut headers: HeaderMap, body: &Incoming, events: bool) -> Head {
+    fn head(
+        &self,
+        status: StatusCode,
+        mut headers: HeaderMap,
+        body: &Incoming,
+        is_event_stream: bool,
+    ) -> Head {
         remove_hop_by_hop(&mut headers);
         self.upstreams.protocol.clean_answer(&mut headers);
         // The answer to HEAD states the length of a body that isn't sent.
@@ -174,8 +188,8 @@
             headers.remove(CONTENT_LENGTH);
         }
         // A resumed stream can exceed the length that the first upstream announced.
-        let len = body.size_hint().exact().filter(|_| !events);
-        Head { status, headers, len, events }
+        let len = body.size_hint().exact().filter(|_| !is_event_stream);
+        Head { status, headers, len, is_event_stream }
     }
 
     /// Drains a rejection's body, so that its connection can be reused.
@@ -193,7 +207,9 @@
         AttemptOutcome::Rejected(rejection)
     }
 
-    /// Reads a short answer that may be a rejection.
+    /// Reads a short answer that may be a rejection, and forwards it if it is none.
+    ///
+    /// Its connection is not reused.
     async fn read_possible_rejection(
         &self,
         status: StatusCode,
@@ -201,7 +217,7 @@
         body: Incoming,
     ) -> Result<AttemptOutcome, AnswerError> {
         let limited = Limited::new(body, MAX_REJECTION_LEN);
-        let body = limited.collect().await.map_err(|_error| AnswerError::Broken)?.to_bytes();
+        let body = limited.collect().await.map_err(|_error| AnswerError::Interrupted)?.to_bytes();
         if let Some(rejection) = self.upstreams.protocol.read_not_run(&body) {
             return Ok(AttemptOutcome::Rejected(rejection));
         }
@@ -217,6 +233,9 @@
     }
 
     /// Forwards an answer, in one piece if it fits [`MAX_BUFFERED_ANSWER_LEN`].
+    ///
+    /// Only a failure that fits is stored for a later attempt to replace; a longer one and an event
+    /// stream are forwarded like any answer.
     async fn forward_body(&self, mut started: StartedAnswer) -> Result<AttemptOutcome, AnswerError> {
         let mut read = BytesMut::new();
         while let Some(data) = next_data(&mut started.body).await? {
@@ -253,28 +272,30 @@
         Ok(AttemptOutcome::Completed { held: None })
     }
 
-    /// Forwards complete events up to the end of the stream; the head follows with the first one.
+    /// Forwards complete events up to the end of the stream.
+    ///
+    /// The head is withheld until the first event is complete or an empty stream has ended.
     async fn forward_events(&self, started: StartedAnswer) -> Result<AttemptOutcome, AnswerError> {
         let StartedAnswer { head, mut body, connection, idle_timeout, .. } = started;
-        let ends_with_marker =
+        let requires_end_marker =
             self.upstreams.protocol.stream_end(&self.dispatch.upstream) == StreamEnd::Marker;
         let attempt = self.dispatch.attempt;
         let mut splitter = Splitter::default();
         let mut head = Some(head);
         while let Some(data) = next_data(&mut body).await? {
-            let Some(events) = splitter.push(&data).map_err(|_err| AnswerError::Unusable)? else { continue };
+            let Some(batch) = splitter.push(&data).map_err(|_err| AnswerError::Unusable)? else { continue };
             if let Some(head) = head.take() {
                 self.start_forwarding(head).await?;
             }
-            self.pending.forward(attempt, events.bytes, events.delivered).await?;
-            if events.has_end_marker && ends_with_marker {
+            self.pending.forward(attempt, batch.bytes, batch.delivered).await?;
+            if batch.has_end_marker && requires_end_marker {
                 self.pending.forward_end(attempt).await?;
                 tokio::spawn(drain(body, connection));
                 return Ok(AttemptOutcome::Completed { held: None });
             }
         }
-        if ends_with_marker || splitter.is_within_event() {
-            return Err(AnswerError::Broken);
+        if requires_end_marker || splitter.is_within_event() {
+            return Err(AnswerError::Interrupted);
         }
         if let Some(head) = head.take() {
             self.start_forwarding(head).await?;
@@ -291,6 +312,8 @@
     }
 
     /// Returns a connection to the pool after a complete and valid answer.
+    ///
+    /// The connection of an at-most-once request is closed instead.
     fn return_to_pool(&self, connection: Connection, idle_timeout: Option<Duration>) {
         if self.dispatch.once {
             return;
@@ -299,17 +322,24 @@
         tokio::spawn(async move { pool.put(connection, idle_timeout).await });
     }
 
-    /// Holds the answer for recording; forwards it at once if it is too large for that.
-    async fn hold(&self, head: Head, mut body: Incoming) -> Result<AttemptOutcome, AnswerError> {
+    /// Reads the answer to a request with an idempotency key to its end and returns it to the core,
+    /// which records it.
+    ///
+    /// An answer that is too large for that is forwarded unrecorded.
+    async fn read_for_recording(
+        &self,
+        head: Head,
+        mut body: Incoming,
+    ) -> Result<AttemptOutcome, AnswerError> {
         let mut buffer = BytesMut::new();
         while let Some(data) = next_data(&mut body).await? {
             buffer.extend_from_slice(&data);
-            if buffer.len() > self.upstreams.hold_limit {
+            if buffer.len() > self.upstreams.max_recorded_len {
                 return self.forward_unrecorded(head, buffer.freeze(), body).await;
             }
         }
-        if head.events && !ends_with_marker(&buffer) {
-            return Err(AnswerError::Broken);
+        if head.is_event_stream && !ends_with_marker(&buffer) {
+            return Err(AnswerError::Interrupted);
         }
         Ok(completed_for_recording(head.status, &head.headers, &buffer))
     }
@@ -317,7 +347,8 @@
     /// Forwards an answer that is too large to be recorded.
     ///
     /// It is read to its end even if the caller has disconnected: the request has
-    /// run, and a repeat under the same key must get that outcome, not `unknown`.
+    /// run, and a repeat with the same idempotency key must be refused with the
+    /// reason `answer_not_kept`, not as if it were unknown whether the request ran.
     async fn forward_unrecorded(
         &self,
         head: Head,
@@ -325,7 +356,7 @@
         mut body: Incoming,
     ) -> Result<AttemptOutcome, AnswerError> {
         let attempt = self.dispatch.attempt;
-        let events = head.events;
+        let is_event_stream = head.is_event_stream;
         let mut tail = tail_of(&buffer);
         self.upstreams.env.inbox.event(Event::AnswerStarted { attempt }).await;
         let mut forwarded = self.pending.forward_head(attempt, head);
@@ -338,8 +369,8 @@
                 forwarded = self.pending.forward(attempt, data, Delivered::default()).await;
             }
         }
-        if events && !ends_with_marker(&tail) {
-            return Err(AnswerError::Broken);
+        if is_event_stream && !ends_with_marker(&tail) {
+            return Err(AnswerError::Interrupted);
         }
         if forwarded.is_ok() {
             // A caller that disconnects now has received the complete body.
@@ -351,8 +382,8 @@
 
 async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, AnswerError> {
     while let Some(frame) = body.frame().await {
-        let frame =
-            frame.map_err(|err| if err.is_parse() { AnswerError::Unusable } else { AnswerError::Broken })?;
+        let frame = frame
+            .map_err(|err| if err.is_parse() { AnswerError::Unusable } else { AnswerError::Interrupted })?;
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
         }
@@ -360,10 +391,11 @@
     Ok(None)
 }
 
-/// Drains a body after its end marker, so that the upstream can finish sending it.
+/// Reads the rest of a body after its end marker, so that the upstream can finish sending it, and
+/// closes the connection.
 async fn drain(mut body: Incoming, connection: Connection) {
     let rest = async { while let Ok(Some(_)) = next_data(&mut body).await {} };
-    // After the time-out the connection is closed.
+    // An upstream that doesn't end its body in time loses the connection before it has sent the rest.
     _ = tokio::time::timeout(DRAIN_TIMEOUT, rest).await;
     drop(connection);
 }
@@ -378,6 +410,7 @@
     Some(Duration::from_secs(secs).saturating_sub(TRANSIT_MARGIN))
 }
 
+/// Builds the outcome that passes the answer to the core for recording, in `held`.
 fn completed_for_recording(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> AttemptOutcome {
     let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let answer = RecordedAnswer {
@@ -388,7 +421,7 @@
     AttemptOutcome::Completed { held: Some(answer) }
 }
 
-fn is_event_stream(headers: &HeaderMap) -> bool {
+fn has_event_stream_type(headers: &HeaderMap) -> bool {
     let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or_default();
     content_type.split(';').next().unwrap_or_default().trim().eq_ignore_ascii_case("text/event-stream")
 }
@@ -400,6 +433,7 @@
     Bytes::copy_from_slice(&bytes[bytes.len().saturating_sub(TAIL_LEN)..])
 }
 
+/// Reports whether the last line is the end marker of a stream.
 fn ends_with_marker(bytes: &[u8]) -> bool {
     let mut lines = bytes.trim_ascii_end().rsplit(|byte| matches!(byte, b'\n' | b'\r'));
     let last = lines.next().and_then(|line| line.strip_prefix(b"data:"));
--- a/crates/skylarkshore-host/src/upstreams/events.rs
+++ b/crates/skylarkshore-host/src/upstreams/events.rs
@@ -43,7 +43,7 @@
             let Some(len) = event_len(&self.buf[end..], self.scanned.saturating_sub(end)) else { break };
             let event = &self.buf[end..end + len];
             match event_kind(event) {
-                EventKind::Data => delivered.events += 1,
+                EventKind::Data => delivered.event_count += 1,
                 EventKind::End => has_end_marker = true,
                 EventKind::Other => {}
             }
--- a/crates/skylarkshore-host/src/upstreams/native.rs
+++ b/crates/skylarkshore-host/src/upstreams/native.rs
@@ -38,7 +38,7 @@
         let remaining = u64::try_from(call.remaining.as_millis()).unwrap_or(u64::MAX);
         headers.insert(TIMEOUT_HEADER, HeaderValue::from(remaining));
         if call.dispatch.resume {
-            headers.insert(RESUME_HEADER, HeaderValue::from(call.delivered.events));
+            headers.insert(RESUME_HEADER, HeaderValue::from(call.delivered.event_count));
         }
     }
 
