--- a/crates/skylarkshore-host/src/callers/parse.rs
+++ b/crates/skylarkshore-host/src/callers/parse.rs
@@ -68,7 +68,7 @@
     text.parse().map_err(|_invalid| RequestError::BadCaller)
 }
 
-/// Determines whether the request may be repeated.
+/// Determines how often the request may run: at most once if it has an idempotency key.
 ///
 /// The digest of the key includes the caller and the service, so that two
 /// callers with the same key don't receive each other's answers.
@@ -134,7 +134,7 @@
     /// The path and query to send to the service.
     pub(super) path_and_query: String,
     path: String,
-    decoded: String,
+    decoded_path: String,
 }
 
 impl ServiceCall {
@@ -143,26 +143,26 @@
     /// A service may treat `/%62ookings` or `/x/../bookings` as `/bookings`. Such a
     /// spelling would bypass the list of at-most-once paths, and a booking could be
     /// made twice. The path is therefore also matched in decoded form, and segments
-    /// that servers normalize are refused.
+    /// that servers rewrite (empty, `.`, `..` or with a backslash) are refused.
     pub(super) fn parse(rest: &str, query: Option<&str>) -> Result<Self, RequestError> {
         let (name, path) = rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash));
         let unknown = |_invalid| RequestError::UnknownService { name: name.to_owned() };
         let service = name.parse().map_err(unknown)?;
-        let decoded = percent::decode(path).map_err(|_invalid| RequestError::BadPath)?;
-        let mut segments = decoded[1..].split('/').collect::<Vec<_>>();
+        let decoded_path = percent::decode(path).map_err(|_invalid| RequestError::BadPath)?;
+        let mut segments = decoded_path[1..].split('/').collect::<Vec<_>>();
         if segments.last().is_some_and(|last| last.is_empty()) {
             segments.pop();
         }
-        let is_normalized = |segment: &&str| matches!(*segment, "" | "." | "..") || segment.contains('\\');
-        if segments.iter().any(is_normalized) {
+        let is_rewritten = |segment: &&str| matches!(*segment, "" | "." | "..") || segment.contains('\\');
+        if segments.iter().any(is_rewritten) {
             return Err(RequestError::BadPath);
         }
         let path_and_query = query.map_or_else(|| path.to_owned(), |query| format!("{path}?{query}"));
-        Ok(Self { service, path_and_query, path: path.to_owned(), decoded })
+        Ok(Self { service, path_and_query, path: path.to_owned(), decoded_path })
     }
 
     /// Returns the path as sent and decoded.
     pub(super) fn path_variants(&self) -> [&str; 2] {
-        [&self.path, &self.decoded]
+        [&self.path, &self.decoded_path]
     }
 }
--- a/crates/skylarkshore-host/src/engines.rs
+++ b/crates/skylarkshore-host/src/engines.rs
@@ -25,7 +25,7 @@
 pub struct EngineOrder {
     /// The order's id within this process.
     pub order: OrderId,
-    /// The owner's fence.
+    /// The owner's fencing token; engines that check it reject the orders of earlier owners.
     pub fence: Fence,
     /// The time after which it must not be sent.
     pub not_after: Time,
--- a/crates/skylarkshore-host/src/exchange/connections.rs
+++ b/crates/skylarkshore-host/src/exchange/connections.rs
@@ -104,7 +104,7 @@
         let registry = Arc::clone(self);
         tokio::spawn(async move {
             tokio::select! {
-                () = until_closed(&stream) => {}
+                () = until_disconnected(&stream) => {}
                 () = force_close.notified() => {
                     // Fails only if the socket is already closed.
                     _ = socket_shutdown(stream);
@@ -122,7 +122,7 @@
 }
 
 /// Waits until the other end has closed or reset the connection.
-async fn until_closed(stream: &TcpStream) {
+async fn until_disconnected(stream: &TcpStream) {
     loop {
         let Ok(ready) = stream.ready(Interest::READABLE | Interest::ERROR).await else { return };
         if ready.is_read_closed() || ready.is_error() {
--- a/crates/skylarkshore-host/src/exchange/reply.rs
+++ b/crates/skylarkshore-host/src/exchange/reply.rs
@@ -33,7 +33,7 @@
     target: &'static str,
     begun: Instant,
     watched: Option<WatchedConnection>,
-    /// The request id that the caller chose, for the log.
+    /// The request id that the caller chose, for the log; `request` is the host's own id.
     label: String,
     timing: DeliveryTiming,
     /// The task that closes the connection of a caller that doesn't read its answer.
@@ -109,6 +109,7 @@
             self.env.metrics.count_event("request_unanswered");
             error!(self.env.log, "request_unanswered"; "request" => %self.request);
             self.end(RequestEnd::Refused("unknown"));
+            // For the core this is like a disconnect: the upstream's work has to stop.
             self.env.inbox.event(Event::CallerGone { request: self.request }).await;
             return unanswered_refusal(refusals);
         };
@@ -203,6 +204,7 @@
     pieces: mpsc::Receiver<Piece>,
     len: Option<u64>,
     disconnected: BoxFuture<'static, ()>,
+    /// Whether the error event of an aborted stream was sent; the body ends after it.
     broken_off: bool,
 }
 
--- a/crates/skylarkshore-host/src/peers.rs
+++ b/crates/skylarkshore-host/src/peers.rs
@@ -52,7 +52,7 @@
     connections: Mutex<HashMap<HostId, Pinned>>,
 }
 
-/// A connection with the fingerprint of the other end's certificate.
+/// A connection with the fingerprint of the peer's certificate, which changes with each start of the peer.
 #[derive(Clone, Debug)]
 struct Pinned {
     fingerprint: Digest,
--- a/crates/skylarkshore-host/src/peers/link.rs
+++ b/crates/skylarkshore-host/src/peers/link.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Silence {
     since: Instant,
-    /// The connection's id, and the count of datagrams received on it by then.
+    /// The connection's id, and the number of datagrams received on it before `since`.
     connection: usize,
     datagrams: u64,
 }
@@ -98,7 +98,8 @@
     fn is_responsive(&mut self, connection: &Connection) -> bool {
         let now = Instant::now();
         let (id, datagrams) = (connection.stable_id(), connection.stats().udp_rx.datagrams);
-        let silent = self.silence.filter(|u| u.connection == id && u.datagrams == datagrams);
+        let silent =
+            self.silence.filter(|silence| silence.connection == id && silence.datagrams == datagrams);
         let silence = silent.unwrap_or(Silence { since: now, connection: id, datagrams });
         let is_responsive = now.duration_since(silence.since) < self.peers.shared.timings.silence_timeout;
         self.silence = is_responsive.then_some(silence);
--- a/crates/skylarkshore-host/src/store.rs
+++ b/crates/skylarkshore-host/src/store.rs
@@ -23,7 +23,8 @@
     /// Watches the shared keys; returns when the watch breaks.
     fn watch<'a>(&'a self, from: StoreRevision, sink: &'a dyn WatchSink) -> BoxFuture<'a, ()>;
 
-    /// Applies news that a peer has read, instead of reading it from the service.
+    /// Applies news (changes of the service's state) that a peer has read, instead of reading it from
+    /// the service.
     fn take_news(&self, _news: News) {}
 
     /// Applies a part of a peer's copy of the service's state, instead of reading it from the service.
@@ -35,7 +36,7 @@
     /// Makes the watch read from the service until news from peers resumes.
     fn read_on(&self) {}
 
-    /// Packs the copy of the service's state for peers, given the shared keys.
+    /// Packs a copy of the service's state into messages for peers, given the records of the shared keys.
     fn state(&self, _series: u64, _upto: StoreRevision, _records: &[Versioned]) -> Vec<StatePart> {
         Vec::new()
     }
--- a/crates/skylarkshore-host/src/store/etcd.rs
+++ b/crates/skylarkshore-host/src/store/etcd.rs
@@ -35,7 +35,8 @@
 pub(crate) struct EtcdStore {
     client: PooledClient,
     endpoints: Vec<HttpUrl>,
-    /// The index of the endpoint that answered last.
+    /// The endpoint to try first, modulo their number: the one that answered last, or its successor after a
+    /// failure.
     current: AtomicUsize,
     timeout: Duration,
     metrics: Arc<Metrics>,
@@ -126,7 +127,7 @@
             match call(&self.client, req, deadline).await {
                 Ok(answer) => {
                     self.current.store(index, Ordering::Relaxed);
-                    return self.read(path, &answer);
+                    return self.parse_answer(path, &answer);
                 }
                 Err(CallError::NotConnected { reason }) => {
                     debug!(self.log, "store_not_connected"; "endpoint" => %url, "reason" => reason);
@@ -141,7 +142,7 @@
         Err(CallFailure::Store(StoreFailure::NotDone))
     }
 
-    fn read<B: DeserializeOwned>(&self, path: &str, answer: &Answer) -> Result<B, CallFailure> {
+    fn parse_answer<B: DeserializeOwned>(&self, path: &str, answer: &Answer) -> Result<B, CallFailure> {
         if answer.status == StatusCode::OK {
             return serde_json::from_slice(&answer.body).map_err(|err| self.unreadable(&err));
         }
@@ -153,11 +154,13 @@
         Err(CallFailure::Store(StoreFailure::Unknown))
     }
 
+    /// Logs a body that can't be converted; whether the call took effect is unknown.
     fn unreadable(&self, err: &dyn std::error::Error) -> CallFailure {
         warn!(self.log, "store_unreadable"; "reason" => err.to_string());
         CallFailure::Store(StoreFailure::Unknown)
     }
 
+    /// Watches until the watch breaks, and returns the reason as the error.
     async fn watch_once(&self, from: StoreRevision, sink: &dyn WatchSink) -> Result<(), String> {
         let index = self.current.load(Ordering::Relaxed) % self.endpoints.len();
         let url = &self.endpoints[index];
