--- a/crates/skylarkshore-host/src/metrics.rs
+++ b/crates/skylarkshore-host/src/metrics.rs
@@ -34,7 +34,7 @@
     peer_messages: IntCounterVec,
     peer_bytes: IntCounterVec,
     peer_dropped: IntCounter,
-    events: IntCounter,
+    core_events: IntCounter,
 }
 
 /// How a request ended.
@@ -141,7 +141,7 @@
                 "peer_messages_dropped_total",
                 "Messages to peers that were dropped because their queue was full or the peer unreachable.",
             ))?,
-            events: IntCounter::with_opts(opts("core_events_total", "Events that the core has taken."))?,
+            core_events: IntCounter::with_opts(opts("core_events_total", "Events that the core has taken."))?,
         };
         for collector in this.collectors() {
             this.registry.register(collector)?;
@@ -171,7 +171,7 @@
             Box::new(self.peer_messages.clone()),
             Box::new(self.peer_bytes.clone()),
             Box::new(self.peer_dropped.clone()),
-            Box::new(self.events.clone()),
+            Box::new(self.core_events.clone()),
         ]
     }
 
@@ -233,7 +233,7 @@
     }
 
     pub(crate) fn core_event_handled(&self) {
-        self.events.inc();
+        self.core_events.inc();
     }
 
     /// Renders all metrics, including the core's, in the Prometheus text format.
--- a/crates/skylarkshore-host/src/operators/explain.rs
+++ b/crates/skylarkshore-host/src/operators/explain.rs
@@ -98,7 +98,8 @@
     let decision = document.rules.decide(&input);
     let list = &document.rules.list;
     let tried = list.iter().map(|rule| TriedRule { name: rule.name.clone(), holds: rule.when.holds(&input) });
-    let match_index = decision.rule.and_then(|rule| list.iter().position(|tried| std::ptr::eq(tried, rule)));
+    let match_index =
+        decision.rule.and_then(|rule| list.iter().position(|candidate| std::ptr::eq(candidate, rule)));
     Ok(Explanation {
         model: target.model.to_string(),
         adapter: target.adapter.as_ref().map(ToString::to_string),
--- a/crates/skylarkshore-host/src/upstreams/events.rs
+++ b/crates/skylarkshore-host/src/upstreams/events.rs
@@ -11,7 +11,7 @@
 
 /// Consecutive complete events.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Events {
+pub(super) struct EventBatch {
     pub(super) bytes: Bytes,
     /// The number of data events, without the end marker, and the last id.
     pub(super) delivered: Delivered,
@@ -30,12 +30,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Splitter {
     buf: BytesMut,
+    /// The number of bytes at the start of `buf` that hold no end of an event.
     scanned: usize,
 }
 
 impl Splitter {
     /// Adds bytes and returns the events that they complete, if any.
-    pub(super) fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, EventTooLarge> {
+    pub(super) fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, EventTooLarge> {
         self.buf.extend_from_slice(bytes);
         let (mut end, mut has_end_marker) = (0, false);
         let mut delivered = Delivered::default();
@@ -54,7 +55,7 @@
         if end == 0 {
             return if self.buf.len() > MAX_EVENT_LEN { Err(EventTooLarge) } else { Ok(None) };
         }
-        Ok(Some(Events { bytes: self.buf.split_to(end).freeze(), delivered, has_end_marker }))
+        Ok(Some(EventBatch { bytes: self.buf.split_to(end).freeze(), delivered, has_end_marker }))
     }
 
     /// Reports whether the buffer holds a partial event.
@@ -77,8 +78,11 @@
     let from = scanned.saturating_sub(MAX_TERMINATOR_LEN);
     (from..buf.len()).find_map(|i| {
         let rest = &buf[i..];
-        let has_end_marker: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
-        has_end_marker.iter().find(|end| rest.starts_with(end)).map(|end| i + end.len())
+        let terminators: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
+        terminators
+            .iter()
+            .find(|terminator| rest.starts_with(terminator))
+            .map(|terminator| i + terminator.len())
     })
 }
 
--- a/crates/skylarkshore-host/src/upstreams/native.rs
+++ b/crates/skylarkshore-host/src/upstreams/native.rs
@@ -52,9 +52,9 @@
             None if is_engine => return Verdict::Foreign,
             None => false,
         };
-        let says_not_run = matches!(status, StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS);
+        let may_be_rejection = matches!(status, StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS);
         // A service that doesn't echo ids may use these statuses for something else.
-        if echoes_id && says_not_run { Verdict::PerhapsNotRun } else { Verdict::Answer }
+        if echoes_id && may_be_rejection { Verdict::PerhapsNotRun } else { Verdict::Answer }
     }
 
     fn read_not_run(&self, body: &[u8]) -> Option<Rejection> {
