--- a/crates/skylarkshore-host/src/etcd_platform.rs
+++ b/crates/skylarkshore-host/src/etcd_platform.rs
@@ -1,4 +1,4 @@
-//! The product's own interface: an etcd v3 JSON gateway, a host list, engines that name the orders they settle.
+//! The product's own platform: an etcd v3 JSON gateway, a host list, and engines that report finished orders.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 
 use crate::callers;
 use crate::config::{Config, EtcdSettings};
-use crate::engines::{EngineProtocol, OwnEngines};
+use crate::engines::{EngineProtocol, NativeEngines};
 use crate::env::Env;
 use crate::error::Error;
 use crate::exchange::Exchange;
-use crate::hosts;
+use crate::host_list;
 use crate::platform::Platform;
 use crate::server::RunningServer;
 use crate::store::{EtcdStore, Store};
-use crate::upstreams::{OwnUpstreams, UpstreamProtocol};
+use crate::upstreams::{NativeUpstreams, UpstreamProtocol};
 
-/// The product's own interface.
+/// The product's own platform.
 #[derive(Clone, Debug)]
 pub(crate) struct EtcdPlatform {
     settings: EtcdSettings,
@@ -45,15 +45,15 @@
     }
 
     fn follow_upstreams(&self, env: &Env) {
-        tokio::spawn(hosts::poll(self.settings.hosts_url.clone(), env.inbox.clone(), env.log.clone()));
+        tokio::spawn(host_list::poll(self.settings.hosts_url.clone(), env.inbox.clone(), env.log.clone()));
     }
 
     fn engines(&self, env: &Env) -> Arc<dyn EngineProtocol> {
-        Arc::new(OwnEngines::new(env.clock, env.log.clone()))
+        Arc::new(NativeEngines::new(env.clock, env.log.clone()))
     }
 
     fn upstreams(&self, _env: &Env) -> Arc<dyn UpstreamProtocol> {
-        Arc::new(OwnUpstreams::new(&self.host, self.incarnation))
+        Arc::new(NativeUpstreams::new(&self.host, self.incarnation))
     }
 
     fn serve(&self, exchange: Exchange, callers: TcpListener) -> Result<Vec<RunningServer>, Error> {
--- a/crates/skylarkshore-host/src/metrics.rs
+++ b/crates/skylarkshore-host/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Numbers for `/metrics`, named after the conventions of Prometheus.
+//! Prometheus metrics for `/metrics`. Start with [`Metrics`].
 
 mod process;
 
@@ -9,17 +9,17 @@
     Counter, Encoder, Gauge, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
     Opts, Registry, TextEncoder,
 };
-use skylarkshore_core::dump::Gauge as Reading;
+use skylarkshore_core::dump::Gauge as CoreGauge;
 use skylarkshore_core::event::AttemptOutcome;
 use skylarkshore_core::store::{StoreFailure, StoreResult};
 
 const NAMESPACE: &str = "skylarkshore";
 
-/// From a warm request's overhead to the longest cold start that is waited for.
+/// In seconds, from the overhead of a warm request to the longest cold start.
 const LATENCY_BUCKETS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0, 300.0];
 
-/// The numbers that the process keeps outside of the core.
+/// The metrics that are recorded outside of the core.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -28,27 +28,27 @@
     duration: HistogramVec,
     first_byte: HistogramVec,
     attempts: IntCounterVec,
-    notes: IntCounterVec,
+    log_events: IntCounterVec,
     store_calls: IntCounterVec,
     store_duration: Histogram,
     peer_messages: IntCounterVec,
     peer_bytes: IntCounterVec,
     peer_dropped: IntCounter,
-    events: IntCounter,
+    core_events: IntCounter,
 }
 
-/// How a request ended, for its counter.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An upstream's answer was passed on whole.
+    /// An upstream's answer was forwarded completely.
     Answered,
-    /// It was wrong in itself and nothing was sent upstream.
+    /// The request was invalid; nothing was sent upstream.
     Invalid,
-    /// It was refused, with this outcome.
+    /// The request was refused with this outcome.
     Refused(&'static str),
-    /// The answer was broken off after a part was passed on.
+    /// The answer was aborted after a part was forwarded.
     BrokenOff,
-    /// The caller went away first.
+    /// The caller disconnected first.
     CallerGone,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Which way a peer's message goes.
+/// The direction of a peer message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
     Sent,
@@ -89,11 +89,11 @@
 }
 
 impl Metrics {
-    /// Makes and registers the numbers.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Two of them have the same name.
+    /// Two metrics have the same name.
     fn build() -> prometheus::Result<Self> {
         let this = Self {
             registry: Registry::new(),
@@ -117,7 +117,7 @@
                 opts("upstream_attempts_total", "Tries at upstreams that came to an end, by how."),
                 &["end"],
             )?,
-            notes: IntCounterVec::new(
+            log_events: IntCounterVec::new(
                 opts("events_total", "Events that are also logged, by name."),
                 &["event"],
             )?,
@@ -141,7 +141,7 @@
                 "peer_messages_dropped_total",
                 "Messages to peers that were dropped because their queue was full or the peer unreachable.",
             ))?,
-            events: IntCounter::with_opts(opts("core_events_total", "Events that the core has taken."))?,
+            core_events: IntCounter::with_opts(opts("core_events_total", "Events that the core has taken."))?,
         };
         for collector in this.collectors() {
             this.registry.register(collector)?;
@@ -149,13 +149,13 @@
         Ok(this)
     }
 
-    /// Makes and registers the numbers.
+    /// Creates and registers the metrics.
     ///
     /// # Panics
     ///
-    /// Never, as their names are constant and differ.
+    /// Never, as the names are constant and distinct.
     pub(crate) fn new() -> Self {
-        Self::build().expect("the metrics' names are constant and differ")
+        Self::build().expect("the metrics' names are constant and distinct")
     }
 
     fn collectors(&self) -> Vec<Box<dyn Collector>> {
@@ -165,13 +165,13 @@
             Box::new(self.duration.clone()),
             Box::new(self.first_byte.clone()),
             Box::new(self.attempts.clone()),
-            Box::new(self.notes.clone()),
+            Box::new(self.log_events.clone()),
             Box::new(self.store_calls.clone()),
             Box::new(self.store_duration.clone()),
             Box::new(self.peer_messages.clone()),
             Box::new(self.peer_bytes.clone()),
             Box::new(self.peer_dropped.clone()),
-            Box::new(self.events.clone()),
+            Box::new(self.core_events.clone()),
         ]
     }
 
@@ -179,7 +179,7 @@
         self.in_progress.inc();
     }
 
-    pub(crate) fn request_answering(&self, target: &str, after: Duration) {
+    pub(crate) fn answer_started(&self, target: &str, after: Duration) {
         self.first_byte.with_label_values(&[target]).observe(after.as_secs_f64());
     }
 
@@ -189,7 +189,7 @@
         self.duration.with_label_values(&[target]).observe(after.as_secs_f64());
     }
 
-    /// Counts a request that was wrong in itself.
+    /// Counts an invalid request.
     pub fn request_invalid(&self) {
         self.requests.with_label_values(&["none", RequestEnd::Invalid.label()]).inc();
     }
@@ -206,9 +206,9 @@
         self.attempts.with_label_values(&[label]).inc();
     }
 
-    /// Counts an event that operators ought to know of.
-    pub fn noted(&self, event: &str) {
-        self.notes.with_label_values(&[event]).inc();
+    /// Counts a logged event.
+    pub fn count_event(&self, event: &str) {
+        self.log_events.with_label_values(&[event]).inc();
     }
 
     /// Counts a call to the key-value service.
@@ -232,16 +232,16 @@
         self.peer_dropped.inc();
     }
 
-    pub(crate) fn event_taken(&self) {
-        self.events.inc();
+    pub(crate) fn core_event_handled(&self) {
+        self.core_events.inc();
     }
 
-    /// Writes all numbers, the core's among them, as Prometheus reads them.
-    pub(crate) fn render(&self, readings: &[Reading]) -> String {
+    /// Renders all metrics, including the core's, in the Prometheus text format.
+    pub(crate) fn render(&self, core_gauges: &[CoreGauge]) -> String {
         let mut families = self.registry.gather();
-        families.extend(readings.iter().filter_map(family));
+        families.extend(core_gauges.iter().filter_map(metric_family));
         let mut buf = Vec::new();
-        // Writing to a buffer only fails on a family without numbers, and there is none.
+        // Encoding to a buffer fails only for an empty family, and there is none.
         _ = TextEncoder::new().encode(&families, &mut buf);
         let mut text = String::from_utf8_lossy(&buf).into_owned();
         text.push_str(&process::render());
@@ -249,14 +249,14 @@
     }
 }
 
-fn family(reading: &Reading) -> Option<prometheus::proto::MetricFamily> {
-    let opts = opts(reading.name, "See the page OPERATIONS.");
-    if reading.name.ends_with("_total") {
+fn metric_family(core_gauge: &CoreGauge) -> Option<prometheus::proto::MetricFamily> {
+    let opts = opts(core_gauge.name, "See the page OPERATIONS.");
+    if core_gauge.name.ends_with("_total") {
         let counter = Counter::with_opts(opts).ok()?;
-        counter.inc_by(reading.value);
+        counter.inc_by(core_gauge.value);
         return counter.collect().into_iter().next();
     }
     let gauge = Gauge::with_opts(opts).ok()?;
-    gauge.set(reading.value);
+    gauge.set(core_gauge.value);
     gauge.collect().into_iter().next()
 }
