--- a/crates/skylarkshore-core/src/quota/account_buckets.rs
+++ b/crates/skylarkshore-core/src/quota/account_buckets.rs
@@ -34,7 +34,7 @@
 pub(super) struct AccountBuckets {
     registered: OrderedMap<HostId, Time>,
     by_account: HashMap<AccountName, AccountBucket>,
-    /// When this process last checked for a pause of its own.
+    /// When this process last checked whether it had been paused.
     last_check: Time,
 }
 
@@ -52,7 +52,8 @@
         self.registered.remove(host);
     }
 
-    /// Grants an account's credit for a request, or returns when enough will be available.
+    /// Grants an account's credit for a request, or denies it with the time until enough is
+    /// available.
     pub(super) fn grant(
         &mut self,
         cx: &mut Cx<'_>,
@@ -60,19 +61,19 @@
         account: &AccountName,
         cost: Credits,
     ) -> CreditDecision {
-        let Some(effective) = effective_limit(cx, account) else { return CreditDecision::NOW };
-        if cost > effective.window_max() {
+        let Some(limit) = effective_limit(cx, account) else { return CreditDecision::RUN_NOW };
+        if cost > limit.window_max() {
             return CreditDecision::TooLarge;
         }
         self.skip_own_pause(cx.now);
         let share = self.share(cx.now, total_hosts);
-        let (rate, capacity) = (share.rate(effective.configured.rate), share.credits(effective.capacity()));
+        let (rate, capacity) = (share.rate(limit.configured.rate), share.credits(limit.capacity()));
         let new_entry = || AccountBucket {
-            bucket: TokenBucket::new(effective.initial_credit(), cx.now),
+            bucket: TokenBucket::new(limit.initial_credit(), cx.now),
             last_request: cx.now,
         };
         let entry = self.by_account.entry(account.clone()).or_insert_with(new_entry);
-        entry.bucket.refill(cx.now, rate, capacity.max(effective.initial_credit()));
+        entry.bucket.refill(cx.now, rate, capacity.max(limit.initial_credit()));
         entry.last_request = cx.now;
         // A request larger than the capacity is granted once the bucket is full.
         let needed = cost.min(capacity);
@@ -89,6 +90,7 @@
                 cx.log_event("credit_denied", account, detail);
                 CreditDecision::OverLimit { retry_after: wait }
             }
+            // The rate is 0.
             None => CreditDecision::OverLimit { retry_after: REGISTRATION_TTL },
         }
     }
@@ -100,14 +102,14 @@
         }
     }
 
-    /// Refills all buckets by the share of the hosts that are registered now.
+    /// Refills all buckets at the sum of the shares that are registered now.
     pub(super) fn on_tick(&mut self, cx: &Cx<'_>, total_hosts: u64) {
         self.skip_own_pause(cx.now);
         let share = self.share(cx.now, total_hosts);
         for (account, entry) in &mut self.by_account {
-            let Some(effective) = effective_limit(cx, account) else { continue };
-            let capacity = share.credits(effective.capacity()).max(effective.initial_credit());
-            entry.bucket.refill(cx.now, share.rate(effective.configured.rate), capacity);
+            let Some(limit) = effective_limit(cx, account) else { continue };
+            let capacity = share.credits(limit.capacity()).max(limit.initial_credit());
+            entry.bucket.refill(cx.now, share.rate(limit.configured.rate), capacity);
         }
     }
 
@@ -132,7 +134,7 @@
     /// Other coordinators have granted that credit in the meantime.
     fn skip_own_pause(&mut self, now: Time) {
         if self.last_check.after(PAUSE_THRESHOLD).is_due(now) {
-            self.by_account.values_mut().for_each(|entry| entry.bucket.skip_refill(now));
+            self.by_account.values_mut().for_each(|entry| entry.bucket.skip_refill_until(now));
         }
         self.last_check = now;
     }
--- a/crates/skylarkshore-core/src/quota/bucket.rs
+++ b/crates/skylarkshore-core/src/quota/bucket.rs
@@ -32,9 +32,9 @@
         self.level = self.level.min(millicredits(capacity));
     }
 
-    /// Adds no credit for the time up to `now`.
-    pub(super) fn skip_refill(&mut self, now: Time) {
-        self.refilled_at = self.refilled_at.max(now);
+    /// Lets the bucket gain no credit for the time before `time`, which may be in the future.
+    pub(super) fn skip_refill_until(&mut self, time: Time) {
+        self.refilled_at = self.refilled_at.max(time);
     }
 
     pub(super) fn take(&mut self, cost: Credits) {
--- a/crates/skylarkshore-core/src/quota/coordinators.rs
+++ b/crates/skylarkshore-core/src/quota/coordinators.rs
@@ -13,8 +13,9 @@
 
 use super::send;
 
-/// The fewest hosts for each number of partitions of the accounts.
+/// The number of partitions (second) of the accounts from a number of hosts (first) upwards.
 ///
+/// The hash of its name puts an account into a partition; one host coordinates each of them.
 /// Every host registers with the coordinator of each partition, so the number of partitions
 /// must not grow with the number of hosts.
 const PARTITIONS_BY_HOSTS: [(usize, usize); 3] = [(200, 8), (20, 4), (0, 2)];
@@ -104,7 +105,7 @@
     /// Detects unresponsive coordinators and sends the registrations and probes that are due.
     ///
     /// Reports whether this host registered its share anywhere.
-    pub(super) fn on_tick(&mut self, cx: &mut Cx<'_>) -> bool {
+    pub(super) fn renew_registrations(&mut self, cx: &mut Cx<'_>) -> bool {
         for (host, link) in &mut self.links {
             if link.has_timed_out(cx.now) && !link.is_unresponsive && *host != cx.cfg.host {
                 link.is_unresponsive = true;
@@ -124,8 +125,8 @@
         registered
     }
 
-    /// Returns the coordinators that this process uses, one of each partition.
-    pub(super) fn in_use(&self) -> OrderedSet<HostId> {
+    /// Returns the current coordinator of each partition.
+    pub(super) fn current(&self) -> OrderedSet<HostId> {
         self.partitions.iter().filter_map(|ranked| self.first_responsive(ranked)).cloned().collect()
     }
 
--- a/crates/skylarkshore-core/src/quota/share.rs
+++ b/crates/skylarkshore-core/src/quota/share.rs
@@ -4,8 +4,8 @@
 
 /// A number of hosts out of all hosts.
 ///
-/// Each host either registers an equal share of every limit with one coordinator or
-/// keeps it. The shares therefore never add up to more than the limit.
+/// Each host either registers an equal share of a limit with the account's coordinator or
+/// spends it itself. The shares therefore never add up to more than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Share {
     /// The hosts that this share belongs to.
