--- a/crates/skylarkshore-core/src/store.rs
+++ b/crates/skylarkshore-core/src/store.rs
@@ -20,6 +20,9 @@
 pub use writes::{WriteOutcome, WriteQueue, WriteRequest};
 
 /// A key of this system in the key-value service.
+///
+/// All keys but [`Key::Once`] are shared: every process keeps a copy of them in its
+/// [`StoreCache`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The operators' document.
@@ -30,15 +33,18 @@
     Member(HostId),
     /// The owner of an engine.
     Owner(UpstreamId),
-    /// The engines on which a model may be loaded.
+    /// The homes of a model: the engines on which it may be loaded.
     Homes(ModelName),
     /// The power grants of a site.
     Power(SiteName),
-    /// An at-most-once request, by the digest of its idempotency key.
+    /// A request with an idempotency key, which runs at most once; by the digest of that key,
+    /// the caller and the service.
     Once(Digest),
 }
 
-/// The writer of a record; identifies a write whose answer was lost when the key is read back.
+/// The origin of one write, stored with the record.
+///
+/// If the answer to a write is lost, the process reads the key and recognises its own write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Writer {
     /// The host.
@@ -62,7 +68,8 @@
     pub data_centre: DataCentre,
     /// The SHA-256 digest of its certificate, which peers accept.
     pub fingerprint: Digest,
-    /// Whether it is shutting down: it gets no new ownership and is not in the entry list.
+    /// Whether it is shutting down: it becomes the owner of no further engine and is left out
+    /// of the entry list, which tells callers the hosts to use.
     pub leaving: bool,
     /// The host's capacity relative to the others.
     pub capacity: Capacity,
@@ -79,7 +86,7 @@
     pub fence: Fence,
 }
 
-/// The engines on which a model may be loaded.
+/// The homes of a model: the engines on which it may be loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomesRecord {
     /// The engines in order of preference.
@@ -91,7 +98,8 @@
 /// How a site's power is divided among its engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PowerRecord {
-    /// The watts that each engine may draw; an engine without a grant may only draw its sleep power.
+    /// The watts that each engine may draw; an engine without a grant may only draw
+    /// its [`sleep_watts`](crate::upstream::EngineSpec::sleep_watts).
     pub grants: OrderedMap<UpstreamId, Watts>,
 }
 
@@ -154,9 +162,10 @@
 pub struct Versioned {
     /// The key.
     pub key: Key,
-    /// The revision of its last change, or of the read if the key is absent.
+    /// The revision of its last change, which may be a deletion; the revision of the read if
+    /// a read showed that the key is absent.
     pub revision: StoreRevision,
-    /// The writer; none if the key is absent.
+    /// The write that set the value; none if the key is absent.
     pub writer: Option<Writer>,
     /// The value; none if the key is absent.
     pub record: Option<Record>,
@@ -169,10 +178,10 @@
 /// for which it is complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordBatch {
-    /// The revision after which the batch holds the last change of every changed
-    /// key; none if it holds every key that has a value.
+    /// The exclusive start of the range: the batch holds the latest state of every key that
+    /// changed after it. None if the batch is a snapshot of every key that has a value.
     pub after: Option<StoreRevision>,
-    /// The revision up to which nothing is missing.
+    /// The inclusive end of the range.
     pub upto: StoreRevision,
     /// The keys, including deleted ones if `after` is given.
     pub records: Vec<Versioned>,
@@ -204,7 +213,7 @@
         expect: Expect,
         /// The new value; none deletes the key.
         record: Option<Record>,
-        /// The writer.
+        /// The origin of this write.
         writer: Writer,
         /// The lease that the key is attached to.
         lease: Option<LeaseId>,
--- a/crates/skylarkshore-core/src/store/writes.rs
+++ b/crates/skylarkshore-core/src/store/writes.rs
@@ -172,7 +172,7 @@
             Err(failure) => {
                 // A write whose answer was lost may have taken effect. Writing again
                 // would find this process's own value and look like a conflict, and the
-                // owner would give up what it holds. The key is therefore read back first.
+                // owner of an engine would give it up. The key is therefore read back first.
                 self.may_have_taken_effect |=
                     *failure == StoreFailure::Unknown && matches!(self.step, Step::Writing);
                 self.back_off(now);
