--- a/crates/skylarkshore-core/src/upstream.rs
+++ b/crates/skylarkshore-core/src/upstream.rs
@@ -30,8 +30,8 @@
     /// Concurrently; reports name each finished order.
     #[default]
     Parallel,
-    /// One at a time, in numbered sequence; an order that expects an earlier number is
-    /// refused.
+    /// One at a time. Each order that changes the models states how many such orders the
+    /// engine must have accepted before it, and is refused if the number differs.
     ///
     /// An unload waits for running requests, so a model on such an engine doesn't have to
     /// be idle before it is unloaded.
@@ -43,17 +43,19 @@
 pub struct EngineSpec {
     /// The total accelerator memory.
     pub memory: Mebibytes,
-    /// Its power draw with nothing loaded.
+    /// Its power draw with no model loaded or loading.
     pub sleep_watts: Watts,
     /// Its maximum power draw with any model loaded or loading.
     pub active_watts: Watts,
     /// How it treats outdated fences.
     pub fence_check: FenceCheck,
-    /// How many requests it runs concurrently before it queues them.
+    /// How many requests the engine runs concurrently before it queues them.
     pub concurrency: u32,
     /// How it executes its orders.
     pub order_mode: OrderMode,
-    /// The pool whose models it may hold; none if every engine may hold every model.
+    /// The pool that it belongs to, if any; a model that names a pool may only be loaded there.
+    ///
+    /// Pools are named like services, since a route may send requests to either.
     pub pool: Option<ServiceName>,
     /// The most adapters that it may hold at a time, if limited.
     pub adapter_slots: Option<u32>,
@@ -94,9 +96,10 @@
     pub status: UpstreamStatus,
     /// The incarnation that is listed; it rises with every restart.
     pub incarnation: Incarnation,
-    /// How many requests it runs concurrently, if it states that.
+    /// How many requests a service replica runs concurrently, if it states that; for engines,
+    /// [`EngineSpec::concurrency`] applies.
     pub concurrency: Option<u32>,
-    /// The models that it held when it last registered, if it states them.
+    /// The models that were loaded on it when it last registered, if it states them.
     pub holds: Vec<ModelName>,
     /// The weights that it keeps copies of, if it states them.
     pub copies: WeightCopies,
@@ -104,8 +107,8 @@
 
 /// The models whose weights an engine keeps copies of, in addition to the loaded ones.
 ///
-/// A load from a copy is faster than one from the weight store, and doesn't count
-/// towards the weight store's load rate.
+/// A load from a copy is faster than one from the weight store, the storage that all engines
+/// load from, and doesn't count towards the limit on the rate of loads from there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightCopies {
     /// In the host's memory.
@@ -147,7 +150,7 @@
 /// A command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Record the fence and change nothing.
+    /// Record the fence that is sent with the order, and leave the models as they are.
     RaiseFence,
     /// Load a base model; has no effect if it is already loaded.
     Load {
@@ -155,7 +158,7 @@
         model: ModelName,
         /// The version of the weights.
         version: ModelVersion,
-        /// The memory for weights and KV cache.
+        /// The memory for the weights and for the attention KV cache of requests.
         memory: Mebibytes,
     },
     /// Load an adapter on a loaded base model.
@@ -186,7 +189,7 @@
 pub enum OrderAnswer {
     /// The engine accepted it; its reports show the progress.
     Accepted,
-    /// The engine executed it immediately, or it had no effect.
+    /// The order is complete: the engine executed it immediately, or it had no effect.
     Done,
     /// The engine did nothing, because it has seen a higher fence.
     FenceTooLow {
@@ -229,7 +232,8 @@
     pub state: LoadState,
     /// The memory that it takes, without adapters.
     pub memory: Mebibytes,
-    /// Requests in progress, running and waiting.
+    /// The requests for this model that are running or waiting; [`EngineReport::running`]
+    /// leaves out waiting ones.
     pub running: u32,
     /// Its adapters.
     pub adapters: Vec<ReportedAdapter>,
@@ -251,25 +255,26 @@
 pub struct EngineReport {
     /// The incarnation of the engine; it rises with every restart.
     pub incarnation: Incarnation,
-    /// The highest fence that it has seen, if it records fences.
+    /// The highest fence that it has seen; 0 if it doesn't record fences.
     pub fence: Fence,
     /// The total memory.
     pub memory: Mebibytes,
     /// The models on the engine.
     pub models: Vec<ReportedModel>,
-    /// The number of running requests.
+    /// The number of running requests, without those waiting.
     pub running: u32,
     /// The number of requests queued inside the engine.
     pub waiting: u32,
     /// Whether it is shutting down.
     pub leaving: bool,
-    /// The maximum age of the load figures.
+    /// How old the reported figures may be when the report is sent.
     pub lag: Duration,
     /// The recently finished orders, newest last.
     pub finished_orders: Vec<OrderId>,
-    /// Whether it is executing an order.
+    /// Whether it is executing an order, whatever its load of requests.
     pub busy: bool,
-    /// How many orders it has accepted in this incarnation, if it numbers them.
+    /// How many orders it has accepted in this incarnation, if it counts them as in
+    /// [`OrderMode::Sequential`].
     pub accepted: Option<u64>,
     /// The weights that it keeps copies of.
     pub copies: WeightCopies,
--- a/crates/skylarkshore-core/src/upstream/list.rs
+++ b/crates/skylarkshore-core/src/upstream/list.rs
@@ -29,9 +29,9 @@
     all: OrderedMap<UpstreamId, Upstream>,
     engines: usize,
     replicas: HashMap<ServiceName, OrderedSet<UpstreamId>>,
-    /// The live engines that hold a model.
+    /// The live engines on which a model is loaded.
     holders: HashMap<ModelName, OrderedSet<UpstreamId>>,
-    /// The live engines that hold a model or keep a copy of its weights.
+    /// The live engines on which a model is loaded or that keep a copy of its weights.
     engines_with_weights: HashMap<ModelName, OrderedSet<UpstreamId>>,
 }
 
@@ -66,12 +66,12 @@
         self.lookup(self.replicas.get(service))
     }
 
-    /// Returns the live engines that hold a model.
+    /// Returns the live engines on which a model is loaded.
     pub fn holders(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
         self.lookup(self.holders.get(model))
     }
 
-    /// Returns the live engines that hold a model or keep a copy of its weights.
+    /// Returns the live engines on which a model is loaded or that keep a copy of its weights.
     pub fn engines_with_weights(&self, model: &ModelName) -> impl Iterator<Item = &Upstream> + use<'_> {
         self.lookup(self.engines_with_weights.get(model))
     }
