--- a/crates/skylarkshore-core/src/accounts.rs
+++ b/crates/skylarkshore-core/src/accounts.rs
@@ -8,7 +8,7 @@
 
 /// The digest of an account's key.
 ///
-/// Only the caller's request holds the key itself, so no log, state dump or peer can
+/// The key itself is contained only in the caller's request, so no log, state dump or peer can
 /// disclose it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest(pub Digest);
@@ -33,7 +33,7 @@
 }
 
 impl LimitUnit {
-    /// Returns the cost of a request that states `tokens`, if any.
+    /// Returns the cost of a request; `tokens` is the token count that it states, if any.
     pub fn cost(self, tokens: Option<u64>) -> Credits {
         match self {
             Self::Requests => Credits(1),
@@ -56,7 +56,7 @@
 pub struct Account {
     /// The keys that callers present.
     pub keys: OrderedSet<KeyDigest>,
-    /// The priority of its requests, which ranks before the route's; 0 is the most urgent.
+    /// The priority of its requests, which takes precedence over the route's; 0 is the most urgent.
     pub priority: Option<u8>,
     /// The unit of its limit.
     pub unit: LimitUnit,
--- a/crates/skylarkshore-core/src/catalogue.rs
+++ b/crates/skylarkshore-core/src/catalogue.rs
@@ -18,7 +18,7 @@
     pub version: ModelVersion,
     /// The memory that the weights take.
     pub weights: Mebibytes,
-    /// The memory reserved for the KV cache of running requests.
+    /// The memory reserved for the attention KV cache of running requests.
     pub kv_cache: Mebibytes,
     /// The expected duration of a load until one has been measured.
     pub load_time: Duration,
@@ -46,12 +46,12 @@
     }
 }
 
-/// A plain service that requests are forwarded to.
+/// A plain service, which isn't a model engine and only has requests forwarded to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     /// Path prefixes, after the service's name, of at-most-once calls.
     pub once_paths: Vec<String>,
-    /// How many requests one replica handles at a time.
+    /// How many requests one replica handles at a time, unless the replica states its own number.
     pub concurrency: u32,
 }
 
@@ -124,11 +124,11 @@
 /// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head in bytes.
+    /// The largest request head (request line and headers) in bytes.
     pub head_len: usize,
-    /// The largest body in bytes.
+    /// The largest request body in bytes.
     pub body_len: usize,
-    /// The time-out for receiving a head.
+    /// The time-out for receiving a request head.
     pub head_timeout: Duration,
     /// The time-out of an idle connection.
     pub idle_timeout: Duration,
--- a/crates/skylarkshore-core/src/config.rs
+++ b/crates/skylarkshore-core/src/config.rs
@@ -93,7 +93,7 @@
     pub entry_ttl: Duration,
     /// How long callers may still connect after this host has left the entry list.
     pub entry_kept: Duration,
-    /// How long an engine that left the host list keeps its homes.
+    /// How long an engine that left the host list remains a home of its models.
     pub gone_after: Duration,
     /// The minimum time between the last order of an engine's former owner on another
     /// host and the first order of its new owner.
@@ -144,7 +144,8 @@
     pub loads_per_second: u32,
     /// Attempts for one request, including the first.
     pub attempts: u32,
-    /// How many homes each model has in advance, as far as the rules allow.
+    /// How many homes each model has in advance, as far as the rules allow; a home is an
+    /// engine on which the model may be loaded.
     ///
     /// With a home in place, a further replica is loaded as soon as it is needed. Without
     /// one, the load waits for a write and for other processes to receive it.
--- a/crates/skylarkshore-core/src/rules.rs
+++ b/crates/skylarkshore-core/src/rules.rs
@@ -109,7 +109,7 @@
     pub data_centres: Option<OrderedSet<DataCentre>>,
     /// The time of day is in this span.
     pub hours: Option<Hours>,
-    /// At least this share of the site's power is granted.
+    /// At least this share of the site's power is granted to its engines.
     pub power_pressure: Option<Percent>,
     /// At least this share of the engines' memory is in use.
     pub memory_pressure: Option<Percent>,
@@ -156,13 +156,13 @@
     pub adapter: Option<&'a AdapterName>,
     /// The caller of a request.
     pub caller: Option<&'a CallerId>,
-    /// The plain service.
+    /// The plain service that a request is for; absent if it is for a model.
     pub service: Option<&'a ServiceName>,
     /// The data centre of the deciding process.
     pub data_centre: Option<&'a DataCentre>,
     /// The time of day.
     pub at: Option<MinuteOfDay>,
-    /// The share of the site's power that is granted.
+    /// The share of the site's power that is granted to its engines.
     pub power_pressure: Option<Percent>,
     /// The share of the engines' memory that is in use.
     pub memory_pressure: Option<Percent>,
@@ -293,6 +293,7 @@
             || is_empty(self.services.as_ref())
             || is_empty(self.data_centres.as_ref())
             || self.hours.is_some_and(|hours| hours.from == hours.to)
+            // A request is either for a service or for a model.
             || (self.services.is_some() && (self.models.is_some() || self.adapters.is_some()))
     }
 }
