--- a/crates/skylarkshore-core/tests/loading/faults.rs
+++ b/crates/skylarkshore-core/tests/loading/faults.rs
@@ -60,7 +60,7 @@
 
 /// The engine restarts during a load and loses it. Without a new load, callers would wait forever.
 #[test]
-fn a_load_begins_again_when_the_engine_restarts_in_its_middle() {
+fn a_load_interrupted_by_an_engine_restart_is_started_again() {
     let mut rig = Rig::new(&[("maize", 600)]);
     rig.demand("entry-2", "maize", 1);
     rig.run(Duration::from_secs(2));
@@ -76,7 +76,7 @@
 /// fences. Memory must be reserved for it, or the engine runs out of memory while it
 /// serves requests.
 #[test]
-fn room_is_kept_for_a_late_order_of_the_former_owner() {
+fn memory_is_reserved_for_a_late_order_of_the_former_owner() {
     let mut rig = Rig::taking_over(&[("maize", 500), ("oats", 300), ("rye", 600)], Time::NEVER);
     rig.run_with_demand(Duration::from_secs(10), "entry-2", "maize", 1);
     assert_eq!(rig.engine.loads_of("maize"), 0, "a late load of rye may arrive, and both do not fit");
@@ -107,7 +107,7 @@
 /// The host of the weight-store gate is unreachable. If loads waited for its grant,
 /// callers of an unloaded model would time out.
 #[test]
-fn a_cold_start_does_not_wait_for_a_gate_that_is_away() {
+fn a_cold_start_does_not_wait_for_an_unreachable_gate() {
     let mut rig = Rig::new(&[("maize", 300), ("oats", 300), ("rye", 300)]);
     rig.drop_gate_messages = true;
     rig.demand("entry-2", "maize", 1);
--- a/crates/skylarkshore-core/tests/loading/lifecycle.rs
+++ b/crates/skylarkshore-core/tests/loading/lifecycle.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_wait_that_cannot_be_met_is_told_at_once() {
+fn demand_that_cannot_be_met_in_time_is_refused_immediately() {
     let mut rig = Rig::new(&[("maize", 600)]);
     rig.run(Duration::from_secs(1));
     rig.demand_with("entry-2", "maize", 1, ServiceOrder::default(), Duration::from_secs(1));
