--- a/crates/skylarkshore-core/src/accounts.rs
+++ b/crates/skylarkshore-core/src/accounts.rs
@@ -56,7 +56,7 @@
 pub struct Account {
     /// The keys that callers present.
     pub keys: OrderedSet<KeyDigest>,
-    /// The priority of its requests, which takes precedence over the route's; 0 is the most urgent.
+    /// The priority of its requests, compared before that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
     /// The unit of its limit.
     pub unit: LimitUnit,
--- a/crates/skylarkshore-core/src/upstream.rs
+++ b/crates/skylarkshore-core/src/upstream.rs
@@ -193,7 +193,7 @@
     Done,
     /// The engine did nothing, because it has seen a higher fence.
     FenceTooLow {
-        /// The fence it has seen.
+        /// The fence it has seen; 0 if it doesn't state it.
         seen: Fence,
     },
     /// The engine did nothing, because it is executing another order or has accepted
@@ -232,8 +232,8 @@
     pub state: LoadState,
     /// The memory that it takes, without adapters.
     pub memory: Mebibytes,
-    /// The requests for this model that are running or waiting; [`EngineReport::running`]
-    /// leaves out waiting ones.
+    /// The requests for this model that are running or waiting, 0 if the engine doesn't report
+    /// them; [`EngineReport::running`] leaves out waiting ones.
     pub running: u32,
     /// Its adapters.
     pub adapters: Vec<ReportedAdapter>,
