--- a/crates/skylarkshore-core/src/quota.rs
+++ b/crates/skylarkshore-core/src/quota.rs
@@ -1,19 +1,20 @@
-//! The limits of client accounts, kept over all hosts together.
+//! Limits of client accounts, enforced across all hosts. Start with [`Quota`].
 //!
-//! Each account's credit is lent out by one host, its keeper: rendezvous hashing
-//! picks it among the members, and whoever gets no answer from it turns to the
-//! next one. Every host brings an equal part of all limits to the keepers that it
-//! signs on with, and a host that reaches no keeper spends its own part. So the
-//! parts add up to the limit however hosts are cut off from one another, and a
-//! process that starts knows nothing that could be spent twice.
+//! Each account has one coordinator, a host that grants the account's credit. Rendezvous
+//! hashing selects it among the members; if it doesn't answer, the next host in the ranking
+//! is asked. Every host registers an equal share of all limits with the coordinators of all
+//! accounts, and a coordinator grants the sum of the shares that are registered with it. A
+//! host that reaches no coordinator spends its own share, which isn't refilled until its
+//! registration has expired. The shares therefore add up to the limit however the network is
+//! partitioned. A process keeps no credit across a restart, so none can be spent twice.
 //!
-//! A keeper lends for each request; what wasn't run is given back.
+//! Credit is granted for each request, and given back if the request isn't run.
 
-mod books;
+mod account_buckets;
 mod bucket;
-mod keepers;
+mod coordinators;
+mod effective_limit;
 mod share;
-mod terms;
 
 use std::time::Duration;
 
@@ -29,80 +30,85 @@
 use crate::time::Time;
 use crate::units::Credits;
 
-use books::{Books, SIGNED_ON_FOR, terms_of};
-use bucket::Bucket;
-use keepers::Keepers;
+use account_buckets::{AccountBuckets, REGISTRATION_TTL, effective_limit};
+use bucket::TokenBucket;
+use coordinators::Coordinators;
 use share::Share;
 
-/// After how long without an answer another keeper is asked.
+/// How long a request waits for a coordinator's answer before another one is asked.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// How many keepers are asked before a request is judged by this host's own share.
-const KEEPERS_ASKED: u32 = 3;
-/// For how long at most a keeper's refusal is believed for other requests of the account.
-const DENIAL_BELIEVED: Duration = Duration::from_millis(100);
-/// How often it is looked who the members are.
-const MEMBERS_EVERY: Duration = Duration::from_secs(1);
+/// How many coordinators are asked before the request is charged to this host's own share.
+const MAX_COORDINATORS_ASKED: u32 = 3;
+/// The longest time for which a denial also applies to later requests of the account.
+const DENIAL_TTL: Duration = Duration::from_millis(100);
+/// How often the hosts are counted and the candidate coordinators are ranked again.
+const MEMBER_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether a request may use its account's credit.
+/// Whether a request has been granted the credit that it costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CreditDecision {
-    /// It may, from then on.
+    /// The request may run.
     Granted {
-        /// When the credit is there.
+        /// The earliest time at which it may run.
         not_before: Time,
     },
     /// The account is over its limit.
     OverLimit {
-        /// When there will be enough credit.
+        /// The time until enough credit is available.
         retry_after: Duration,
     },
-    /// It is larger than what the limit allows in any window.
+    /// The request costs more than the account may use in a whole
+    /// [window](crate::config::QuotaPolicy::window).
     TooLarge,
 }
 
 impl CreditDecision {
-    const NOW: Self = Self::Granted { not_before: Time::START };
+    /// Granted without a delay: the request may run immediately.
+    const RUN_NOW: Self = Self::Granted { not_before: Time::START };
 }
 
-/// What was found for a request that had to wait for it.
+/// The decision on a request that was pending until a coordinator answered or timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CreditOutcome {
     /// The request.
     pub request: RequestId,
-    /// The ruling.
+    /// The decision.
     pub decision: CreditDecision,
 }
 
-/// A question that a keeper hasn't answered.
+/// A credit request that no coordinator has answered yet.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingCredit {
     request: RequestId,
     charge: Charge,
-    lost_at: Time,
-    asked: u32,
+    times_out_at: Time,
+    coordinators_asked: u32,
 }
 
-/// A keeper's refusal.
+/// A coordinator's denial, also applied to later requests of the account that cost at least
+/// as much.
 #[derive(Clone, Copy, Debug)]
 struct Denial {
-    believed_until: Time,
-    credit_at: Time,
+    expires_at: Time,
+    credit_available_at: Time,
     cost: Credits,
 }
 
-/// This process's questions to keepers, its own shares, and the books that it keeps itself.
+/// This process's requests to coordinators, its own shares, and the buckets that it coordinates.
 #[derive(Debug)]
 pub struct Quota {
-    keepers: Keepers,
-    books: Books,
-    asks: OrderedMap<u64, Ask>,
-    /// What this host may spend of each account's limit while it reaches no keeper.
-    own: HashMap<AccountName, Bucket>,
+    coordinators: Coordinators,
+    account_buckets: AccountBuckets,
+    pending: OrderedMap<u64, PendingCredit>,
+    /// This host's share of each account's limit, spent while it reaches no coordinator.
+    local_buckets: HashMap<AccountName, TokenBucket>,
     denials: HashMap<AccountName, Denial>,
-    hosts: MemberCount,
-    members_due: Time,
-    /// When the own shares were last somebody else's to lend.
-    brought: Time,
+    /// How many hosts share the limits: the largest number that was counted lately.
+    host_count: MemberCount,
+    member_update_due: Time,
+    /// When this host last registered its shares with a coordinator; every credit request
+    /// registers them, too.
+    last_registered_at: Time,
 }
 
 impl Default for Quota {
@@ -112,74 +118,81 @@
 }
 
 impl Quota {
-    /// Makes the state of a process that has lent nothing.
+    /// Creates the state of a process that has granted nothing yet.
     pub fn new() -> Self {
         Self {
-            keepers: Keepers::default(),
-            books: Books::default(),
-            asks: OrderedMap::new(),
-            own: HashMap::default(),
+            coordinators: Coordinators::default(),
+            account_buckets: AccountBuckets::default(),
+            pending: OrderedMap::new(),
+            local_buckets: HashMap::default(),
             denials: HashMap::default(),
-            hosts: MemberCount::ALONE,
-            members_due: Time::START,
-            brought: Time::START,
+            host_count: MemberCount::ALONE,
+            member_update_due: Time::START,
+            last_registered_at: Time::START,
         }
     }
 
-    /// Asks for a request's credit; none while the answer is awaited.
+    /// Requests credit for a request; returns none if a coordinator has to be asked first.
     pub fn request_credit(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
         charge: &Charge,
     ) -> Option<CreditDecision> {
-        if terms_of(cx, &charge.account).is_none() {
-            return Some(CreditDecision::NOW);
+        if effective_limit(cx, &charge.account).is_none() {
+            return Some(CreditDecision::RUN_NOW);
         }
         if let Some(denial) = self.denials.get(&charge.account)
-            && !denial.believed_until.is_due(cx.now)
+            && !denial.expires_at.is_due(cx.now)
             && charge.cost >= denial.cost
         {
-            return Some(CreditDecision::OverLimit { retry_after: denial.credit_at.remaining(cx.now) });
+            return Some(CreditDecision::OverLimit {
+                retry_after: denial.credit_available_at.remaining(cx.now),
+            });
         }
-        self.ask_keeper(cx, request, charge, 1)
+        self.ask_coordinator(cx, request, charge, 1)
     }
 
-    /// Stops waiting for a request's credit.
+    /// Drops a pending credit request.
     pub fn cancel(&mut self, request: RequestId) {
-        self.asks.retain(|_, ask| ask.request != request);
+        self.pending.retain(|_, pending| pending.request != request);
     }
 
-    /// Gives back the credit of a request that wasn't run.
+    /// Gives the credit of a request that wasn't run back to its coordinator.
     pub fn return_credit(&mut self, cx: &mut Cx<'_>, charge: &Charge) {
-        if terms_of(cx, &charge.account).is_none() {
+        if effective_limit(cx, &charge.account).is_none() {
             return;
         }
-        if let Some(keeper) = self.keepers.keeper(&charge.account) {
-            tell(cx, &keeper, returned(charge.account.clone(), charge.cost));
+        if let Some(coordinator) = self.coordinators.coordinator(&charge.account) {
+            send(cx, &coordinator, return_message(charge.account.clone(), charge.cost));
         }
     }
 
-    /// Does what is due, and rules on requests whose keepers were silent.
+    /// Runs periodic work, and decides on requests that no coordinator answered in time.
     pub fn on_tick(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
         if cx.document.catalogue.accounts.iter().all(|(_, account)| account.limit.is_none()) {
             return Vec::new();
         }
-        if self.members_due.is_due(cx.now) {
-            self.members_due = cx.now.after(MEMBERS_EVERY);
-            self.hosts.record(cx.now, hosts_known(cx));
-            self.keepers.note_members(cx);
-            self.books.forget_old(cx.now);
-            self.denials.retain(|_, denial| !denial.believed_until.is_due(cx.now));
+        if self.member_update_due.is_due(cx.now) {
+            self.member_update_due = cx.now.after(MEMBER_UPDATE_INTERVAL);
+            self.host_count.record(cx.now, count_hosts(cx));
+            self.coordinators.update_members(cx);
+            self.account_buckets.remove_expired(cx.now);
+            self.denials.retain(|_, denial| !denial.expires_at.is_due(cx.now));
         }
-        self.books.on_tick(cx, self.hosts.get());
-        if self.keepers.on_tick(cx) {
-            self.brought = cx.now;
+        self.account_buckets.on_tick(cx, self.host_count.get());
+        if self.coordinators.renew_registrations(cx) {
+            self.last_registered_at = cx.now;
         }
-        self.ask_others(cx)
+        self.retry_timed_out(cx)
     }
 
-    /// Takes a peer's message, and returns what was found for the request that it concerns.
+    /// Handles a peer's message, and returns the decision if it settles a pending request.
+    ///
+    /// `SignOn` registers the sender's shares, or is a mere probe if it comes without them;
+    /// `SignedOn` answers it, and `SignOff` removes the registration. `Wanted` requests credit
+    /// under the number `ask`; `Lent` grants it and `Denied` denies it. Granted credit isn't
+    /// repaid: `Returned` gives it back only if the request wasn't run.
     pub fn on_peer(
         &mut self,
         cx: &mut Cx<'_>,
@@ -189,41 +202,42 @@
         match message {
             CreditMessage::SignOn { with_share } => {
                 if *with_share {
-                    self.books.sign_on(cx.now, from);
+                    self.account_buckets.register(cx.now, from);
                 }
-                tell(cx, from, CreditMessage::SignedOn);
+                send(cx, from, CreditMessage::SignedOn);
             }
-            CreditMessage::SignOff => self.books.sign_off(from),
-            CreditMessage::SignedOn => self.keepers.note_heard(from),
-            CreditMessage::Wanted { ask, account, cost } => self.lend(cx, from, *ask, account, *cost),
+            CreditMessage::SignOff => self.account_buckets.unregister(from),
+            CreditMessage::SignedOn => self.coordinators.record_answer(from),
+            CreditMessage::Wanted { ask, account, cost } => self.reply(cx, from, *ask, account, *cost),
             CreditMessage::Lent { ask, account, cost, wait } => {
-                self.keepers.note_heard(from);
-                let Some(ask) = self.asks.remove(ask) else {
-                    // Nobody waits for it any more; others could use it.
-                    tell(cx, from, returned(account.clone(), *cost));
+                self.coordinators.record_answer(from);
+                let Some(pending) = self.pending.remove(ask) else {
+                    // The request is no longer pending, so its credit is given back.
+                    send(cx, from, return_message(account.clone(), *cost));
                     return None;
                 };
                 let decision = CreditDecision::Granted { not_before: cx.now.after(*wait) };
-                return Some(CreditOutcome { request: ask.request, decision });
+                return Some(CreditOutcome { request: pending.request, decision });
             }
             CreditMessage::Denied { ask, retry_after } => {
-                self.keepers.note_heard(from);
-                let ask = self.asks.remove(ask)?;
+                self.coordinators.record_answer(from);
+                let pending = self.pending.remove(ask)?;
                 let decision = match *retry_after {
-                    Some(retry_after) => self.note_denial(cx.now, &ask.charge, retry_after),
+                    Some(retry_after) => self.record_denial(cx.now, &pending.charge, retry_after),
                     None => CreditDecision::TooLarge,
                 };
-                return Some(CreditOutcome { request: ask.request, decision });
+                return Some(CreditOutcome { request: pending.request, decision });
             }
-            CreditMessage::Returned { account, cost } => self.books.give_back(account, *cost),
+            CreditMessage::Returned { account, cost } => self.account_buckets.put_back(account, *cost),
         }
         None
     }
 
-    /// Answers a host that needs credit of an account whose book is kept here.
-    fn lend(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
-        self.books.sign_on(cx.now, to);
-        let answer = match self.books.lend(cx, self.hosts.get(), account, cost) {
+    /// Replies to a host's credit request, numbered `ask`, for an account that is coordinated
+    /// here. The request also registers the host's shares.
+    fn reply(&mut self, cx: &mut Cx<'_>, to: &HostId, ask: u64, account: &AccountName, cost: Credits) {
+        self.account_buckets.register(cx.now, to);
+        let answer = match self.account_buckets.grant(cx, self.host_count.get(), account, cost) {
             CreditDecision::Granted { not_before } => {
                 let wait = not_before.remaining(cx.now);
                 CreditMessage::Lent { ask, account: account.clone(), cost, wait }
@@ -233,108 +247,117 @@
             }
             CreditDecision::TooLarge => CreditMessage::Denied { ask, retry_after: None },
         };
-        tell(cx, to, answer);
+        send(cx, to, answer);
     }
 
-    /// Tells the keepers that this host's share goes with it.
+    /// Tells the coordinators to remove this host's share.
     pub fn on_shutdown(&self, cx: &mut Cx<'_>) {
-        for keeper in self.keepers.in_use() {
-            tell(cx, &keeper, CreditMessage::SignOff);
+        for coordinator in self.coordinators.current() {
+            send(cx, &coordinator, CreditMessage::SignOff);
         }
     }
 
-    /// Tells which books are kept here.
+    /// Returns the state dump entries of the accounts that are coordinated here.
     pub fn dump_entries(&self) -> impl Iterator<Item = DumpEntry> {
-        self.books.dump_entries()
+        self.account_buckets.dump_entries()
     }
 
-    fn note_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> CreditDecision {
+    fn record_denial(&mut self, now: Time, charge: &Charge, retry_after: Duration) -> CreditDecision {
         let denial = Denial {
-            believed_until: now.after(retry_after.min(DENIAL_BELIEVED)),
-            credit_at: now.after(retry_after),
+            expires_at: now.after(retry_after.min(DENIAL_TTL)),
+            credit_available_at: now.after(retry_after),
             cost: charge.cost,
         };
         self.denials.insert(charge.account.clone(), denial);
         CreditDecision::OverLimit { retry_after }
     }
 
-    fn ask_keeper(
+    fn ask_coordinator(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
         charge: &Charge,
-        asked: u32,
+        coordinators_asked: u32,
     ) -> Option<CreditDecision> {
-        if self.members_due == Time::START {
-            self.keepers.note_members(cx);
+        if self.member_update_due == Time::START {
+            self.coordinators.update_members(cx);
         }
-        let Some(keeper) = self.keepers.keeper(&charge.account) else {
-            return Some(self.spend_own(cx, charge));
+        let Some(coordinator) = self.coordinators.coordinator(&charge.account) else {
+            return Some(self.spend_local_share(cx, charge));
         };
-        // When all hosts start at once, keepers are slow to answer.
-        if !self.keepers.has_answered(&keeper) && self.spend_own(cx, charge) == CreditDecision::NOW {
-            return Some(CreditDecision::NOW);
+        // Coordinators are slow to answer while all hosts start at once, so this host's own
+        // share is spent first until this coordinator has answered for the first time.
+        if !self.coordinators.has_answered(&coordinator)
+            && self.spend_local_share(cx, charge) == CreditDecision::RUN_NOW
+        {
+            return Some(CreditDecision::RUN_NOW);
         }
-        let number = cx.rng.random();
-        let lost_at = cx.now.after(ANSWER_TIMEOUT);
+        let ask_id = cx.rng.random();
+        let times_out_at = cx.now.after(ANSWER_TIMEOUT);
         let (account, cost) = (charge.account.clone(), charge.cost);
-        self.keepers.note_told(cx.now, &keeper);
-        self.brought = cx.now;
-        let ask = Ask { request, charge: charge.clone(), lost_at, asked };
-        self.asks.insert(number, ask);
-        tell(cx, &keeper, CreditMessage::Wanted { ask: number, account, cost });
+        self.coordinators.record_sent(cx.now, &coordinator);
+        self.last_registered_at = cx.now;
+        let pending = PendingCredit { request, charge: charge.clone(), times_out_at, coordinators_asked };
+        self.pending.insert(ask_id, pending);
+        send(cx, &coordinator, CreditMessage::Wanted { ask: ask_id, account, cost });
         None
     }
 
-    /// Turns to other keepers where one gave no answer in time.
-    fn ask_others(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
-        let lost: Vec<(u64, Ask)> = self.asks.extract_if(.., |_, ask| ask.lost_at.is_due(cx.now)).collect();
-        let mut verdicts = Vec::new();
-        for (_, ask) in lost {
-            let decision = if ask.asked < KEEPERS_ASKED {
-                self.ask_keeper(cx, ask.request, &ask.charge, ask.asked + 1)
+    /// Asks the next coordinator for requests that got no answer in time.
+    fn retry_timed_out(&mut self, cx: &mut Cx<'_>) -> Vec<CreditOutcome> {
+        let timed_out: Vec<(u64, PendingCredit)> =
+            self.pending.extract_if(.., |_, pending| pending.times_out_at.is_due(cx.now)).collect();
+        let mut outcomes = Vec::new();
+        for (_, pending) in timed_out {
+            let decision = if pending.coordinators_asked < MAX_COORDINATORS_ASKED {
+                self.ask_coordinator(cx, pending.request, &pending.charge, pending.coordinators_asked + 1)
             } else {
-                Some(self.spend_own(cx, &ask.charge))
+                Some(self.spend_local_share(cx, &pending.charge))
             };
-            verdicts.extend(decision.map(|decision| CreditOutcome { request: ask.request, decision }));
+            outcomes.extend(decision.map(|decision| CreditOutcome { request: pending.request, decision }));
         }
-        verdicts
+        outcomes
     }
 
-    /// Rules on a request by this host's own share.
-    fn spend_own(&mut self, cx: &Cx<'_>, charge: &Charge) -> CreditDecision {
-        let Some(terms) = terms_of(cx, &charge.account) else { return CreditDecision::NOW };
-        let share = Share { hosts: 1, of: self.hosts.get() };
-        let (rate, size) = (share.rate(terms.limit.rate), share.credits(terms.size()));
-        let debt = share.credits(terms.debt());
-        let empty = || Bucket::new(Credits(0), cx.now);
-        let own = self.own.entry(charge.account.clone()).or_insert_with(empty);
-        // Until then a keeper lends this host's share to others.
-        own.skip_to(self.brought.after(SIGNED_ON_FOR));
-        own.fill(cx.now, rate, size.max(charge.cost));
-        if own.covers(charge.cost, debt) {
-            own.take(charge.cost);
-            return CreditDecision::NOW;
+    /// Decides on a request by this host's own share of the limit, whose bucket may go into
+    /// debt by the host's share of the tolerated overage.
+    fn spend_local_share(&mut self, cx: &Cx<'_>, charge: &Charge) -> CreditDecision {
+        let Some(limit) = effective_limit(cx, &charge.account) else { return CreditDecision::RUN_NOW };
+        let share = Share { hosts: 1, total_hosts: self.host_count.get() };
+        let (rate, capacity) = (share.rate(limit.configured.rate), share.credits(limit.capacity()));
+        let max_debt = share.credits(limit.max_debt());
+        let empty = || TokenBucket::new(Credits(0), cx.now);
+        let bucket = self.local_buckets.entry(charge.account.clone()).or_insert_with(empty);
+        // A coordinator grants this host's share until the registration expires, so the local
+        // bucket gains nothing until then.
+        bucket.skip_refill_until(self.last_registered_at.after(REGISTRATION_TTL));
+        // With less capacity than its cost, a large request might never be granted.
+        bucket.refill(cx.now, rate, capacity.max(charge.cost));
+        if bucket.covers(charge.cost, max_debt) {
+            bucket.take(charge.cost);
+            return CreditDecision::RUN_NOW;
         }
-        let wanted = Credits(charge.cost.0.saturating_sub(debt.0));
-        let retry_after = own.time_until(wanted, rate).unwrap_or(SIGNED_ON_FOR);
+        let needed = Credits(charge.cost.0.saturating_sub(max_debt.0));
+        // `time_until` returns none if the rate is 0.
+        let retry_after = bucket.time_until(needed, rate).unwrap_or(REGISTRATION_TTL);
         CreditDecision::OverLimit { retry_after }
     }
 }
 
-fn tell(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
+fn send(cx: &mut Cx<'_>, to: &HostId, message: CreditMessage) {
     cx.send(to, PeerMessage::Credit(message));
 }
 
-fn returned(account: AccountName, cost: Credits) -> CreditMessage {
+fn return_message(account: AccountName, cost: Credits) -> CreditMessage {
     CreditMessage::Returned { account, cost }
 }
 
-/// Returns how many hosts there are by what the key-value service shows.
+/// Returns the number of hosts according to the key-value service.
 ///
-/// Where all processes were killed, their members' keys come back one by one;
-/// the owners of engines are still those of before.
-fn hosts_known(cx: &Cx<'_>) -> usize {
+/// After a crash of all processes the member keys reappear one by one, while the owner
+/// records of the engines still name the earlier hosts. The larger count is returned, since
+/// one that is too small would make every host's share too large.
+fn count_hosts(cx: &Cx<'_>) -> usize {
     let owners: HashSet<&HostId> = cx.cache.owners().map(|(_, owner)| &owner.host).collect();
     cx.cache.members().count().max(owners.len())
 }
