--- a/crates/skylarkshore-core/src/peer/credit.rs
+++ b/crates/skylarkshore-core/src/peer/credit.rs
@@ -8,16 +8,17 @@
 /// A message between a host and a coordinator, the host that grants the credit of a client account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CreditMessage {
-    /// Registers the sender with the receiver as its coordinator, or probes the receiver.
+    /// Registers the sender's share of all limits with the receiver, a coordinator, or renews the
+    /// registration; without the share, the message only probes whether the receiver answers.
     SignOn {
-        /// Whether the sender transfers its share of all limits.
+        /// Whether the sender's share is registered.
         with_share: bool,
     },
-    /// Acknowledges the registration; the sender is an active coordinator.
+    /// Answers a registration or a probe; the sender is an active coordinator.
     SignedOn,
-    /// Ends the registration and withdraws the sender's share of all limits.
+    /// Removes the sender's registration, and its share of all limits with it.
     SignOff,
-    /// Requests credit for a request at the sender.
+    /// Requests credit for a request at the sender, and registers the sender's share, too.
     Wanted {
         /// Identifies the credit request at the sender.
         ask: u64,
@@ -37,14 +38,15 @@
         /// Delay before the credit may be used.
         wait: Duration,
     },
-    /// The client account is over its limit.
+    /// Denies the credit: the client account is over its limit, or the cost exceeds what the
+    /// account may use in a whole window.
     Denied {
         /// Identifies the credit request at the receiver.
         ask: u64,
         /// Delay until there is enough credit; `None` if there never will be.
         retry_after: Option<Duration>,
     },
-    /// Returns unused credit.
+    /// Returns unused credit to the account's bucket at the receiver.
     Returned {
         /// The client account.
         account: AccountName,
