--- a/crates/skylarkshore-standins/src/world.rs
+++ b/crates/skylarkshore-standins/src/world.rs
@@ -1,18 +1,18 @@
-//! Several nodes in given time, with the platform and the upstreams in memory.
+//! Deterministic simulation of several nodes, with the platform and the upstreams in memory.
 //!
-//! It carries out the core's effects and feeds the results back as events. A
-//! [`Faults`] value is asked before each effect that leaves a process and can
-//! lose, delay or double it, or stop the process right there. After every event
-//! the [`Checks`] compare what truly happened with what must always hold.
+//! [`World`] advances a simulated clock, executes the core's effects and returns
+//! their results as events. Before each effect that leaves a process, a [`Faults`]
+//! value can lose, delay or duplicate it, or stop the process. After every event
+//! [`Checks`] compares the simulated state with the invariants.
 
-mod agenda;
 mod callers;
 mod checks;
 mod engine;
+mod execute;
 mod fault;
 mod host;
 mod meter;
-mod perform;
+mod schedule;
 mod service;
 mod store;
 mod violation;
@@ -30,9 +30,9 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::upstream::{Upstream, UpstreamStatus};
 
-use agenda::{Agenda, Item};
+use execute::{AttemptKey, CallKey, OpenAttempt};
 use host::Host;
-use perform::{AttemptKey, CallKey, OpenAttempt};
+use schedule::{Schedule, Task};
 use service::ServiceReplica;
 
 pub use callers::{Ask, Callers, Final, RequestKey, RequestLog};
@@ -43,47 +43,47 @@
 pub use store::{Store, StoreMode};
 pub use violation::Violation;
 
-/// Where a host of the world stands.
+/// Name and data centre of a simulated host.
 #[derive(Clone, Debug)]
 pub struct HostSetup {
-    /// Its name.
+    /// Host name.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
 }
 
-/// What a world consists of.
+/// Configuration of a [`World`].
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The entry hosts.
+    /// Entry hosts.
     pub hosts: Vec<HostSetup>,
-    /// The upstreams on the host list.
+    /// Upstreams on the initial host list.
     pub upstreams: Vec<Upstream>,
-    /// The operators' document in the key-value service.
+    /// Initial operators' document in the key-value service.
     pub document: Document,
-    /// Where all randomness starts.
+    /// Seed of all randomness.
     pub seed: u64,
-    /// How often each process gets a tick.
+    /// Interval between the ticks of each process.
     pub tick: Duration,
-    /// The times that the processes keep.
+    /// Timings of every node.
     pub timings: Timings,
-    /// The sizes that the processes keep to.
+    /// Limits of every node.
     pub limits: Limits,
 }
 
-/// The time that anything takes between two processes.
+/// One-way latency between any two processes.
 pub(crate) const LATENCY: Duration = Duration::from_millis(1);
-const HOST_LIST_EVERY: Duration = Duration::from_secs(2);
-const LEASE_CHECK_EVERY: Duration = Duration::from_millis(100);
-const RESTART_AFTER: Duration = Duration::from_secs(3);
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(2);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// Several nodes with what stands round them.
+/// Simulated nodes together with the platform, the upstreams and the callers.
 #[derive(Debug)]
 pub struct World {
     now: Time,
     setup: Setup,
     pub(crate) hosts: Vec<Host>,
-    agenda: Agenda,
+    schedule: Schedule,
     faults: Box<dyn Faults>,
     serial: u64,
     list: Vec<Upstream>,
@@ -91,40 +91,40 @@
     attempts: OrderedMap<AttemptKey, OpenAttempt>,
     open_calls: OrderedSet<CallKey>,
     runs: u64,
-    /// Whether effects are counted and measured, which takes time.
+    /// Whether effects are counted, which slows the simulation.
     pub metered: bool,
     /// The key-value service.
     pub store: Store,
-    /// The model engines.
+    /// Model engines.
     pub engines: OrderedMap<UpstreamId, Engine>,
-    /// The callers' requests.
+    /// Requests sent by callers.
     pub callers: Callers,
-    /// What must always hold, and whether it did.
+    /// Invariant checks and the violations they found.
     pub checks: Checks,
-    /// What the processes noted for operators.
+    /// Events logged by the processes.
     pub notes: Vec<HostNote>,
 }
 
-/// A note with the host and the time.
+/// A log event with its host and time.
 #[derive(Clone, Debug)]
 pub struct HostNote {
-    /// When.
+    /// Time of the event.
     pub at: Time,
-    /// Where.
+    /// Host that logged it.
     pub host: HostId,
-    /// What.
+    /// The log event.
     pub note: LogEvent,
 }
 
 impl World {
-    /// Makes a world in which every host starts at once.
+    /// Creates a world and starts every host.
     pub fn new(setup: Setup, faults: Box<dyn Faults>) -> Self {
         let engines = setup.upstreams.iter().filter_map(Engine::new).collect::<Vec<_>>();
         let services = setup.upstreams.iter().filter_map(ServiceReplica::new).collect::<Vec<_>>();
         let mut world = Self {
             now: Time::from_millis(1000),
             hosts: setup.hosts.iter().enumerate().map(|(i, h)| Host::new(i, h, &setup)).collect(),
-            agenda: Agenda::default(),
+            schedule: Schedule::default(),
             faults,
             serial: 0,
             list: setup.upstreams.clone(),
@@ -141,109 +141,109 @@
             setup,
         };
         world.apply_document(world.setup.document.clone());
-        world.agenda.add(world.now, Item::Leases);
+        world.schedule.add(world.now, Task::ExpireLeases);
         for h in 0..world.hosts.len() {
             world.start_host(h);
         }
         world
     }
 
-    /// Returns the time.
+    /// Returns the simulated time.
     pub const fn now(&self) -> Time {
         self.now
     }
 
-    /// Returns how many effects have left the processes, struck or not.
+    /// Returns how many effects have left the processes, with or without a fault.
     pub const fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Lets the world go on until `until`.
+    /// Runs the simulation until `until`.
     pub fn run_until(&mut self, until: Time) {
-        while let Some(item) = self.agenda.next(until, &mut self.now) {
-            let look = item.touches_engines();
-            self.take(item);
-            if look {
-                self.checks.engines(self.now, &self.engines);
+        while let Some(task) = self.schedule.next(until, &mut self.now) {
+            let engines_changed = task.touches_engines();
+            self.run_task(task);
+            if engines_changed {
+                self.checks.check_engines(self.now, &self.engines);
             }
         }
         self.now = until;
     }
 
-    /// Lets the world go on for `d`.
+    /// Runs the simulation for `d`.
     pub fn run_for(&mut self, d: Duration) {
         self.run_until(self.now.after(d));
     }
 
-    /// Sends a caller's request to a host at once.
+    /// Delivers a caller's request to a host immediately.
     pub fn ask(&mut self, h: usize, ask: &Ask) -> RequestKey {
         let host = &mut self.hosts[h];
         let (key, arrival) = self.callers.arrive(host.next_request(), ask, self.now);
         if host.is_up() {
             self.deliver(h, Event::Arrived { request: key.request, arrival });
         } else {
-            self.callers.lose_host(&key, self.now);
+            self.callers.abandon_unreachable(&key, self.now);
         }
         key
     }
 
-    /// Lets a caller go away.
+    /// Disconnects the caller of a request.
     pub fn leave(&mut self, h: usize, key: &RequestKey) {
-        self.callers.gone(key, self.now);
+        self.callers.mark_abandoned(key, self.now);
         self.deliver(h, Event::CallerGone { request: key.request });
     }
 
-    /// Ends a host's process at once; it starts again after some seconds with a new life.
+    /// Kills a host's process and schedules its restart with a new incarnation.
     pub fn kill(&mut self, h: usize) {
         self.kill_for_good(h);
-        self.agenda.add(self.now.after(RESTART_AFTER), Item::Restart { host: h });
+        self.schedule.add(self.now.after(RESTART_DELAY), Task::Restart { host: h });
     }
 
-    /// Ends a host's process at once; it stays down.
+    /// Kills a host's process without a restart.
     pub fn kill_for_good(&mut self, h: usize) {
-        let Some(sender) = self.hosts[h].die() else { return };
+        let Some(sender) = self.hosts[h].end_process() else { return };
         self.store.unwatch(h);
-        self.callers.lose_life(sender, self.now);
+        self.callers.abandon_from(sender, self.now);
         for engine in self.engines.values_mut() {
-            engine.forget_sender(sender, self.now);
+            engine.cancel_from(sender, self.now);
         }
     }
 
-    /// Stops a process for a while, as a paused host does.
+    /// Pauses a process for `d`; events that arrive meanwhile are queued.
     pub fn freeze(&mut self, h: usize, d: Duration) {
         if self.hosts[h].freeze() {
             self.checks.paused(h, self.now, self.now.after(d));
-            self.agenda.add(self.now.after(d), Item::Wake { host: h });
+            self.schedule.add(self.now.after(d), Task::Wake { host: h });
         }
     }
 
-    /// Replaces a process's state by that of one that has just started, as if it had lost what it knew.
+    /// Replaces a process's state by that of a freshly started node.
     ///
-    /// Its life stays the same, so that the checks have to notice.
+    /// The incarnation stays the same, so the checks must report the rules going back.
     pub fn forget_rules(&mut self, h: usize) {
-        let effects = self.hosts[h].forget(self.now);
-        self.checks.rules(self.now, &self.hosts[h]);
-        self.carry_out(h, effects);
+        let effects = self.hosts[h].reset_state(self.now);
+        self.checks.check_rules(self.now, &self.hosts[h]);
+        self.execute_all(h, effects);
     }
 
-    /// Asks a process to end in an orderly way.
+    /// Requests a graceful shutdown of a process.
     pub fn shut_down(&mut self, h: usize) {
         self.deliver(h, Event::Shutdown);
     }
 
-    /// Cuts a host off from the key-value service until the time.
+    /// Disconnects a host from the key-value service until `until`.
     pub fn cut_store(&mut self, h: usize, until: Time) {
         self.hosts[h].no_store_until = until;
         self.store.unwatch(h);
         self.deliver(h, Event::WatchBroken);
     }
 
-    /// Cuts a host off from its peers until the time.
+    /// Disconnects a host from its peers until `until`.
     pub fn cut_peers(&mut self, h: usize, until: Time) {
         self.hosts[h].no_peers_until = until;
     }
 
-    /// Puts the key-value service into a mode; a watch doesn't outlive an outage.
+    /// Sets the mode of the key-value service; an outage breaks every watch.
     pub fn set_store_mode(&mut self, mode: StoreMode) {
         self.store.mode = mode;
         if mode == StoreMode::Up {
@@ -261,8 +261,8 @@
         self.checks.document_accepted(&document, self.now);
         let record = Some(Record::Document(document.into()));
         let answer = self.store.write(&key, expect, record, None, None);
-        debug_assert!(matches!(answer, StoreAnswer::Written(_)), "nobody else writes the document");
-        self.tell_watchers();
+        debug_assert!(matches!(answer, StoreAnswer::Written(_)), "the document has no other writer");
+        self.notify_watchers();
     }
 
     /// Marks an upstream as leaving on the host list.
@@ -273,30 +273,30 @@
         self.checks.marked_leaving(id, self.now);
     }
 
-    /// Takes an upstream off the host list and its machine away.
+    /// Removes an upstream from the host list and crashes it for good.
     pub fn reclaim(&mut self, id: &UpstreamId) {
         self.list.retain(|u| u.id != *id);
         self.crash_engine(id, None);
     }
 
-    /// Ends an engine; it comes back empty after `down`, or never.
+    /// Crashes an engine; it restarts empty after `down`, or never if `None`.
     pub fn crash_engine(&mut self, id: &UpstreamId, down: Option<Duration>) {
         let Some(engine) = self.engines.get_mut(id) else { return };
         let lost = engine.crash(self.now);
         for run in lost {
-            self.end_run(&run, perform::lost(&run, true));
+            self.end_run(&run, execute::lost_outcome(&run, true));
         }
         if let Some(down) = down {
-            self.agenda.add(self.now.after(down), Item::EngineUp { engine: id.clone() });
+            self.schedule.add(self.now.after(down), Task::EngineUp { engine: id.clone() });
         }
     }
 
-    /// Returns a host's node, if its process runs.
+    /// Returns a host's node if its process runs.
     pub fn node(&self, h: usize) -> Option<&skylarkshore_core::Node> {
         self.hosts[h].node.as_ref()
     }
 
-    /// Tells whether every running process has these rules or later ones in force.
+    /// Reports whether every running process applies the rules of `revision` or later.
     pub fn rules_in_force(&self, revision: RulesRevision) -> bool {
         self.hosts
             .iter()
@@ -304,30 +304,30 @@
             .all(|node| node.document().revision >= revision)
     }
 
-    /// Returns what a host's processes have spent so far.
+    /// Returns the resource usage of a host since the last reset.
     pub fn meter(&self, h: usize) -> &Meter {
         &self.hosts[h].meter
     }
 
-    /// Counts from zero again, for instance when everything has started.
+    /// Resets all meters, for instance after startup.
     pub fn reset_meters(&mut self) {
         for host in &mut self.hosts {
             host.meter = Meter::default();
         }
     }
 
-    /// Returns how long engines have held a model and run nothing, all engines together.
+    /// Returns the total time that engines held a model without running a request.
     pub fn idle(&mut self) -> Duration {
         let now = self.now;
-        self.engines.values_mut().map(|engine| engine.idle_until(now)).sum()
+        self.engines.values_mut().map(|engine| engine.idle_time(now)).sum()
     }
 
-    /// Tells whether a host's process has ended in an orderly way.
+    /// Reports whether a host's process has shut down gracefully.
     pub fn has_exited(&self, h: usize) -> bool {
         self.hosts[h].exited
     }
 
-    /// Tells what a host believes, for a test that failed.
+    /// Returns the state dump of a host, to diagnose a failed test.
     pub fn dump(&mut self, h: usize) -> Vec<skylarkshore_core::dump::DumpEntry> {
         let now = self.now;
         self.hosts[h].node.as_mut().map(|node| node.dump(now)).unwrap_or_default()
@@ -337,51 +337,51 @@
         let effects = self.hosts[h].start(self.now);
         let life = self.hosts[h].life;
         let phase = Duration::from_millis(7 * (h as u64 + 1));
-        self.agenda.add(self.now.after(phase), Item::Tick { host: h, life });
-        self.agenda.add(self.now.after(phase), Item::HostList { host: h, life });
-        self.carry_out(h, effects);
+        self.schedule.add(self.now.after(phase), Task::Tick { host: h, life });
+        self.schedule.add(self.now.after(phase), Task::HostList { host: h, life });
+        self.execute_all(h, effects);
     }
 
-    fn take(&mut self, item: Item) {
-        match item {
-            Item::Tick { host, life } => self.tick(host, life),
-            Item::HostList { host, life } => self.read_host_list(host, life),
-            Item::Event { to, event } => {
+    fn run_task(&mut self, task: Task) {
+        match task {
+            Task::Tick { host, life } => self.tick(host, life),
+            Task::HostList { host, life } => self.read_host_list(host, life),
+            Task::Event { to, event } => {
                 if self.hosts[to.host].life == to.life {
                     self.deliver(to.host, event);
                 }
             }
-            Item::Wake { host } => self.wake(host),
-            Item::Restart { host } => {
+            Task::Wake { host } => self.resume(host),
+            Task::Restart { host } => {
                 if self.hosts[host].node.is_none() {
                     self.start_host(host);
                 }
             }
-            Item::Leases => {
+            Task::ExpireLeases => {
                 self.store.expire_leases(self.now);
-                self.tell_watchers();
-                self.agenda.add(self.now.after(LEASE_CHECK_EVERY), Item::Leases);
+                self.notify_watchers();
+                self.schedule.add(self.now.after(LEASE_CHECK_INTERVAL), Task::ExpireLeases);
             }
-            Item::StoreUp => self.set_store_mode(StoreMode::Up),
-            Item::StoreTimeout { from, call } => self.store_answered(from, call, Err(StoreFailure::Unknown)),
-            Item::Crash { engine } => self.crash_for_a_while(&engine),
-            Item::EngineUp { engine } => {
+            Task::StoreUp => self.set_store_mode(StoreMode::Up),
+            Task::StoreTimeout { from, call } => self.store_answered(from, call, Err(StoreFailure::Unknown)),
+            Task::Crash { engine } => self.crash_for_a_while(&engine),
+            Task::EngineUp { engine } => {
                 if let Some(engine) = self.engines.get_mut(&engine) {
                     engine.restart(self.now);
                 }
             }
-            Item::Store(call) => self.take_store_call(call),
-            Item::Order(order) => self.take_order(&order),
-            Item::Ask { from, engine, asked } => self.take_ask(from, &engine, asked),
-            Item::Start(start) => self.take_start(start),
-            Item::AttemptTimeout { from, attempt } => self.time_out(from, attempt),
-            Item::LoadDone { engine, incarnation, model } => {
+            Task::Store(call) => self.handle_store_call(call),
+            Task::Order(order) => self.take_order(&order),
+            Task::ReportRequest { from, engine, asked } => self.handle_report_request(from, &engine, asked),
+            Task::Start(start) => self.start_run(start),
+            Task::AttemptTimeout { from, attempt } => self.time_out(from, attempt),
+            Task::LoadDone { engine, incarnation, model } => {
                 if let Some(engine) = self.engines.get_mut(&engine) {
                     engine.load_done(incarnation, &model, self.now);
                 }
             }
-            Item::RunStarted { upstream, run } => self.run_started(&upstream, run),
-            Item::RunDone { upstream, run } => self.run_done(&upstream, run),
+            Task::RunStarted { upstream, run } => self.run_started(&upstream, run),
+            Task::RunDone { upstream, run } => self.run_done(&upstream, run),
         }
     }
 
@@ -393,7 +393,7 @@
             let at = MinuteOfDay::from_unix_secs(self.now.as_micros() / 1_000_000);
             self.deliver(h, Event::Tick { at });
         }
-        self.agenda.add(self.now.after(self.setup.tick), Item::Tick { host: h, life });
+        self.schedule.add(self.now.after(self.setup.tick), Task::Tick { host: h, life });
     }
 
     fn read_host_list(&mut self, h: usize, life: u64) {
@@ -401,34 +401,34 @@
             return;
         }
         self.deliver(h, Event::HostList(self.list.clone()));
-        self.agenda.add(self.now.after(HOST_LIST_EVERY), Item::HostList { host: h, life });
+        self.schedule.add(self.now.after(HOST_LIST_INTERVAL), Task::HostList { host: h, life });
     }
 
-    fn wake(&mut self, h: usize) {
-        let Some(pause) = self.hosts[h].wake() else { return };
-        for effect in pause.unfinished {
-            self.perform(h, effect, Strike::None);
+    fn resume(&mut self, h: usize) {
+        let Some(pause) = self.hosts[h].resume() else { return };
+        for effect in pause.deferred_effects {
+            self.execute(h, effect, Strike::None);
         }
-        for event in pause.held {
+        for event in pause.held_events {
             self.deliver(h, event);
         }
     }
 
     pub(crate) fn deliver(&mut self, h: usize, event: Event) {
         let effects = self.hosts[h].handle(self.now, event);
-        self.checks.rules(self.now, &self.hosts[h]);
-        self.carry_out(h, effects);
+        self.checks.check_rules(self.now, &self.hosts[h]);
+        self.execute_all(h, effects);
     }
 
-    fn tell_watchers(&mut self) {
-        for news in self.store.take_news() {
-            let to = self.hosts[news.host].sender();
-            let event = Event::Watched { changes: news.changes, upto: news.upto };
-            self.agenda.add(self.now.after(LATENCY), Item::Event { to, event });
+    fn notify_watchers(&mut self) {
+        for update in self.store.take_updates() {
+            let to = self.hosts[update.host].sender();
+            let event = Event::Watched { changes: update.changes, upto: update.upto };
+            self.schedule.add(self.now.after(LATENCY), Task::Event { to, event });
         }
     }
 
-    /// Ends the run: every request of a living process must have had its final answer by now.
+    /// Runs the final checks: every request of a running process that is due must have its final answer.
     pub fn finish(&mut self) {
         self.checks.at_end(self.now, &self.callers);
     }
--- a/crates/skylarkshore-standins/src/world/callers.rs
+++ b/crates/skylarkshore-standins/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' requests and what became of them.
+//! Requests of simulated callers and their results. Start with [`Callers`].
 
 use std::time::Duration;
 
@@ -8,87 +8,87 @@
 use skylarkshore_core::id::{CallerId, Digest, RequestId};
 use skylarkshore_core::time::Time;
 
-use super::agenda::Sender;
+use super::schedule::Sender;
 use super::violation::Violation;
 
-/// A request that a caller makes.
+/// A request to be sent by a caller.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Who asks.
+    /// The caller.
     pub caller: CallerId,
-    /// What it is for.
+    /// The model or service requested.
     pub target: Target,
-    /// Whether it may run a second time.
+    /// Whether the request may be run more than once.
     pub repeat: Repeat,
-    /// What tells it from others.
+    /// Digest of the request, which its answer repeats.
     pub digest: Digest,
-    /// The prompt's beginning.
+    /// Digest of the prompt's prefix.
     pub prefix: Option<Digest>,
-    /// How long the caller waits.
+    /// Time from arrival to the deadline.
     pub timeout: Duration,
-    /// How long it runs.
+    /// Time that an upstream takes to run it.
     pub run_time: Duration,
-    /// Whether it crashes the upstream that runs it.
+    /// Whether the request crashes the upstream that runs it.
     pub crashes: bool,
 }
 
-/// Names a request over all hosts and lives.
+/// Identifies a request across all hosts and process incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The host that it was sent to.
+    /// Index of the host that received it.
     pub host: usize,
-    /// The life of its process.
+    /// Incarnation of the host's process.
     pub life: u64,
-    /// Its number there.
+    /// Request number on that host.
     pub request: RequestId,
 }
 
 /// A request's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Final {
-    /// The whole answer.
+    /// A complete answer.
     Answered,
     /// A refusal.
     Refused(Refusal),
-    /// An answer that was broken off.
+    /// An answer aborted after it had started.
     Aborted(Refusal),
 }
 
-/// What became of a request.
+/// The history of a request.
 #[derive(Clone, Debug)]
 pub struct RequestLog {
-    /// What was asked.
+    /// The request.
     pub ask: Ask,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Time,
-    /// By when it had to be answered.
+    /// Time by which the final answer is due.
     pub deadline: Time,
-    /// How often an upstream began to run it.
+    /// Number of runs started by upstreams.
     pub runs: u32,
-    /// When its answer began.
+    /// Time at which the answer started.
     pub started: Option<Time>,
-    /// When its final answer came, and what it was.
+    /// The final answer and its time.
     pub ended: Option<Ended>,
-    /// Whether its host's process ended, or the caller went away.
+    /// Whether the host's process ended or the caller disconnected.
     pub abandoned: bool,
 }
 
 /// A final answer with its time.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// When.
+    /// Time of the final answer.
     pub at: Time,
-    /// What.
+    /// The final answer.
     pub with: Final,
 }
 
 impl RequestLog {
-    /// Tells whether it was answered.
+    /// Reports whether the request got a complete answer.
     pub fn is_answered(&self) -> bool {
         self.ended.as_ref().is_some_and(|ended| ended.with == Final::Answered)
     }
 
-    /// Returns the refusal, if it was refused.
+    /// Returns the refusal if the request was refused or its answer aborted.
     pub fn refusal(&self) -> Option<&Refusal> {
         match &self.ended.as_ref()?.with {
             Final::Answered => None,
@@ -101,12 +101,12 @@
     }
 }
 
-/// The callers' requests.
+/// All requests with their results.
 #[derive(Debug, Default)]
 pub struct Callers {
-    /// Every request so far.
+    /// Every request sent so far.
     pub requests: OrderedMap<RequestKey, RequestLog>,
-    /// How often each request that may not be repeated was run, by its key.
+    /// Number of runs for each idempotency key.
     pub runs_by_key: OrderedMap<Digest, u32>,
     pub(crate) violations: Vec<Violation>,
 }
@@ -137,17 +137,17 @@
         (key, arrival)
     }
 
-    pub(crate) fn gone(&mut self, key: &RequestKey, _now: Time) {
+    pub(crate) fn mark_abandoned(&mut self, key: &RequestKey, _now: Time) {
         if let Some(log) = self.requests.get_mut(key) {
             log.abandoned = true;
         }
     }
 
-    pub(crate) fn lose_host(&mut self, key: &RequestKey, now: Time) {
-        self.gone(key, now);
+    pub(crate) fn abandon_unreachable(&mut self, key: &RequestKey, now: Time) {
+        self.mark_abandoned(key, now);
     }
 
-    pub(crate) fn lose_life(&mut self, sender: Sender, _now: Time) {
+    pub(crate) fn abandon_from(&mut self, sender: Sender, _now: Time) {
         for (key, log) in &mut self.requests {
             if key.host == sender.host && key.life == sender.life && log.ended.is_none() {
                 log.abandoned = true;
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Notes that an upstream begins to run a request.
+    /// Records that an upstream starts to run a request.
     pub(crate) fn run(&mut self, key: &RequestKey, now: Time) {
         let Some(log) = self.requests.get_mut(key) else { return };
         log.runs += 1;
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Checks a kept answer, which must be the request's own.
-    pub(crate) fn end_with_kept(&mut self, key: &RequestKey, body: &[u8], now: Time) {
+    /// Records a stored answer, which must belong to this request.
+    pub(crate) fn end_with_recorded(&mut self, key: &RequestKey, body: &[u8], now: Time) {
         if self.requests.get(key).is_some_and(|log| log.ask.digest.0 != *body) {
             self.violations.push(Violation::new(now, format!("{key:?} gets another request's answer")));
         }
--- a/crates/skylarkshore-standins/src/world/engine.rs
+++ b/crates/skylarkshore-standins/src/world/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine in memory.
+//! Simulated model engine. Start with [`Engine`].
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
     Upstream, WeightCopies,
 };
 
-use super::agenda::{RunId, Sender, SentRequest};
+use super::schedule::{RunId, Sender, SentRequest};
 
-/// How many settled orders an engine remembers.
-const SETTLED_KEPT: usize = 32;
+/// How many finished orders an engine reports.
+const MAX_FINISHED_ORDERS: usize = 32;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct LoadedModel {
     version: ModelVersion,
     state: LoadState,
     memory: Mebibytes,
@@ -35,38 +35,38 @@
     pub(crate) started: bool,
 }
 
-/// A load that an order has begun.
+/// A load started by an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct BegunLoad {
+pub(crate) struct StartedLoad {
     pub(crate) model: ModelName,
     pub(crate) incarnation: Incarnation,
 }
 
-/// A model engine.
+/// A simulated model engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its name.
+    /// Engine name.
     pub id: UpstreamId,
-    /// The site whose power it draws.
+    /// Site that supplies its power.
     pub site: SiteName,
-    /// What it can hold and draws.
+    /// Its memory, power draw and concurrency.
     pub spec: EngineSpec,
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub up: bool,
-    /// How many loads it has begun.
+    /// Number of loads started.
     pub loads: u64,
-    /// For how long it held a model that nobody used.
+    /// Total time it held a model without running a request.
     pub idle: Duration,
-    /// Orders that it carried out although their fence was old.
+    /// Number of orders carried out despite an outdated fence.
     pub stale_orders: u64,
-    /// Requests that an unload cut off.
+    /// Number of requests interrupted by an unload.
     pub cut_off: u64,
     incarnation: Incarnation,
     fence: Fence,
-    models: OrderedMap<ModelName, Held>,
+    models: OrderedMap<ModelName, LoadedModel>,
     runs: OrderedMap<RunId, Run>,
-    settled: Vec<OrderId>,
-    accounted: Time,
+    finished_orders: Vec<OrderId>,
+    idle_updated_at: Time,
 }
 
 impl Engine {
@@ -85,27 +85,27 @@
             fence: Fence(0),
             models: OrderedMap::new(),
             runs: OrderedMap::new(),
-            settled: Vec::new(),
-            accounted: Time::START,
+            finished_orders: Vec::new(),
+            idle_updated_at: Time::START,
         })
     }
 
-    /// Returns the models that it holds, whatever their state.
+    /// Returns the models in memory, loading ones included.
     pub fn models(&self) -> impl Iterator<Item = &ModelName> {
         self.models.keys()
     }
 
-    /// Tells whether the model answers requests.
+    /// Reports whether the model is ready to answer requests.
     pub fn is_ready(&self, model: &ModelName) -> bool {
-        self.up && self.models.get(model).is_some_and(|held| held.state == LoadState::Ready)
+        self.up && self.models.get(model).is_some_and(|loaded| loaded.state == LoadState::Ready)
     }
 
     /// Returns the memory in use.
     pub fn used(&self) -> Mebibytes {
-        self.models.values().map(|held| held.memory + held.adapters.values().copied().sum()).sum()
+        self.models.values().map(|loaded| loaded.memory + loaded.adapters.values().copied().sum()).sum()
     }
 
-    /// Returns what it draws now.
+    /// Returns the current power draw.
     pub fn draws(&self) -> Watts {
         match (self.up, self.models.is_empty()) {
             (false, _) => Watts(0),
@@ -114,82 +114,89 @@
         }
     }
 
-    /// Brings the account of idle time up to date; to be called before anything changes.
-    pub(crate) fn account(&mut self, now: Time) {
+    /// Updates the idle time; must be called before the state changes.
+    pub(crate) fn update_idle_time(&mut self, now: Time) {
         if self.up && !self.models.is_empty() && self.runs.is_empty() {
-            self.idle += now.since(self.accounted);
+            self.idle += now.since(self.idle_updated_at);
         }
-        self.accounted = now;
+        self.idle_updated_at = now;
     }
 
-    /// Brings the account of idle time up to date and returns it.
-    pub(crate) fn idle_until(&mut self, now: Time) -> Duration {
-        self.account(now);
+    /// Updates the idle time and returns it.
+    pub(crate) fn idle_time(&mut self, now: Time) -> Duration {
+        self.update_idle_time(now);
         self.idle
     }
 
-    pub(crate) fn take_order(&mut self, order: OrderId, fence: Fence, action: &Order, now: Time) -> Taken {
-        self.account(now);
+    pub(crate) fn take_order(
+        &mut self,
+        order: OrderId,
+        fence: Fence,
+        action: &Order,
+        now: Time,
+    ) -> OrderResult {
+        self.update_idle_time(now);
         if fence < self.fence {
             if self.spec.fence_check == FenceCheck::Refuses {
-                return Taken::answer(OrderAnswer::FenceTooLow { seen: self.fence });
+                return OrderResult::answer(OrderAnswer::FenceTooLow { seen: self.fence });
             }
             self.stale_orders += 1;
         }
         self.fence = self.fence.max(fence);
-        self.settled.push(order);
-        let surplus = self.settled.len().saturating_sub(SETTLED_KEPT);
-        self.settled.drain(..surplus);
-        self.carry_out(action)
+        self.finished_orders.push(order);
+        let surplus = self.finished_orders.len().saturating_sub(MAX_FINISHED_ORDERS);
+        self.finished_orders.drain(..surplus);
+        self.apply_order(action)
     }
 
-    fn carry_out(&mut self, action: &Order) -> Taken {
-        let mut taken = Taken::answer(OrderAnswer::Accepted);
+    fn apply_order(&mut self, action: &Order) -> OrderResult {
+        let mut result = OrderResult::answer(OrderAnswer::Accepted);
         match action {
             Order::RaiseFence => {}
             Order::Load { model, version, memory } => {
                 if !self.models.contains_key(model) {
                     self.loads += 1;
                     let adapters = OrderedMap::new();
-                    let held = Held {
+                    let loaded = LoadedModel {
                         version: version.clone(),
                         state: LoadState::Loading,
                         memory: *memory,
                         adapters,
                     };
-                    self.models.insert(model.clone(), held);
-                    taken.begun = Some(BegunLoad { model: model.clone(), incarnation: self.incarnation });
+                    self.models.insert(model.clone(), loaded);
+                    result.started_load =
+                        Some(StartedLoad { model: model.clone(), incarnation: self.incarnation });
                 }
             }
             Order::LoadAdapter { model, adapter, memory } => match self.models.get_mut(model) {
-                Some(held) => {
-                    held.adapters.insert(adapter.clone(), *memory);
+                Some(loaded) => {
+                    loaded.adapters.insert(adapter.clone(), *memory);
                 }
                 None => {
-                    taken.answer = OrderAnswer::Refused { reason: "the base model isn't loaded".to_owned() }
+                    result.answer = OrderAnswer::Refused { reason: "the base model isn't loaded".to_owned() }
                 }
             },
             Order::Unload { model } => {
                 self.models.remove(model);
-                taken.cut = self.take_runs(|run| run.model.as_ref() == Some(model));
-                self.cut_off += taken.cut.len() as u64;
+                result.interrupted = self.take_runs(|run| run.model.as_ref() == Some(model));
+                self.cut_off += result.interrupted.len() as u64;
             }
             Order::UnloadAdapter { model, adapter } => {
-                if let Some(held) = self.models.get_mut(model) {
-                    held.adapters.remove(adapter);
+                if let Some(loaded) = self.models.get_mut(model) {
+                    loaded.adapters.remove(adapter);
                 }
             }
         }
-        taken
+        result
     }
 
     pub(crate) fn load_done(&mut self, incarnation: Incarnation, model: &ModelName, now: Time) {
-        self.account(now);
+        self.update_idle_time(now);
         if self.incarnation != incarnation {
             return;
         }
-        if let Some(held) = self.models.get_mut(model) {
-            held.state = LoadState::Ready;
+        if let Some(loaded) = self.models.get_mut(model) {
+            loaded.state = LoadState::Ready;
         }
     }
 
@@ -198,13 +205,13 @@
             let count = self.runs.values().filter(|run| run.model.as_ref() == Some(model)).count();
             u32::try_from(count).unwrap_or(u32::MAX)
         };
-        let models = self.models.iter().map(|(model, held)| ReportedModel {
+        let models = self.models.iter().map(|(model, loaded)| ReportedModel {
             model: model.clone(),
-            version: held.version.clone(),
-            state: held.state,
-            memory: held.memory,
+            version: loaded.version.clone(),
+            state: loaded.state,
+            memory: loaded.memory,
             running: running(model),
-            adapters: held
+            adapters: loaded
                 .adapters
                 .iter()
                 .map(|(adapter, memory)| ReportedAdapter {
@@ -223,7 +230,7 @@
             waiting: 0,
             leaving: false,
             lag: Duration::ZERO,
-            finished_orders: self.settled.clone(),
+            finished_orders: self.finished_orders.clone(),
             busy: false,
             accepted: None,
             copies: WeightCopies::default(),
@@ -231,9 +238,9 @@
     }
 
     pub(crate) fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
-        self.models.get(model).is_some_and(|held| {
-            held.state == LoadState::Ready
-                && adapter.is_none_or(|adapter| held.adapters.contains_key(adapter))
+        self.models.get(model).is_some_and(|loaded| {
+            loaded.state == LoadState::Ready
+                && adapter.is_none_or(|adapter| loaded.adapters.contains_key(adapter))
         })
     }
 
@@ -242,7 +249,7 @@
     }
 
     pub(crate) fn begin(&mut self, run: Run, now: Time) {
-        self.account(now);
+        self.update_idle_time(now);
         self.runs.insert(run.id, run);
     }
 
@@ -251,39 +258,39 @@
     }
 
     pub(crate) fn end(&mut self, id: RunId, now: Time) -> Option<Run> {
-        self.account(now);
+        self.update_idle_time(now);
         self.runs.remove(&id)
     }
 
     pub(crate) fn crash(&mut self, now: Time) -> Vec<Run> {
-        self.account(now);
+        self.update_idle_time(now);
         self.up = false;
         self.models.clear();
         self.take_runs(|_| true)
     }
 
     pub(crate) fn restart(&mut self, now: Time) {
-        self.account(now);
+        self.update_idle_time(now);
         self.up = true;
         self.incarnation = self.incarnation.next();
         self.fence = Fence(0);
-        self.settled.clear();
+        self.finished_orders.clear();
     }
 
     pub(crate) fn loading(&self) -> u32 {
-        let count = self.models.values().filter(|held| held.state == LoadState::Loading).count();
+        let count = self.models.values().filter(|loaded| loaded.state == LoadState::Loading).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Stops a run whose sender doesn't want it any more.
+    /// Stops the runs of a cancelled attempt.
     pub(crate) fn cancel(&mut self, sender: Sender, attempt: AttemptId, now: Time) -> Vec<Run> {
-        self.account(now);
+        self.update_idle_time(now);
         self.take_runs(|run| run.sent.from == sender && run.sent.attempt == attempt)
     }
 
-    /// Stops what a process that ended had running; an engine notices the closed connection.
-    pub(crate) fn forget_sender(&mut self, sender: Sender, now: Time) {
-        self.account(now);
+    /// Stops the runs of a process that ended; a real engine detects the closed connection.
+    pub(crate) fn cancel_from(&mut self, sender: Sender, now: Time) {
+        self.update_idle_time(now);
         self.take_runs(|run| run.sent.from == sender);
     }
 
@@ -292,16 +299,16 @@
     }
 }
 
-/// What an order led to.
+/// The answer to an order and its side effects.
 #[derive(Debug)]
-pub(crate) struct Taken {
+pub(crate) struct OrderResult {
     pub(crate) answer: OrderAnswer,
-    pub(crate) begun: Option<BegunLoad>,
-    pub(crate) cut: Vec<Run>,
+    pub(crate) started_load: Option<StartedLoad>,
+    pub(crate) interrupted: Vec<Run>,
 }
 
-impl Taken {
+impl OrderResult {
     const fn answer(answer: OrderAnswer) -> Self {
-        Self { answer, begun: None, cut: Vec::new() }
+        Self { answer, started_load: None, interrupted: Vec::new() }
     }
 }
--- a/crates/skylarkshore-standins/src/world/perform.rs
+++ b/crates/skylarkshore-standins/src/world/execute.rs
@@ -1,4 +1,4 @@
-//! Carries the processes' effects out.
+//! Execution of the processes' effects, with injected faults applied.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::upstream::OrderAnswer;
 
-use super::agenda::{Item, RunId, Sender, SentCall, SentOrder, SentRequest};
 use super::callers::{Final, RequestKey};
 use super::engine::{Engine, Run};
 use super::fault::Strike;
+use super::schedule::{RunId, Sender, SentCall, SentOrder, SentRequest, Task};
 use super::store::StoreMode;
 use super::{HostNote, LATENCY, World};
 
-/// How long an engine that crashed by a fault or a request stays away.
-const CRASH_DOWN: Duration = Duration::from_secs(2);
-/// After how long a question to an engine that is away ends.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many requests an engine queues for each that it runs.
-const QUEUE_FACTOR: usize = 4;
-/// How many loads the weight store serves at full speed.
+/// How long an engine stays down after a crash caused by a fault or a request.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
+/// Timeout of a report request to an engine that is down.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit on the requests in an engine, as a multiple of its concurrency.
+const REQUEST_LIMIT_FACTOR: usize = 4;
+/// Number of concurrent loads that the weight store serves at full speed.
 const LOADS_AT_FULL_SPEED: u32 = 4;
-/// How long a load takes that the document doesn't tell of.
-const UNKNOWN_LOAD_TIME: Duration = Duration::from_secs(5);
-/// How long the first token takes.
+/// Load time of a model that is missing from the document.
+const DEFAULT_LOAD_TIME: Duration = Duration::from_secs(5);
+/// Time to first token.
 const FIRST_TOKEN: Duration = Duration::from_millis(50);
 
-/// How a run ends for its sender when its upstream is lost.
-pub(crate) const fn lost(run: &Run, died: bool) -> AttemptOutcome {
+/// Returns the outcome of a run whose upstream or answer is lost.
+pub(crate) const fn lost_outcome(run: &Run, died: bool) -> AttemptOutcome {
     AttemptOutcome::Lost { passed_on: run.started && !run.sent.hold, died }
 }
 
 impl World {
-    pub(crate) fn carry_out(&mut self, h: usize, effects: Vec<Effect>) {
+    pub(crate) fn execute_all(&mut self, h: usize, effects: Vec<Effect>) {
         let effects = self.faults.rewrite(&self.hosts[h].id, effects);
         let mut rest = VecDeque::from(effects);
         while let Some(effect) = rest.pop_front() {
@@ -47,17 +47,17 @@
                 Strike::Freeze(d) => {
                     rest.push_front(effect);
                     self.freeze(h, d);
-                    return self.hosts[h].put_off(rest);
+                    return self.hosts[h].defer(rest);
                 }
                 Strike::CutStore(d) => self.cut_store(h, self.now.after(d)),
                 Strike::CutPeers(d) => self.cut_peers(h, self.now.after(d)),
                 Strike::StoreDown(d) => {
                     self.set_store_mode(StoreMode::Hanging);
-                    self.agenda.add(self.now.after(d), Item::StoreUp);
+                    self.schedule.add(self.now.after(d), Task::StoreUp);
                 }
                 _ => {}
             }
-            self.perform(h, effect, strike);
+            self.execute(h, effect, strike);
             if strike == Strike::KillAfter {
                 return self.kill(h);
             }
@@ -72,7 +72,7 @@
         self.faults.strike(self.serial, &self.hosts[h].id, effect)
     }
 
-    pub(crate) fn perform(&mut self, h: usize, effect: Effect, strike: Strike) {
+    pub(crate) fn execute(&mut self, h: usize, effect: Effect, strike: Strike) {
         let from = self.hosts[h].sender();
         if self.metered {
             self.hosts[h].meter.count(&effect);
@@ -82,7 +82,7 @@
                 let answer_lost = strike == Strike::LoseAnswer;
                 let sent = SentCall { from, call, request, answer_lost };
                 self.fail_store_call_later(&sent);
-                self.send(strike, Item::Store(sent));
+                self.send(strike, Task::Store(sent));
             }
             Effect::Watch { from: revision } => self.watch(h, revision, strike),
             Effect::Unwatch => self.store.unwatch(h),
@@ -99,32 +99,33 @@
                     let event = Event::Order { upstream: upstream.clone(), order, answer: OrderAnswer::Lost };
                     self.answer(from, event);
                 }
-                self.send(strike, Item::Order(sent));
-                self.crash_if_struck(&upstream, strike);
+                self.send(strike, Task::Order(sent));
+                self.crash_upstream_if_planned(&upstream, strike);
             }
             Effect::RequestReport { upstream } => {
-                self.send(strike, Item::Ask { from, engine: upstream, asked: self.now });
+                self.send(strike, Task::ReportRequest { from, engine: upstream, asked: self.now });
             }
             Effect::Send { request, attempt, upstream, deadline, hold, .. } => {
                 let answer_lost = strike == Strike::LoseAnswer;
                 let sent =
                     SentRequest { from, request, attempt, upstream: upstream.clone(), hold, answer_lost };
-                self.agenda.add(deadline, Item::AttemptTimeout { from, attempt });
-                self.attempts.insert(AttemptKey::new(from, attempt), OpenAttempt { request, carried: false });
+                self.schedule.add(deadline, Task::AttemptTimeout { from, attempt });
+                self.attempts
+                    .insert(AttemptKey::new(from, attempt), OpenAttempt { request, delivered: false });
                 if strike == Strike::Lose {
                     let end = AttemptOutcome::Lost { passed_on: false, died: false };
                     self.attempt_ended(from, attempt, end);
                 } else {
-                    self.send(strike, Item::Start(sent));
+                    self.send(strike, Task::Start(sent));
                 }
-                self.crash_if_struck(&upstream, strike);
+                self.crash_upstream_if_planned(&upstream, strike);
             }
             Effect::Cancel { attempt } => {
                 self.attempts.remove(&AttemptKey::new(from, attempt));
                 self.stop_runs(from, attempt);
             }
             Effect::Answer { request, answer } => {
-                self.callers.end_with_kept(&key(from, request), &answer.body, self.now);
+                self.callers.end_with_recorded(&key(from, request), &answer.body, self.now);
             }
             Effect::Refuse { request, refusal } => {
                 self.callers.end(&key(from, request), Final::Refused(refusal), self.now);
@@ -136,7 +137,8 @@
                 let host = self.hosts[h].id.clone();
                 self.notes.push(HostNote { at: self.now, host, note });
             }
-            // No upstream of this world answers that it failed, and callers come to hosts that stay.
+            // Not simulated: upstreams here never answer with a failure, and the hosts that callers
+            // connect to don't change.
             Effect::ForwardHeldAnswer { .. }
             | Effect::CloseIntake
             | Effect::Decision(_)
@@ -158,38 +160,38 @@
         self.engines.values_mut().flat_map(|engine| engine.cancel(from, attempt, now)).collect()
     }
 
-    /// Ends an attempt that has no whole answer by its deadline, as the surroundings of a real process do.
+    /// Ends an attempt without a complete answer at its deadline, as the host runtime does.
     pub(crate) fn time_out(&mut self, from: Sender, attempt: AttemptId) {
         let passed_on = self.stop_runs(from, attempt).iter().any(|run| run.started && !run.sent.hold);
         self.attempt_ended(from, attempt, AttemptOutcome::Lost { passed_on, died: false });
     }
 
-    fn send(&mut self, strike: Strike, item: Item) {
+    fn send(&mut self, strike: Strike, task: Task) {
         let at = self.now.after(LATENCY);
         match strike {
             Strike::Lose => {}
-            Strike::Delay(d) => self.agenda.add(at.after(d), item),
+            Strike::Delay(d) => self.schedule.add(at.after(d), task),
             Strike::Double => {
-                self.agenda.add(at, item.clone());
-                self.agenda.add(at.after(LATENCY), item);
+                self.schedule.add(at, task.clone());
+                self.schedule.add(at.after(LATENCY), task);
             }
-            _ => self.agenda.add(at, item),
+            _ => self.schedule.add(at, task),
         }
     }
 
     fn answer(&mut self, to: Sender, event: Event) {
-        self.agenda.add(self.now.after(LATENCY), Item::Event { to, event });
+        self.schedule.add(self.now.after(LATENCY), Task::Event { to, event });
     }
 
-    fn crash_if_struck(&mut self, upstream: &UpstreamId, strike: Strike) {
+    fn crash_upstream_if_planned(&mut self, upstream: &UpstreamId, strike: Strike) {
         if strike == Strike::CrashUpstream {
             let engine = upstream.clone();
-            self.agenda.add(self.now.after(LATENCY * 2), Item::Crash { engine });
+            self.schedule.add(self.now.after(LATENCY * 2), Task::Crash { engine });
         }
     }
 
     pub(crate) fn crash_for_a_while(&mut self, id: &UpstreamId) {
-        self.crash_engine(id, Some(CRASH_DOWN));
+        self.crash_engine(id, Some(CRASH_DOWNTIME));
     }
 
     fn watch(&mut self, h: usize, from: StoreRevision, strike: Strike) {
@@ -197,10 +199,10 @@
         if !reachable || strike == Strike::Lose {
             let to = self.hosts[h].sender();
             let at = self.now.after(self.setup.timings.store_timeout);
-            return self.agenda.add(at, Item::Event { to, event: Event::WatchBroken });
+            return self.schedule.add(at, Task::Event { to, event: Event::WatchBroken });
         }
         self.store.watch(h, from);
-        self.tell_watchers();
+        self.notify_watchers();
     }
 
     fn send_to_peer(&mut self, h: usize, envelope: Envelope, strike: Strike) {
@@ -211,7 +213,7 @@
         }
         let event = Event::Peer { from: self.hosts[h].id.clone(), message: envelope.message };
         let to = self.hosts[to].sender();
-        self.send(strike, Item::Event { to, event });
+        self.send(strike, Task::Event { to, event });
     }
 
     fn probe(&mut self, from: Sender, host: HostId, incarnation: Incarnation) {
@@ -222,14 +224,14 @@
         }
     }
 
-    /// A call that has no answer in time ends as unknown; an answer before that makes this void.
+    /// Schedules a call to end with an unknown result unless it is answered before the timeout.
     fn fail_store_call_later(&mut self, sent: &SentCall) {
         self.open_calls.insert(CallKey { from: sent.from, call: sent.call });
         let at = self.now.after(self.setup.timings.store_timeout);
-        self.agenda.add(at, Item::StoreTimeout { from: sent.from, call: sent.call });
+        self.schedule.add(at, Task::StoreTimeout { from: sent.from, call: sent.call });
     }
 
-    pub(crate) fn take_store_call(&mut self, sent: SentCall) {
+    pub(crate) fn handle_store_call(&mut self, sent: SentCall) {
         let cut = self.hosts[sent.from.host].no_store_until > self.now;
         let mode = if cut { StoreMode::Hanging } else { self.store.mode };
         if mode == StoreMode::Refusing {
@@ -239,7 +241,7 @@
             return;
         }
         let answer = self.store.call(sent.request, self.now);
-        self.tell_watchers();
+        self.notify_watchers();
         if mode == StoreMode::Up && !sent.answer_lost {
             self.store_answered(sent.from, sent.call, Ok(answer));
         }
@@ -262,44 +264,47 @@
             };
             return self.answer(sent.from, event);
         };
-        let taken = engine.take_order(sent.order, sent.fence, &sent.action, now);
-        if let Some(begun) = taken.begun {
+        let order_result = engine.take_order(sent.order, sent.fence, &sent.action, now);
+        if let Some(started_load) = order_result.started_load {
             let models = &self.setup.document.catalogue.models;
-            let usual = models.get(&begun.model).map_or(UNKNOWN_LOAD_TIME, |model| model.load_time);
-            let crowd = (loading + 1).max(LOADS_AT_FULL_SPEED);
-            let at = now.after(usual * crowd / LOADS_AT_FULL_SPEED);
+            let load_time =
+                models.get(&started_load.model).map_or(DEFAULT_LOAD_TIME, |model| model.load_time);
+            let concurrent = (loading + 1).max(LOADS_AT_FULL_SPEED);
+            let at = now.after(load_time * concurrent / LOADS_AT_FULL_SPEED);
             let engine = sent.engine.clone();
-            self.agenda
-                .add(at, Item::LoadDone { engine, incarnation: begun.incarnation, model: begun.model });
+            self.schedule.add(
+                at,
+                Task::LoadDone { engine, incarnation: started_load.incarnation, model: started_load.model },
+            );
         }
-        for run in taken.cut {
-            self.end_run(&run, lost(&run, false));
+        for run in order_result.interrupted {
+            self.end_run(&run, lost_outcome(&run, false));
         }
-        let answer = if sent.answer_lost { OrderAnswer::Lost } else { taken.answer };
+        let answer = if sent.answer_lost { OrderAnswer::Lost } else { order_result.answer };
         self.answer(sent.from, Event::Order { upstream: sent.engine.clone(), order: sent.order, answer });
     }
 
-    pub(crate) fn take_ask(&mut self, from: Sender, id: &UpstreamId, asked: Time) {
+    pub(crate) fn handle_report_request(&mut self, from: Sender, id: &UpstreamId, asked: Time) {
         let report = self.engines.get(id).and_then(Engine::report);
-        let wait = if report.is_some() { LATENCY } else { ASK_TIMEOUT };
+        let wait = if report.is_some() { LATENCY } else { REPORT_TIMEOUT };
         let event = Event::Report { upstream: id.clone(), asked, report };
-        self.agenda.add(self.now.after(wait), Item::Event { to: from, event });
+        self.schedule.add(self.now.after(wait), Task::Event { to: from, event });
     }
 
-    pub(crate) fn take_start(&mut self, sent: SentRequest) {
+    pub(crate) fn start_run(&mut self, sent: SentRequest) {
         let Some(attempt) = self.attempts.get_mut(&AttemptKey::new(sent.from, sent.attempt)) else { return };
-        // An attempt is one request on one connection, which delivers it once;
-        // the HTTP client's own retry is off.
-        if std::mem::replace(&mut attempt.carried, true) {
+        // An attempt is one request on one connection, which delivers it at most once;
+        // the HTTP client's own retries are disabled.
+        if std::mem::replace(&mut attempt.delivered, true) {
             return;
         }
         let request = key(sent.from, sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
         let (target, run_time) = (log.ask.target.clone(), log.ask.run_time);
-        if let Some(end) = self.turned_away(&sent, &target) {
+        if let Some(end) = self.rejection(&sent, &target) {
             return self.attempt_ended(sent.from, sent.attempt, end);
         }
-        self.checks.new_work(&sent.upstream, self.now);
+        self.checks.check_new_work(&sent.upstream, self.now);
         self.callers.run(&request, self.now);
         self.runs += 1;
         let id = RunId(self.runs);
@@ -315,11 +320,11 @@
             service.runs.insert(id, run);
         }
         let first = FIRST_TOKEN.min(run_time);
-        self.agenda.add(self.now.after(first), Item::RunStarted { upstream: upstream.clone(), run: id });
-        self.agenda.add(self.now.after(run_time), Item::RunDone { upstream, run: id });
+        self.schedule.add(self.now.after(first), Task::RunStarted { upstream: upstream.clone(), run: id });
+        self.schedule.add(self.now.after(run_time), Task::RunDone { upstream, run: id });
     }
 
-    fn turned_away(&self, sent: &SentRequest, target: &Target) -> Option<AttemptOutcome> {
+    fn rejection(&self, sent: &SentRequest, target: &Target) -> Option<AttemptOutcome> {
         match target {
             Target::Model(target) => {
                 let Some(engine) = self.engines.get(&sent.upstream).filter(|engine| engine.up) else {
@@ -328,7 +333,7 @@
                 if !engine.holds(&target.model, target.adapter.as_ref()) {
                     return Some(AttemptOutcome::Rejected(Rejection::NotLoaded));
                 }
-                let most = engine.spec.concurrency as usize * QUEUE_FACTOR;
+                let most = engine.spec.concurrency as usize * REQUEST_LIMIT_FACTOR;
                 (engine.in_progress() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
             }
             Target::Service(name) => {
@@ -363,7 +368,7 @@
         };
         let Some(run) = run else { return };
         if run.sent.answer_lost {
-            return self.end_run(&run, lost(&run, false));
+            return self.end_run(&run, lost_outcome(&run, false));
         }
         let request = key(run.sent.from, run.sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
@@ -395,7 +400,7 @@
     RequestKey { host: from.host, life: from.life, request }
 }
 
-/// An attempt over all hosts and lives.
+/// Identifies an attempt across all hosts and process incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     host: usize,
@@ -409,15 +414,15 @@
     }
 }
 
-/// An attempt that hasn't ended.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenAttempt {
     request: RequestId,
-    /// Whether it has reached its upstream.
-    carried: bool,
+    /// Whether the request has reached its upstream.
+    delivered: bool,
 }
 
-/// A call to the key-value service over all hosts and lives.
+/// Identifies a call to the key-value service across all hosts and process incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallKey {
     from: Sender,
--- a/crates/skylarkshore-standins/src/world/fault.rs
+++ b/crates/skylarkshore-standins/src/world/fault.rs
@@ -1,51 +1,51 @@
-//! Faults that strike a process's effects.
+//! Faults injected into the effects of a process. Implement [`Faults`] to choose them.
 
 use std::time::Duration;
 
 use skylarkshore_core::effect::Effect;
 use skylarkshore_core::id::HostId;
 
-/// What happens to an effect.
+/// The fault injected into an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strike {
-    /// Nothing out of the ordinary.
+    /// No fault.
     None,
-    /// It never arrives; the sender learns nothing.
+    /// The effect is lost; the sender isn't notified.
     Lose,
-    /// It takes effect, but its answer is lost.
+    /// The effect is applied, but its answer is lost.
     LoseAnswer,
-    /// It arrives later by this long.
+    /// The effect is delayed.
     Delay(Duration),
-    /// It arrives twice; a request to an upstream can't, since a connection delivers it once.
+    /// The effect arrives twice, except a request to an upstream, which a connection delivers once.
     Double,
-    /// The process is killed right before it.
+    /// The process is killed before the effect.
     KillBefore,
-    /// The process is killed right after it.
+    /// The process is killed after the effect.
     KillAfter,
-    /// The process is paused right before it for this long.
+    /// The process is paused before the effect.
     Freeze(Duration),
-    /// The host is cut off from the key-value service for this long.
+    /// The host is disconnected from the key-value service.
     CutStore(Duration),
-    /// The host is cut off from its peers for this long.
+    /// The host is disconnected from its peers.
     CutPeers(Duration),
-    /// The key-value service is away for this long.
+    /// The key-value service stops answering.
     StoreDown(Duration),
-    /// The upstream that the effect goes to crashes right after it arrives.
+    /// The target upstream crashes just after the effect arrives.
     CrashUpstream,
 }
 
-/// Decides which effects are struck.
+/// Chooses the fault for each effect.
 pub trait Faults: std::fmt::Debug {
-    /// Says what happens to the effect with this serial number.
+    /// Returns the fault for the effect with this serial number.
     fn strike(&mut self, serial: u64, host: &HostId, effect: &Effect) -> Strike;
 
-    /// Replaces what a process decided, so that a test can see its checks catch a wrong decision.
+    /// Replaces the effects of a process, so that a test can prove that the checks detect a wrong decision.
     fn rewrite(&mut self, _host: &HostId, effects: Vec<Effect>) -> Vec<Effect> {
         effects
     }
 }
 
-/// Nothing is struck.
+/// Injects no faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoFaults;
 
@@ -55,26 +55,26 @@
     }
 }
 
-/// The effects with the given serial numbers are struck.
+/// Injects faults into the effects with the given serial numbers.
 #[derive(Clone, Debug, Default)]
 pub struct StrikeAt {
-    /// The strikes with their serial numbers.
+    /// Planned faults.
     pub strikes: Vec<Planned>,
-    /// What was struck, in words.
+    /// Descriptions of the faults injected so far.
     pub struck: Vec<String>,
 }
 
-/// A strike that is to come.
+/// A fault planned for one effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Planned {
-    /// The effect's serial number.
+    /// Serial number of the effect.
     pub serial: u64,
-    /// What happens to it.
+    /// The fault to inject.
     pub strike: Strike,
 }
 
 impl StrikeAt {
-    /// Plans strikes.
+    /// Creates an injector for the planned faults.
     pub fn new(strikes: Vec<Planned>) -> Self {
         Self { strikes, struck: Vec::new() }
     }
--- a/crates/skylarkshore-standins/src/world/host.rs
+++ b/crates/skylarkshore-standins/src/world/host.rs
@@ -1,4 +1,4 @@
-//! One entry host with its process.
+//! Simulated entry host and the node process on it. Start with [`Host`].
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -12,19 +12,19 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::units::Capacity;
 
-use super::agenda::Sender;
 use super::callers::RequestKey;
 use super::meter::Meter;
+use super::schedule::Sender;
 use super::{HostSetup, Setup};
 
-/// What a paused process has still to do.
+/// Effects and events that a paused process handles once it resumes.
 #[derive(Debug, Default)]
 pub(crate) struct Pause {
-    pub(crate) unfinished: VecDeque<Effect>,
-    pub(crate) held: VecDeque<Event>,
+    pub(crate) deferred_effects: VecDeque<Effect>,
+    pub(crate) held_events: VecDeque<Event>,
 }
 
-/// One entry host.
+/// An entry host with its node, if that runs.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) id: HostId,
@@ -84,7 +84,7 @@
         self.pause.is_some()
     }
 
-    /// Returns the incarnation of the process that runs or ran last.
+    /// Returns the incarnation of the current or last process.
     pub(crate) const fn incarnation(&self) -> Incarnation {
         self.cfg.incarnation
     }
@@ -103,14 +103,14 @@
         effects
     }
 
-    pub(crate) fn forget(&mut self, now: Time) -> Vec<Effect> {
+    pub(crate) fn reset_state(&mut self, now: Time) -> Vec<Effect> {
         let (node, effects) = Node::start(self.cfg.clone(), now);
         self.node = Some(node);
         effects
     }
 
-    /// Ends the process and returns which life it was.
-    pub(crate) fn die(&mut self) -> Option<Sender> {
+    /// Ends the process and returns its identity if it was running.
+    pub(crate) fn end_process(&mut self) -> Option<Sender> {
         self.pause = None;
         self.node.take().map(|_| self.sender())
     }
@@ -123,19 +123,19 @@
         true
     }
 
-    pub(crate) fn put_off(&mut self, effects: VecDeque<Effect>) {
+    pub(crate) fn defer(&mut self, effects: VecDeque<Effect>) {
         if let Some(pause) = &mut self.pause {
-            pause.unfinished = effects;
+            pause.deferred_effects = effects;
         }
     }
 
-    pub(crate) fn wake(&mut self) -> Option<Pause> {
+    pub(crate) fn resume(&mut self) -> Option<Pause> {
         self.pause.take()
     }
 
     pub(crate) fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         if let Some(pause) = &mut self.pause {
-            pause.held.push_back(event);
+            pause.held_events.push_back(event);
             return Vec::new();
         }
         let Some(node) = &mut self.node else { return Vec::new() };
--- a/crates/skylarkshore-standins/src/world/meter.rs
+++ b/crates/skylarkshore-standins/src/world/meter.rs
@@ -1,4 +1,4 @@
-//! What each process spends on control: messages, bytes, calls, processor time.
+//! Control-plane cost of a process: messages, bytes, calls and processing time. Start with [`Meter`].
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 use skylarkshore_core::peer::PeerMessage;
 use skylarkshore_wire::peer::encode;
 
-/// What a message costs beside its own bytes: IP, UDP and QUIC headers, frame and seal.
+/// Overhead per message in bytes: IP, UDP and QUIC headers, framing and authentication tag.
 const BYTES_PER_MESSAGE: u64 = 72;
 
-/// How many of a kind, and how many bytes.
+/// Number and size of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// How many bytes, headers included.
+    /// Size in bytes, headers included.
     pub bytes: u64,
 }
 
-/// What one process has spent.
+/// Control-plane cost of one host's processes.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     /// Messages sent to peers, by kind.
     pub peers: OrderedMap<&'static str, Count>,
     /// Calls to the key-value service, by kind.
     pub store: OrderedMap<&'static str, u64>,
-    /// Orders and questions sent to engines.
+    /// Orders and report requests sent to engines.
     pub engines: u64,
-    /// Time spent in decisions, on this machine.
+    /// Wall-clock time spent handling events.
     pub busy: Duration,
-    /// Events taken.
+    /// Number of events handled.
     pub events: u64,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns all that was sent to peers.
+    /// Returns the total of messages sent to peers.
     pub fn sent(&self) -> Count {
         let add =
             |sum: Count, c: &Count| Count { messages: sum.messages + c.messages, bytes: sum.bytes + c.bytes };
--- a/crates/skylarkshore-standins/src/world/agenda.rs
+++ b/crates/skylarkshore-standins/src/world/schedule.rs
@@ -1,4 +1,4 @@
-//! What is going to happen, in order of time.
+//! Scheduled tasks of the simulation, ordered by time. Start with [`Schedule`].
 
 use skylarkshore_core::collections::OrderedMap;
 use skylarkshore_core::event::Event;
@@ -9,14 +9,14 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::upstream::Order;
 
-/// One life of a host's process, as the sender of something.
+/// One incarnation of a host's process, as the origin of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Sender {
     pub(crate) host: usize,
     pub(crate) life: u64,
 }
 
-/// A call on its way to the key-value service.
+/// A call in transit to the key-value service.
 #[derive(Clone, Debug)]
 pub(crate) struct SentCall {
     pub(crate) from: Sender,
@@ -25,7 +25,7 @@
     pub(crate) answer_lost: bool,
 }
 
-/// An order on its way to an engine.
+/// An order in transit to an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct SentOrder {
     pub(crate) from: Sender,
@@ -36,7 +36,7 @@
     pub(crate) answer_lost: bool,
 }
 
-/// A request on its way to an upstream.
+/// A request in transit to an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
     pub(crate) from: Sender,
@@ -47,25 +47,25 @@
     pub(crate) answer_lost: bool,
 }
 
-/// One run of a request at an upstream.
+/// Identifies one run of a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RunId(pub(crate) u64);
 
 #[derive(Clone, Debug)]
-pub(crate) enum Item {
+pub(crate) enum Task {
     Tick { host: usize, life: u64 },
     HostList { host: usize, life: u64 },
     Event { to: Sender, event: Event },
     Wake { host: usize },
     Restart { host: usize },
-    Leases,
+    ExpireLeases,
     StoreUp,
     StoreTimeout { from: Sender, call: CallId },
     Crash { engine: UpstreamId },
     EngineUp { engine: UpstreamId },
     Store(SentCall),
     Order(SentOrder),
-    Ask { from: Sender, engine: UpstreamId, asked: Time },
+    ReportRequest { from: Sender, engine: UpstreamId, asked: Time },
     Start(SentRequest),
     AttemptTimeout { from: Sender, attempt: AttemptId },
     LoadDone { engine: UpstreamId, incarnation: Incarnation, model: ModelName },
@@ -73,8 +73,9 @@
     RunDone { upstream: UpstreamId, run: RunId },
 }
 
-impl Item {
-    /// Tells whether it can change what engines hold or draw, or is the regular look at them.
+impl Task {
+    /// Reports whether engines must be checked afterwards: the task can change their memory or
+    /// power draw, or is the periodic [`Self::ExpireLeases`].
     pub(crate) const fn touches_engines(&self) -> bool {
         matches!(
             self,
@@ -83,32 +84,32 @@
                 | Self::RunStarted { .. }
                 | Self::Crash { .. }
                 | Self::EngineUp { .. }
-                | Self::Leases
+                | Self::ExpireLeases
         )
     }
 }
 
-/// The items by time, those of the same time in the order in which they were added.
+/// Tasks by time; tasks of the same time keep the order in which they were added.
 #[derive(Debug, Default)]
-pub(crate) struct Agenda {
-    items: OrderedMap<Place, Item>,
+pub(crate) struct Schedule {
+    items: OrderedMap<TaskKey, Task>,
     added: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct TaskKey {
     at: Time,
     number: u64,
 }
 
-impl Agenda {
-    pub(crate) fn add(&mut self, at: Time, item: Item) {
+impl Schedule {
+    pub(crate) fn add(&mut self, at: Time, task: Task) {
         self.added += 1;
-        self.items.insert(Place { at, number: self.added }, item);
+        self.items.insert(TaskKey { at, number: self.added }, task);
     }
 
-    /// Takes the next item that is due by `until` and sets the clock to its time.
-    pub(crate) fn next(&mut self, until: Time, now: &mut Time) -> Option<Item> {
+    /// Removes the next task that is due by `until` and advances the clock to its time.
+    pub(crate) fn next(&mut self, until: Time, now: &mut Time) -> Option<Task> {
         let entry = self.items.first_entry()?;
         if entry.key().at > until {
             return None;
--- a/crates/skylarkshore-standins/src/world/service.rs
+++ b/crates/skylarkshore-standins/src/world/service.rs
@@ -1,11 +1,11 @@
-//! A replica of a plain service in memory.
+//! Simulated replica of a plain service.
 
 use skylarkshore_core::collections::OrderedMap;
 use skylarkshore_core::id::{ServiceName, UpstreamId};
 use skylarkshore_core::upstream::Upstream;
 
-use super::agenda::RunId;
 use super::engine::Run;
+use super::schedule::RunId;
 
 /// A replica of a plain service.
 #[derive(Debug)]
--- a/crates/skylarkshore-standins/src/world/store.rs
+++ b/crates/skylarkshore-standins/src/world/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory.
+//! Simulated key-value service. Start with [`Store`].
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use skylarkshore_core::store::{Expect, Key, Record, StoreAnswer, StoreCall, Versioned, Writer};
 use skylarkshore_core::time::Time;
 
-/// Whether the service answers.
+/// Availability of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// Calls are answered.
     #[default]
     Up,
     /// Connections are refused.
     Refusing,
-    /// Calls get no answer, and have no effect.
+    /// Calls have no effect and get no answer.
     Hanging,
     /// Calls take effect, but get no answer.
     Mute,
@@ -33,31 +33,31 @@
     lease: Option<LeaseId>,
 }
 
-/// How often the service was called.
+/// Number of calls by kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallCounts {
-    /// Reads of one key or of all.
+    /// Reads of one or more keys.
     pub reads: u64,
     /// Writes, successful or not.
     pub writes: u64,
-    /// Grants, renewals and revocations of leases.
+    /// Lease grants, renewals and revocations.
     pub leases: u64,
 }
 
-/// What a watcher is to be told.
+/// Changes to be sent to a watching host.
 #[derive(Debug)]
-pub(crate) struct News {
+pub(crate) struct WatchUpdate {
     pub(crate) host: usize,
     pub(crate) changes: Vec<Versioned>,
     pub(crate) upto: StoreRevision,
 }
 
-/// The key-value service in memory.
+/// An in-memory key-value service with leases and watches.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// Whether it answers.
+    /// Current availability.
     pub mode: StoreMode,
-    /// How often it was called.
+    /// Calls so far.
     pub calls: CallCounts,
     revision: StoreRevision,
     entries: OrderedMap<Key, Entry>,
@@ -73,12 +73,12 @@
         self.revision
     }
 
-    /// Returns what stands under a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &Key) -> Option<&Versioned> {
         self.entries.get(key).map(|e| &e.versioned)
     }
 
-    /// Returns everything that stands there.
+    /// Returns the values of all keys.
     pub fn all(&self) -> impl Iterator<Item = &Versioned> {
         self.entries.values().map(|e| &e.versioned)
     }
@@ -198,22 +198,22 @@
         std::mem::take(&mut self.watchers).into_keys().collect()
     }
 
-    /// Returns what each watcher hasn't been told yet.
-    pub(crate) fn take_news(&mut self) -> Vec<News> {
+    /// Returns the changes that each watcher hasn't received yet.
+    pub(crate) fn take_updates(&mut self) -> Vec<WatchUpdate> {
         if self.mode != StoreMode::Up {
             return Vec::new();
         }
         let revision = self.revision;
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (host, from) in &mut self.watchers {
             let start = self.history.partition_point(|v| v.revision < *from);
             let shared = |v: &&Versioned| !matches!(v.key, Key::Once(_));
             let changes: Vec<Versioned> = self.history[start..].iter().filter(shared).cloned().collect();
             *from = revision.next();
             if !changes.is_empty() {
-                news.push(News { host: *host, changes, upto: revision });
+                updates.push(WatchUpdate { host: *host, changes, upto: revision });
             }
         }
-        news
+        updates
     }
 }
--- a/crates/skylarkshore-standins/src/world/violation.rs
+++ b/crates/skylarkshore-standins/src/world/violation.rs
@@ -1,13 +1,13 @@
-//! What must never happen in the given-time world.
+//! A violated invariant of the simulation.
 
 use skylarkshore_core::Time;
 
-/// Something that must never happen, and did.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Time of the violation.
     pub at: Time,
-    /// What.
+    /// Description of the violation.
     pub what: String,
 }
 
