--- a/crates/skylarkshore-standins/src/census.rs
+++ b/crates/skylarkshore-standins/src/census.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins count over the whole deployment.
+//! Counters shared by all stand-ins of a deployment. Start with [`Census`].
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -9,12 +9,12 @@
 
 use crate::lock;
 
-/// How often something stands now, and how often it stood at most.
+/// Current and highest value of a gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Level {
-    /// Now.
+    /// Current value.
     pub now: u64,
-    /// The highest ever.
+    /// Highest value so far.
     pub peak: u64,
 }
 
@@ -25,26 +25,26 @@
     }
 }
 
-/// The counts.
+/// Counts over the whole deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Replicas of each model, loading ones included.
+    /// Replicas of each model, including loading ones.
     pub replicas: BTreeMap<ModelName, Level>,
-    /// Loads of each model that were begun.
+    /// Loads started for each model.
     pub loads: BTreeMap<ModelName, u64>,
-    /// The watts of each site.
+    /// Power draw of each site in watts.
     pub watts: BTreeMap<SiteName, Level>,
     /// Runs of each idempotency key.
     pub runs: BTreeMap<String, u64>,
-    /// Requests that were run to their end.
+    /// Requests run to completion.
     pub answered: u64,
-    /// Loads that an engine had no memory for.
+    /// Loads refused for lack of memory.
     pub overcommits: u64,
-    /// Orders under an old fence that were refused.
+    /// Orders with an outdated fence that were refused.
     pub old_fences_refused: u64,
-    /// Orders under an old fence that were carried out.
+    /// Orders with an outdated fence that were executed.
     pub old_fences_obeyed: u64,
-    /// Engines that crashed.
+    /// Engine crashes.
     pub crashes: u64,
 }
 
@@ -54,19 +54,19 @@
     engines: BTreeMap<SiteName, BTreeMap<UpstreamId, Watts>>,
 }
 
-/// Counts over the whole deployment, shared by its stand-ins.
+/// Thread-safe counters of a deployment.
 #[derive(Debug, Default)]
 pub struct Census {
     inner: Mutex<Inner>,
 }
 
 impl Census {
-    /// Returns the counts as they stand.
+    /// Returns a copy of the current counts.
     pub fn counts(&self) -> Counts {
         lock(&self.inner).counts.clone()
     }
 
-    pub(crate) fn replica_begun(&self, model: &ModelName) {
+    pub(crate) fn replica_started(&self, model: &ModelName) {
         let counts = &mut lock(&self.inner).counts;
         let level = counts.replicas.entry(model.clone()).or_default();
         level.set(level.now + 1);
@@ -79,7 +79,7 @@
         level.set(level.now.saturating_sub(1));
     }
 
-    pub(crate) fn draws(&self, site: &SiteName, engine: &UpstreamId, watts: Watts) {
+    pub(crate) fn record_power_draw(&self, site: &SiteName, engine: &UpstreamId, watts: Watts) {
         let inner = &mut *lock(&self.inner);
         let engines = inner.engines.entry(site.clone()).or_default();
         engines.insert(engine.clone(), watts);
@@ -87,14 +87,14 @@
         inner.counts.watts.entry(site.clone()).or_default().set(total);
     }
 
-    pub(crate) fn run(&self, key: &str) -> u64 {
+    pub(crate) fn record_run(&self, key: &str) -> u64 {
         let counts = &mut lock(&self.inner).counts;
         let runs = counts.runs.entry(key.to_owned()).or_default();
         *runs += 1;
         *runs
     }
 
-    pub(crate) fn note(&self, change: impl FnOnce(&mut Counts)) {
+    pub(crate) fn update(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut lock(&self.inner).counts);
     }
 }
--- a/crates/skylarkshore-standins/src/engine.rs
+++ b/crates/skylarkshore-standins/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: it loads, batches, answers, crashes and counts.
+//! Stand-in for a model engine: an HTTP server that loads models and answers requests, with
+//! injectable faults. Start with [`Engine`].
 
 mod batch;
 mod generate;
@@ -31,51 +32,51 @@
 
 pub use generate::{CRASH_MARKER, expected_text};
 
-/// How many ports are tried; another process may take one after it was found free.
+/// How many ports are tried, since another process may take a port after it was found free.
 const PORT_ATTEMPTS: u32 = 10;
 
-/// What an engine is and how fast it works.
+/// Identity, capacity and speed of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Its name.
+    /// Engine name.
     pub id: UpstreamId,
-    /// Where it stands.
+    /// Data centre of the engine.
     pub data_centre: DataCentre,
-    /// The site whose power it draws.
+    /// Site that supplies its power.
     pub site: SiteName,
-    /// Its accelerator memory.
+    /// Accelerator memory.
     pub memory: Mebibytes,
-    /// What it draws with nothing loaded.
+    /// Power draw without a model.
     pub sleep_watts: Watts,
-    /// What it draws with anything loaded or loading.
+    /// Power draw with any model loaded or loading.
     pub active_watts: Watts,
-    /// Whether it refuses orders under an old fence.
+    /// Whether orders with an outdated fence are refused.
     pub checks_fences: bool,
-    /// How many requests it runs at a time.
+    /// Number of requests run concurrently.
     pub concurrency: u32,
-    /// How long a generated token takes.
+    /// Time to generate a token.
     pub token_time: Duration,
-    /// How old its load figures may be.
+    /// Age of the load figures in its reports.
     pub lag: Duration,
-    /// How long it stays away after a crash.
+    /// Downtime after a crash.
     pub restart_time: Duration,
 }
 
-/// What is wrong with an engine.
+/// Faults injected into an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Cut the next orders before they took effect.
+    /// Close the connection of this many orders before they take effect.
     pub drop_orders: u32,
-    /// Cut the next orders after they took effect.
+    /// Close the connection of this many orders after they take effect.
     pub lose_order_answers: u32,
-    /// Carry orders out only after this long, in milliseconds.
+    /// Delay before an order is executed, in milliseconds.
     pub late_orders_ms: u64,
-    /// Add this to the time of each token, in milliseconds.
+    /// Extra time per token, in milliseconds.
     pub slow_tokens_ms: u64,
-    /// Give the next answers under another request's id.
+    /// Send this many answers with another request's id.
     pub crossed_answers: u32,
-    /// Say that it is about to go.
+    /// Report that the engine is leaving.
     pub leaving: bool,
 }
 
@@ -85,7 +86,7 @@
     memory: Mutex<Memory>,
     batch: Arc<Batch>,
     faults: Mutex<EngineFaults>,
-    /// Loads and unloads on their way; a crash ends them.
+    /// Loads and unloads in progress, aborted by a crash.
     work: Mutex<JoinSet<()>>,
     weights: Arc<WeightStore>,
     census: Arc<Census>,
@@ -136,7 +137,7 @@
         Ok(Self { shared })
     }
 
-    /// Returns its entry of the host list.
+    /// Returns the engine's host list entry.
     pub fn host_entry(&self) -> HostEntry {
         let settings = &self.shared.settings;
         HostEntry {
@@ -155,39 +156,39 @@
         }
     }
 
-    /// Returns its name.
+    /// Returns the engine's name.
     pub fn id(&self) -> &UpstreamId {
         &self.shared.settings.id
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Returns how it stands.
+    /// Returns the current report.
     pub fn report(&self) -> Report {
         self.shared.report()
     }
 
-    /// Switches its faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Tells whether a model answers requests there.
+    /// Reports whether a model is ready to answer requests.
     pub fn is_ready(&self, model: &ModelName) -> bool {
         lock(&self.shared.memory).is_ready(model.as_str())
     }
 
-    /// Ends its life and, after its restart time, begins the next one with nothing loaded.
+    /// Crashes the engine, which restarts empty after its restart time.
     pub fn crash(&self) {
         Shared::crash(&self.shared);
     }
 
-    /// Ends its life for good.
+    /// Stops the engine without a restart.
     pub fn stop(&self) {
-        self.shared.die();
+        self.shared.shut_down();
     }
 }
 
@@ -208,7 +209,7 @@
         Ok(())
     }
 
-    fn die(&self) {
+    fn shut_down(&self) {
         lock(&self.server).take();
         lock(&self.work).abort_all();
         self.batch.clear();
@@ -216,13 +217,13 @@
     }
 
     fn crash(self: &Arc<Self>) {
-        self.census.note(|counts| counts.crashes += 1);
-        self.die();
+        self.census.update(|counts| counts.crashes += 1);
+        self.shut_down();
         let shared = Arc::clone(self);
         tokio::spawn(async move {
             sleep(shared.settings.restart_time).await;
-            lock(&shared.memory).begin_life();
-            // The port was free a moment ago; a taken one leaves the engine dead, which the tests would notice.
+            lock(&shared.memory).begin_incarnation();
+            // If the port has been taken meanwhile, the engine stays down and tests fail visibly.
             _ = shared.listen().await;
         });
     }
@@ -256,44 +257,44 @@
         Ok(req) => req,
         Err(err) => return Ok(text(StatusCode::BAD_REQUEST, &format!("not an order: {err}"))),
     };
-    let faults = take_order_faults(&shared);
+    let faults = consume_order_faults(&shared);
     if faults.drop_orders > 0 {
         return Err(Cut);
     }
     if faults.late_orders_ms > 0 {
-        // The order goes on its way even when its sender has given up waiting.
-        let late = Arc::clone(&shared);
+        // A separate task executes the order even if the sender disconnects.
+        let delayed = Arc::clone(&shared);
         let task = tokio::spawn(async move {
             sleep(Duration::from_millis(faults.late_orders_ms)).await;
-            carry_out(&late, req)
+            execute_order(&delayed, req)
         });
         let reply = task.await.map_err(|_gone| Cut)?;
-        return Ok(order_answer(&reply));
+        return Ok(order_response(&reply));
     }
-    let reply = carry_out(&shared, req);
-    if faults.lose_order_answers > 0 { Err(Cut) } else { Ok(order_answer(&reply)) }
+    let reply = execute_order(&shared, req);
+    if faults.lose_order_answers > 0 { Err(Cut) } else { Ok(order_response(&reply)) }
 }
 
-/// Returns the faults that strike this order, and counts them down.
-fn take_order_faults(shared: &Shared) -> EngineFaults {
+/// Returns the faults for this order and decrements their counts.
+fn consume_order_faults(shared: &Shared) -> EngineFaults {
     let mut faults = lock(&shared.faults);
-    let striking = faults.clone();
+    let active = faults.clone();
     faults.drop_orders = faults.drop_orders.saturating_sub(1);
-    if striking.drop_orders == 0 {
+    if active.drop_orders == 0 {
         faults.lose_order_answers = faults.lose_order_answers.saturating_sub(1);
     }
-    striking
+    active
 }
 
-fn order_answer(reply: &OrderReply) -> Response<Body> {
+fn order_response(reply: &OrderReply) -> Response<Body> {
     json(StatusCode::from_u16(reply.status()).unwrap_or(StatusCode::OK), reply)
 }
 
-fn carry_out(shared: &Arc<Shared>, req: OrderRequest) -> OrderReply {
+fn execute_order(shared: &Arc<Shared>, req: OrderRequest) -> OrderReply {
     let (reply, work) = lock(&shared.memory).order(req);
     if let Some(work) = work {
         let shared_work = Arc::clone(shared);
-        lock(&shared.work).spawn(async move { memory::finish(shared_work, work).await });
+        lock(&shared.work).spawn(async move { memory::run_background_work(shared_work, work).await });
     }
     reply
 }
--- a/crates/skylarkshore-standins/src/engine/batch.rs
+++ b/crates/skylarkshore-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Which requests an engine runs, and which wait inside it.
+//! Admission of an engine's requests to its limited number of slots. Start with [`Batch`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -9,20 +9,20 @@
 
 use crate::lock;
 
-/// How many requests wait inside the engine for each that runs.
-const WAITING_PER_RUNNING: u32 = 4;
+/// Queue limit of the engine, as a multiple of its concurrency.
+const QUEUED_PER_RUNNING: u32 = 4;
 
-/// How many load figures are remembered to be told late.
-const REMEMBERED: usize = 1024;
+/// How many load samples are kept, since reports return past load.
+const MAX_LOAD_HISTORY: usize = 1024;
 
-/// Who goes first: the lower priority number, then the earlier request.
+/// Queue order: the lower priority number first, then the earlier request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueueKey {
     priority: u16,
     arrival: u64,
 }
 
-/// How much an engine has to do.
+/// Number of requests in an engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     pub(super) running: u32,
@@ -32,34 +32,34 @@
 #[derive(Debug, Default)]
 struct Inner {
     running: u32,
-    waiting: BTreeMap<Place, oneshot::Sender<Slot>>,
+    waiting: BTreeMap<QueueKey, oneshot::Sender<Slot>>,
     arrivals: u64,
-    /// Which life of the engine; a slot of an earlier one counts no more.
-    life: u64,
-    past: VecDeque<(Instant, Load)>,
+    /// Incarnation of the engine; slots of earlier ones no longer count.
+    incarnation: u64,
+    history: VecDeque<(Instant, Load)>,
 }
 
-/// The requests of an engine.
+/// The slots and the queue of an engine.
 #[derive(Debug)]
 pub(super) struct Batch {
     concurrency: u32,
     inner: Mutex<Inner>,
 }
 
-/// The right to run, given back when dropped.
+/// A slot to run one request, released when dropped.
 #[derive(Debug)]
 pub(super) struct Slot {
     batch: Arc<Batch>,
-    life: u64,
+    incarnation: u64,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.batch.leave(self.life);
+        self.batch.release(self.incarnation);
     }
 }
 
-/// The engine takes no more.
+/// The queue of the engine is full.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Full;
 
@@ -68,76 +68,80 @@
         Self { concurrency, inner: Mutex::default() }
     }
 
-    /// Waits for the right to run.
-    pub(super) async fn enter(self: &Arc<Self>, priority: u16) -> Result<Slot, Full> {
-        let turn = {
+    /// Waits for a free slot, or fails if the queue is full.
+    pub(super) async fn acquire(self: &Arc<Self>, priority: u16) -> Result<Slot, Full> {
+        let slot = {
             let mut inner = lock(&self.inner);
             if inner.running < self.concurrency {
                 inner.running += 1;
-                inner.note();
-                return Ok(Slot { batch: Arc::clone(self), life: inner.life });
+                inner.record_load();
+                return Ok(Slot { batch: Arc::clone(self), incarnation: inner.incarnation });
             }
-            if inner.waiting.len() >= (self.concurrency * WAITING_PER_RUNNING) as usize {
+            if inner.waiting.len() >= (self.concurrency * QUEUED_PER_RUNNING) as usize {
                 return Err(Full);
             }
             inner.arrivals += 1;
             let (tx, rx) = oneshot::channel();
-            let place = Place { priority, arrival: inner.arrivals };
-            inner.waiting.insert(place, tx);
-            inner.note();
+            let key = QueueKey { priority, arrival: inner.arrivals };
+            inner.waiting.insert(key, tx);
+            inner.record_load();
             rx
         };
-        turn.await.map_err(|_gone| Full)
+        slot.await.map_err(|_gone| Full)
     }
 
-    /// Forgets everything, as a crash does.
+    /// Drops all slots and queued requests, as a crash does.
     pub(super) fn clear(&self) {
         let mut inner = lock(&self.inner);
-        *inner = Inner { life: inner.life + 1, ..Inner::default() };
+        *inner = Inner { incarnation: inner.incarnation + 1, ..Inner::default() };
     }
 
     /// Returns the load as it was `lag` ago.
     pub(super) fn load(&self, lag: Duration) -> Load {
         let inner = lock(&self.inner);
-        let seen = Instant::now().checked_sub(lag);
-        let past = inner.past.iter().rev().find(|(at, _)| seen.is_some_and(|seen| *at <= seen));
-        past.map(|(_, load)| *load).unwrap_or_default()
+        let sampled_until = Instant::now().checked_sub(lag);
+        let sample = inner
+            .history
+            .iter()
+            .rev()
+            .find(|(at, _)| sampled_until.is_some_and(|sampled_until| *at <= sampled_until));
+        sample.map(|(_, load)| *load).unwrap_or_default()
     }
 
-    fn leave(self: &Arc<Self>, life: u64) {
-        self.free(life);
-        while let Some((turn, slot)) = self.next_turn() {
-            // One whose caller went away drops the slot, which passes the turn on.
-            drop(turn.send(slot));
+    fn release(self: &Arc<Self>, incarnation: u64) {
+        self.decrement_running(incarnation);
+        while let Some((waiter, slot)) = self.next_waiting() {
+            // If the caller has disconnected, the slot is dropped here and goes to the next request.
+            drop(waiter.send(slot));
         }
     }
 
-    fn free(&self, life: u64) {
+    fn decrement_running(&self, incarnation: u64) {
         let mut inner = lock(&self.inner);
-        if inner.life == life {
+        if inner.incarnation == incarnation {
             inner.running = inner.running.saturating_sub(1);
-            inner.note();
+            inner.record_load();
         }
     }
 
-    fn next_turn(self: &Arc<Self>) -> Option<(oneshot::Sender<Slot>, Slot)> {
+    fn next_waiting(self: &Arc<Self>) -> Option<(oneshot::Sender<Slot>, Slot)> {
         let mut inner = lock(&self.inner);
         if inner.running >= self.concurrency {
             return None;
         }
-        let (_, turn) = inner.waiting.pop_first()?;
+        let (_, waiter) = inner.waiting.pop_first()?;
         inner.running += 1;
-        inner.note();
-        Some((turn, Slot { batch: Arc::clone(self), life: inner.life }))
+        inner.record_load();
+        Some((waiter, Slot { batch: Arc::clone(self), incarnation: inner.incarnation }))
     }
 }
 
 impl Inner {
-    fn note(&mut self) {
+    fn record_load(&mut self) {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
-        self.past.push_back((Instant::now(), Load { running: self.running, waiting }));
-        if self.past.len() > REMEMBERED {
-            self.past.pop_front();
+        self.history.push_back((Instant::now(), Load { running: self.running, waiting }));
+        if self.history.len() > MAX_LOAD_HISTORY {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/skylarkshore-standins/src/engine/generate.rs
+++ b/crates/skylarkshore-standins/src/engine/generate.rs
@@ -1,4 +1,4 @@
-//! Answers to chat and completion requests.
+//! Handlers of chat and completion requests, whose answers are determined by the prompt.
 
 use std::io;
 use std::sync::Arc;
@@ -21,20 +21,20 @@
 use crate::http::{Answered, Body, Cut, json as json_answer, stream as streamed, text};
 use crate::lock;
 
-/// Where chats are answered.
+/// Path of chat requests.
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
-/// Where prompts are completed.
+/// Path of completion requests.
 pub(super) const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A request whose text contains this crashes the engine that runs it.
+/// Prompt text that crashes the engine running the request.
 pub const CRASH_MARKER: &str = "crash-the-engine";
 
-/// How many tokens an answer has when the request doesn't say.
+/// Number of tokens in an answer when the request has no `max_tokens`.
 const DEFAULT_TOKENS: u32 = 8;
-/// The priority of a request that names none.
+/// Priority of a request without a priority header.
 const DEFAULT_PRIORITY: u16 = 100;
-/// How much of a prompt names its prefix, in bytes.
-const PREFIX_LEN: usize = 1024;
+/// Number of leading bytes of a prompt that identify its prefix.
+const MAX_PREFIX_LEN: usize = 1024;
 
 #[derive(Debug, Deserialize)]
 struct GenerateRequest {
@@ -63,17 +63,17 @@
     }
 }
 
-/// The shape of an answer.
+/// The format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Shape {
+enum AnswerKind {
     Chat,
     Completion,
 }
 
 /// Returns the text with which any engine answers a prompt.
 ///
-/// It depends on nothing but the model, the prompt and the length, so that a
-/// crossed, doubled or shortened answer is noticed.
+/// The text depends only on the model, the prompt and the length, so tests can
+/// detect crossed, duplicated or truncated answers.
 pub fn expected_text(model: &str, prompt: &str, tokens: u32) -> String {
     tokens_of(model, prompt, tokens).concat()
 }
@@ -84,11 +84,11 @@
 }
 
 fn digest_of(text: &str) -> Digest {
-    let prefix = &text.as_bytes()[..text.len().min(PREFIX_LEN)];
+    let prefix = &text.as_bytes()[..text.len().min(MAX_PREFIX_LEN)];
     Digest(Sha256::digest(prefix).into())
 }
 
-/// Work on a request, which ends when this is dropped.
+/// A request in progress; dropping it ends the request.
 struct Running {
     shared: Arc<Shared>,
     base: ModelName,
@@ -101,18 +101,18 @@
     }
 }
 
-/// Answers a request and echoes its name, also where nothing was run.
+/// Answers a request and echoes its id, even if the request wasn't run.
 pub(super) async fn answer(shared: Arc<Shared>, req: Request<Bytes>) -> Answered {
     let id = req.headers().get(REQUEST_ID_HEADER).cloned();
     let mut response = generate(Arc::clone(&shared), req).await?;
-    let none = HeaderValue::from_static("another-request");
-    let id = if take_crossed(&shared) { none } else { id.unwrap_or(none) };
+    let placeholder = HeaderValue::from_static("another-request");
+    let id = if consume_crossed_answer_fault(&shared) { placeholder } else { id.unwrap_or(placeholder) };
     response.headers_mut().insert(REQUEST_ID_HEADER, id);
     Ok(response)
 }
 
-/// Tells whether this answer gets crossed with another one, and counts it down.
-fn take_crossed(shared: &Shared) -> bool {
+/// Reports whether this answer gets another request's id, and decrements the fault's count.
+fn consume_crossed_answer_fault(shared: &Shared) -> bool {
     let mut faults = lock(&shared.faults);
     let crossed = faults.crossed_answers > 0;
     faults.crossed_answers = faults.crossed_answers.saturating_sub(1);
@@ -120,32 +120,32 @@
 }
 
 async fn generate(shared: Arc<Shared>, req: Request<Bytes>) -> Answered {
-    let shape = if req.uri().path() == CHAT_PATH { Shape::Chat } else { Shape::Completion };
+    let kind = if req.uri().path() == CHAT_PATH { AnswerKind::Chat } else { AnswerKind::Completion };
     let body: GenerateRequest = match serde_json::from_slice(req.body()) {
         Ok(body) => body,
         Err(err) => return Ok(text(StatusCode::BAD_REQUEST, &format!("not a request: {err}"))),
     };
     let prompt = body.text();
-    let mut running = match admit(&shared, &body.model, &prompt) {
+    let mut running = match start_request(&shared, &body.model, &prompt) {
         Ok(running) => running,
         Err(reason) => return Ok(not_run(reason)),
     };
     let priority = header_number(req.headers(), PRIORITY_HEADER).unwrap_or(DEFAULT_PRIORITY);
-    match shared.batch.enter(priority).await {
+    match shared.batch.acquire(priority).await {
         Ok(slot) => running.slot = Some(slot),
         Err(Full) => return Ok(not_run(NotRunReason::Busy)),
     }
     if prompt.contains(CRASH_MARKER) {
-        // The crash cuts every connection, this one included.
+        // The crash closes every connection, including this one.
         Shared::crash(&shared);
         return Err(Cut);
     }
     let tokens = tokens_of(&body.model, &prompt, body.max_tokens.unwrap_or(DEFAULT_TOKENS));
     Ok(if body.stream {
         let resume = header_number(req.headers(), RESUME_HEADER).unwrap_or(0);
-        stream_answer(running, shape, &body.model, &tokens, resume)
+        stream_answer(running, kind, &body.model, &tokens, resume)
     } else {
-        whole_answer(running, shape, &body.model, &tokens).await
+        complete_answer(running, kind, &body.model, &tokens).await
     })
 }
 
@@ -158,13 +158,13 @@
     json_answer(status, &NotRun { error: reason })
 }
 
-fn admit(shared: &Arc<Shared>, model: &str, prompt: &str) -> Result<Running, NotRunReason> {
+fn start_request(shared: &Arc<Shared>, model: &str, prompt: &str) -> Result<Running, NotRunReason> {
     if lock(&shared.faults).leaving {
         return Err(NotRunReason::Leaving);
     }
     let mut memory = lock(&shared.memory);
     let base = memory.ready_base(model).ok_or(NotRunReason::NotLoaded)?;
-    memory.request_begun(&base, digest_of(prompt));
+    memory.request_started(&base, digest_of(prompt));
     drop(memory);
     Ok(Running { shared: Arc::clone(shared), base, slot: None })
 }
@@ -176,19 +176,24 @@
     }
 }
 
-async fn whole_answer(running: Running, shape: Shape, model: &str, tokens: &[String]) -> Response<Body> {
+async fn complete_answer(
+    running: Running,
+    kind: AnswerKind,
+    model: &str,
+    tokens: &[String],
+) -> Response<Body> {
     for _ in tokens {
         running.token_time().await;
     }
-    running.shared.census.note(|counts| counts.answered += 1);
+    running.shared.census.update(|counts| counts.answered += 1);
     let text = tokens.concat();
     let usage = json!({"completion_tokens": tokens.len()});
-    let body = match shape {
-        Shape::Chat => json!({
+    let body = match kind {
+        AnswerKind::Chat => json!({
             "object": "chat.completion", "model": model, "usage": usage,
             "choices": [{"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}],
         }),
-        Shape::Completion => json!({
+        AnswerKind::Completion => json!({
             "object": "text_completion", "model": model, "usage": usage,
             "choices": [{"index": 0, "text": text, "finish_reason": "stop"}],
         }),
@@ -196,44 +201,46 @@
     json_answer(StatusCode::OK, &body)
 }
 
-fn chunk(shape: Shape, model: &str, token: &str, finish: Option<&str>) -> Value {
-    match shape {
-        Shape::Chat => json!({
+fn chunk(kind: AnswerKind, model: &str, token: &str, finish_reason: Option<&str>) -> Value {
+    match kind {
+        AnswerKind::Chat => json!({
             "object": "chat.completion.chunk", "model": model,
-            "choices": [{"index": 0, "delta": {"content": token}, "finish_reason": finish}],
+            "choices": [{"index": 0, "delta": {"content": token}, "finish_reason": finish_reason}],
         }),
-        Shape::Completion => json!({
+        AnswerKind::Completion => json!({
             "object": "text_completion", "model": model,
-            "choices": [{"index": 0, "text": token, "finish_reason": finish}],
+            "choices": [{"index": 0, "text": token, "finish_reason": finish_reason}],
         }),
     }
 }
 
 fn stream_answer(
     running: Running,
-    shape: Shape,
+    kind: AnswerKind,
     model: &str,
     tokens: &[String],
     resume: usize,
 ) -> Response<Body> {
-    let last = chunk(shape, model, "", Some("stop")).to_string();
+    let last = chunk(kind, model, "", Some("stop")).to_string();
     let mut events: Vec<String> =
-        tokens.iter().map(|token| chunk(shape, model, token, None).to_string()).collect();
+        tokens.iter().map(|token| chunk(kind, model, token, None).to_string()).collect();
     events.push(last);
     events.push(STREAM_END.to_owned());
-    let left = events.split_off(resume.min(events.len()));
-    streamed("text/event-stream", stream::unfold((running, left.into_iter()), next_event))
+    let remaining = events.split_off(resume.min(events.len()));
+    streamed("text/event-stream", stream::unfold((running, remaining.into_iter()), next_event))
 }
 
-type Left = std::vec::IntoIter<String>;
+type RemainingEvents = std::vec::IntoIter<String>;
 
-async fn next_event((running, mut left): (Running, Left)) -> Option<(io::Result<Bytes>, (Running, Left))> {
-    let Some(event) = left.next() else {
-        running.shared.census.note(|counts| counts.answered += 1);
+async fn next_event(
+    (running, mut remaining): (Running, RemainingEvents),
+) -> Option<(io::Result<Bytes>, (Running, RemainingEvents))> {
+    let Some(event) = remaining.next() else {
+        running.shared.census.update(|counts| counts.answered += 1);
         return None;
     };
-    if left.len() > 1 {
+    if remaining.len() > 1 {
         running.token_time().await;
     }
-    Some((Ok(format!("data: {event}\n\n").into()), (running, left)))
+    Some((Ok(format!("data: {event}\n\n").into()), (running, remaining)))
 }
--- a/crates/skylarkshore-standins/src/engine/memory.rs
+++ b/crates/skylarkshore-standins/src/engine/memory.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and the orders that change it.
+//! Models in an engine's memory, and the orders that change them. Start with [`Memory`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::engine::{EngineSettings, Shared};
 use crate::lock;
 
-/// How many settled orders and cache events are remembered.
-const REMEMBERED: usize = 256;
+/// How many finished orders and cache events are kept.
+const MAX_HISTORY: usize = 256;
 
-/// How long an unload takes.
-const UNLOAD_TIME: Duration = Duration::from_millis(50);
+/// How long an unload takes once the model is drained.
+const UNLOAD_DURATION: Duration = Duration::from_millis(50);
 
-/// How often an unload looks whether the requests in progress have ended.
-const DRAIN_STEP: Duration = Duration::from_millis(10);
+/// How often an unload checks whether the requests in progress have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How many prefixes the cache holds for each model.
+/// Size of each model's prefix cache.
 const CACHED_PREFIXES: usize = 16;
 
 #[derive(Debug)]
@@ -45,14 +45,14 @@
 }
 
 impl Loaded {
-    fn total(&self) -> Mebibytes {
+    fn total_memory(&self) -> Mebibytes {
         self.memory + self.adapters.values().map(|adapter| adapter.memory).sum()
     }
 }
 
-/// What is left to do after an order was accepted.
+/// Work that continues in the background after an order was accepted.
 #[derive(Debug)]
-pub(super) enum Work {
+pub(super) enum BackgroundWork {
     Load { model: ModelName, memory: Mebibytes },
     LoadAdapter { model: ModelName, adapter: AdapterName, memory: Mebibytes },
     Unload { model: ModelName },
@@ -68,12 +68,12 @@
     models: BTreeMap<ModelName, Loaded>,
     settled: VecDeque<OrderId>,
     cache_events: VecDeque<CacheEvent>,
-    newest_event: u64,
+    last_event: u64,
 }
 
 impl Memory {
     pub(super) fn new(settings: &EngineSettings, census: Arc<Census>) -> Self {
-        census.draws(&settings.site, &settings.id, settings.sleep_watts);
+        census.record_power_draw(&settings.site, &settings.id, settings.sleep_watts);
         Self {
             settings: settings.clone(),
             census,
@@ -82,7 +82,7 @@
             models: BTreeMap::new(),
             settled: VecDeque::new(),
             cache_events: VecDeque::new(),
-            newest_event: 0,
+            last_event: 0,
         }
     }
 
@@ -92,22 +92,22 @@
         }
         self.settled.clear();
         self.cache_events.clear();
-        self.newest_event = 0;
-        self.draw();
+        self.last_event = 0;
+        self.record_power_draw();
     }
 
-    /// Begins the next life; the fence outlives a restart, as real engines keep it outside.
-    pub(super) fn begin_life(&mut self) {
+    /// Starts the next incarnation. The fence survives, since real engines store it externally.
+    pub(super) fn begin_incarnation(&mut self) {
         self.incarnation = self.incarnation.next();
     }
 
-    pub(super) fn order(&mut self, req: OrderRequest) -> (OrderReply, Option<Work>) {
+    pub(super) fn order(&mut self, req: OrderRequest) -> (OrderReply, Option<BackgroundWork>) {
         if req.fence < self.fence {
             if self.settings.checks_fences {
-                self.census.note(|counts| counts.old_fences_refused += 1);
+                self.census.update(|counts| counts.old_fences_refused += 1);
                 return (OrderReply::FenceTooLow { seen: self.fence }, None);
             }
-            self.census.note(|counts| counts.old_fences_obeyed += 1);
+            self.census.update(|counts| counts.old_fences_obeyed += 1);
         }
         if req.fence > self.fence {
             self.fence = req.fence;
@@ -115,15 +115,15 @@
         }
         if req.fence == self.fence {
             self.settled.push_back(req.order);
-            self.settled.keep_newest(REMEMBERED);
+            self.settled.truncate_oldest(MAX_HISTORY);
         }
-        match self.act(req.action) {
+        match self.execute_action(req.action) {
             Ok(work) => (OrderReply::Accepted(true), work),
             Err(reason) => (OrderReply::Refused(reason), None),
         }
     }
 
-    fn act(&mut self, action: OrderAction) -> Result<Option<Work>, String> {
+    fn execute_action(&mut self, action: OrderAction) -> Result<Option<BackgroundWork>, String> {
         match action {
             OrderAction::RaiseFence | OrderAction::SetRole { .. } => Ok(None),
             OrderAction::Load { model, version, memory_mib } => self.load(model, version, memory_mib),
@@ -145,7 +145,7 @@
         model: ModelName,
         version: ModelVersion,
         memory: Mebibytes,
-    ) -> Result<Option<Work>, String> {
+    ) -> Result<Option<BackgroundWork>, String> {
         if let Some(loaded) = self.models.get(&model) {
             return match loaded.state {
                 ModelState::Unloading => Err("the model is being unloaded".to_owned()),
@@ -156,7 +156,7 @@
             };
         }
         self.reserve(memory)?;
-        self.census.replica_begun(&model);
+        self.census.replica_started(&model);
         let loaded = Loaded {
             version,
             state: ModelState::Loading,
@@ -166,8 +166,8 @@
             prefixes: VecDeque::new(),
         };
         self.models.insert(model.clone(), loaded);
-        self.draw();
-        Ok(Some(Work::Load { model, memory }))
+        self.record_power_draw();
+        Ok(Some(BackgroundWork::Load { model, memory }))
     }
 
     fn load_adapter(
@@ -175,7 +175,7 @@
         model: ModelName,
         adapter: AdapterName,
         memory: Mebibytes,
-    ) -> Result<Option<Work>, String> {
+    ) -> Result<Option<BackgroundWork>, String> {
         let Some(loaded) = self.models.get(&model) else {
             return Err("the base model isn't loaded".to_owned());
         };
@@ -186,31 +186,31 @@
         if let Some(loaded) = self.models.get_mut(&model) {
             loaded.adapters.insert(adapter.clone(), Adapter { memory, ready: false });
         }
-        Ok(Some(Work::LoadAdapter { model, adapter, memory }))
+        Ok(Some(BackgroundWork::LoadAdapter { model, adapter, memory }))
     }
 
-    fn unload(&mut self, model: ModelName) -> Option<Work> {
+    fn unload(&mut self, model: ModelName) -> Option<BackgroundWork> {
         let loaded = self.models.get_mut(&model)?;
         if loaded.state == ModelState::Unloading {
             return None;
         }
         loaded.state = ModelState::Unloading;
-        Some(Work::Unload { model })
+        Some(BackgroundWork::Unload { model })
     }
 
     fn reserve(&self, memory: Mebibytes) -> Result<(), String> {
-        let used: Mebibytes = self.models.values().map(Loaded::total).sum();
+        let used: Mebibytes = self.models.values().map(Loaded::total_memory).sum();
         if used + memory <= self.settings.memory {
             return Ok(());
         }
-        self.census.note(|counts| counts.overcommits += 1);
+        self.census.update(|counts| counts.overcommits += 1);
         Err(format!("out of memory: {used} of {} are taken", self.settings.memory))
     }
 
-    fn draw(&self) {
+    fn record_power_draw(&self) {
         let watts =
             if self.models.is_empty() { self.settings.sleep_watts } else { self.settings.active_watts };
-        self.census.draws(&self.settings.site, &self.settings.id, watts);
+        self.census.record_power_draw(&self.settings.site, &self.settings.id, watts);
     }
 
     pub(super) fn report(&self) -> Report {
@@ -227,20 +227,20 @@
         }
     }
 
-    /// Finds the base model that answers to a name, if it is ready.
+    /// Returns the ready base model that serves a model or adapter name.
     pub(super) fn ready_base(&self, name: &str) -> Option<ModelName> {
-        let answers = |(base, loaded): &(&ModelName, &Loaded)| {
+        let serves_name = |(base, loaded): &(&ModelName, &Loaded)| {
             let adapter = loaded.adapters.iter().any(|(known, a)| known.as_str() == name && a.ready);
             loaded.state == ModelState::Ready && (base.as_str() == name || adapter)
         };
-        self.models.iter().find(answers).map(|(base, _)| base.clone())
+        self.models.iter().find(serves_name).map(|(base, _)| base.clone())
     }
 
     pub(super) fn is_ready(&self, name: &str) -> bool {
         self.ready_base(name).is_some()
     }
 
-    pub(super) fn request_begun(&mut self, model: &ModelName, prefix: Digest) {
+    pub(super) fn request_started(&mut self, model: &ModelName, prefix: Digest) {
         let Some(loaded) = self.models.get_mut(model) else { return };
         loaded.running += 1;
         if loaded.prefixes.contains(&prefix) {
@@ -249,9 +249,9 @@
         loaded.prefixes.push_back(prefix);
         let evicted =
             if loaded.prefixes.len() > CACHED_PREFIXES { loaded.prefixes.pop_front() } else { None };
-        self.note_cache(model, prefix, CacheChange::Stored);
+        self.record_cache_event(model, prefix, CacheChange::Stored);
         if let Some(evicted) = evicted {
-            self.note_cache(model, evicted, CacheChange::Removed);
+            self.record_cache_event(model, evicted, CacheChange::Removed);
         }
     }
 
@@ -263,21 +263,21 @@
 
     pub(super) fn cache_events(&self, after: u64) -> CacheEvents {
         let events = self.cache_events.iter().filter(|event| event.number > after).cloned().collect();
-        CacheEvents { incarnation: self.incarnation, events, newest: self.newest_event }
+        CacheEvents { incarnation: self.incarnation, events, newest: self.last_event }
     }
 
-    fn note_cache(&mut self, model: &ModelName, prefix: Digest, change: CacheChange) {
-        self.newest_event += 1;
+    fn record_cache_event(&mut self, model: &ModelName, prefix: Digest, change: CacheChange) {
+        self.last_event += 1;
         self.cache_events.push_back(CacheEvent {
-            number: self.newest_event,
+            number: self.last_event,
             model: model.clone(),
             prefix,
             change,
         });
-        self.cache_events.keep_newest(REMEMBERED);
+        self.cache_events.truncate_oldest(MAX_HISTORY);
     }
 
-    fn drained(&self, model: &ModelName) -> bool {
+    fn is_drained(&self, model: &ModelName) -> bool {
         self.models.get(model).is_none_or(|loaded| loaded.running == 0)
     }
 
@@ -285,7 +285,7 @@
         if self.models.remove(model).is_some() {
             self.census.replica_ended(model);
         }
-        self.draw();
+        self.record_power_draw();
     }
 }
 
@@ -305,10 +305,10 @@
     }
 }
 
-/// Does what an accepted order began.
-pub(super) async fn finish(shared: Arc<Shared>, work: Work) {
+/// Completes the work started by an accepted order.
+pub(super) async fn run_background_work(shared: Arc<Shared>, work: BackgroundWork) {
     match work {
-        Work::Load { model, memory } => {
+        BackgroundWork::Load { model, memory } => {
             shared.weights.load(memory.0).await;
             if let Some(loaded) = lock(&shared.memory).models.get_mut(&model)
                 && loaded.state == ModelState::Loading
@@ -316,7 +316,7 @@
                 loaded.state = ModelState::Ready;
             }
         }
-        Work::LoadAdapter { model, adapter, memory } => {
+        BackgroundWork::LoadAdapter { model, adapter, memory } => {
             shared.weights.load(memory.0).await;
             if let Some(loaded) = lock(&shared.memory).models.get_mut(&model)
                 && let Some(adapter) = loaded.adapters.get_mut(&adapter)
@@ -324,23 +324,23 @@
                 adapter.ready = true;
             }
         }
-        Work::Unload { model } => {
-            while !lock(&shared.memory).drained(&model) {
-                sleep(DRAIN_STEP).await;
+        BackgroundWork::Unload { model } => {
+            while !lock(&shared.memory).is_drained(&model) {
+                sleep(DRAIN_POLL_INTERVAL).await;
             }
-            sleep(UNLOAD_TIME).await;
+            sleep(UNLOAD_DURATION).await;
             lock(&shared.memory).remove(&model);
         }
     }
 }
 
-/// Drops the oldest entries beyond a length.
-trait KeepNewest {
-    fn keep_newest(&mut self, len: usize);
+/// Removes the oldest entries beyond a length.
+trait TruncateOldest {
+    fn truncate_oldest(&mut self, len: usize);
 }
 
-impl<T> KeepNewest for VecDeque<T> {
-    fn keep_newest(&mut self, len: usize) {
+impl<T> TruncateOldest for VecDeque<T> {
+    fn truncate_oldest(&mut self, len: usize) {
         while self.len() > len {
             self.pop_front();
         }
--- a/crates/skylarkshore-standins/src/fleet.rs
+++ b/crates/skylarkshore-standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole deployment of stand-ins in one process.
+//! A complete deployment of stand-ins in one process. Start with [`Fleet`].
 
 use std::future::ready;
 use std::io;
@@ -19,51 +19,51 @@
 use crate::store::Store;
 use crate::weights::{WeightStore, WeightStoreLimits};
 
-/// Where the counts are served.
+/// Path that serves the counts.
 pub const CENSUS_PATH: &str = "/standin/census";
 
-/// How large a deployment is and how fast its parts work.
+/// Size and speed of a deployment.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// The data centres, over which the upstreams are spread in turn.
+    /// Data centres, to which upstreams are assigned round-robin.
     pub data_centres: Vec<DataCentre>,
-    /// The site to which they all belong.
+    /// Site of all upstreams.
     pub site: SiteName,
-    /// How many engines there are.
+    /// Number of engines.
     pub engines: u32,
-    /// The engines' memory.
+    /// Accelerator memory of each engine.
     pub memory: Mebibytes,
-    /// Whether the engines refuse orders under an old fence.
+    /// Whether engines refuse orders with an outdated fence.
     pub checks_fences: bool,
-    /// How many requests an engine runs at a time.
+    /// Number of requests that an engine runs concurrently.
     pub concurrency: u32,
-    /// How long a token takes.
+    /// Time to generate a token.
     pub token_time: Duration,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: ServiceName,
-    /// How many replicas of it there are.
+    /// Number of replicas of the plain service.
     pub service_replicas: u32,
-    /// How late the host list is.
+    /// Delay until a change appears on the host list.
     pub host_list_lag: Duration,
-    /// What the weight store allows.
+    /// Limits of the weight store.
     pub weights: WeightStoreLimits,
-    /// Where the key-value service listens; port 0 for any free one.
+    /// Address of the key-value service; port 0 selects a free port.
     pub store_address: SocketAddr,
-    /// Where the host list is served; port 0 for any free one.
+    /// Address of the host list; port 0 selects a free port.
     pub host_list_address: SocketAddr,
 }
 
-/// Any free loopback port.
+/// Returns the loopback address with port 0, which selects any free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl FleetSettings {
-    /// Makes a small deployment in three data centres.
+    /// Returns settings for a small deployment in three data centres.
     ///
     /// # Errors
     ///
-    /// A name isn't valid.
+    /// Returns an error if a name isn't valid.
     pub fn small(engines: u32, service_replicas: u32) -> Result<Self, InvalidName> {
         let data_centres = ["bern-a", "olten-b", "aarau-c"].iter().map(|name| name.parse());
         Ok(Self {
@@ -117,7 +117,7 @@
     format!("{kind}-{}", index + 1).parse().map_err(io::Error::other)
 }
 
-/// A running deployment; everything ends when it is dropped.
+/// A running deployment, stopped when dropped.
 #[derive(Debug)]
 pub struct Fleet {
     /// The key-value service.
@@ -126,20 +126,20 @@
     pub hosts: HostListServer,
     /// The weight store.
     pub weights: Arc<WeightStore>,
-    /// The model engines.
+    /// Model engines.
     pub engines: Vec<Engine>,
-    /// The replicas of the plain service.
+    /// Replicas of the plain service.
     pub services: Vec<Service>,
-    /// What is counted over all of them.
+    /// Counters shared by all parts.
     pub census: Arc<Census>,
 }
 
 impl Fleet {
-    /// Starts everything.
+    /// Starts all parts of the deployment.
     ///
     /// # Errors
     ///
-    /// A port is taken.
+    /// Returns an error if a port is taken.
     pub async fn start(settings: &FleetSettings) -> io::Result<Self> {
         let store = Store::start(settings.store_address).await?;
         let hosts = HostListServer::start(settings.host_list_address, settings.host_list_lag).await?;
@@ -175,7 +175,7 @@
         Server::start(any_port(), answer).await
     }
 
-    /// Returns the engine of that name.
+    /// Returns the engine with this name.
     pub fn engine(&self, id: &str) -> Option<&Engine> {
         self.engines.iter().find(|engine| engine.id().as_str() == id)
     }
--- a/crates/skylarkshore-standins/src/hosts.rs
+++ b/crates/skylarkshore-standins/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The platform's host list, which lags behind.
+//! Stand-in for the platform's host list, where changes appear with a delay. Start with
+//! [`HostListServer`].
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,40 +16,40 @@
 use crate::http::{Body, Server, json, unknown};
 use crate::lock;
 
-/// A change that isn't seen before its time.
+/// A change that isn't visible yet.
 #[derive(Debug)]
-struct Change {
-    seen_from: Instant,
+struct PendingChange {
+    visible_at: Instant,
     id: UpstreamId,
     entry: Option<HostEntry>,
 }
 
 #[derive(Debug, Default)]
 struct Hosts {
-    shown: BTreeMap<UpstreamId, HostEntry>,
-    coming: Vec<Change>,
+    visible: BTreeMap<UpstreamId, HostEntry>,
+    pending: Vec<PendingChange>,
 }
 
 impl Hosts {
-    fn settle(&mut self, now: Instant) {
-        let (due, coming) = std::mem::take(&mut self.coming).into_iter().partition(|c| c.seen_from <= now);
-        self.coming = coming;
-        let due: Vec<Change> = due;
+    fn apply_due(&mut self, now: Instant) {
+        let (due, pending) = std::mem::take(&mut self.pending).into_iter().partition(|c| c.visible_at <= now);
+        self.pending = pending;
+        let due: Vec<PendingChange> = due;
         for change in due {
             match change.entry {
-                Some(entry) => self.shown.insert(change.id, entry),
-                None => self.shown.remove(&change.id),
+                Some(entry) => self.visible.insert(change.id, entry),
+                None => self.visible.remove(&change.id),
             };
         }
     }
 
     fn latest(&self, id: &UpstreamId) -> Option<HostEntry> {
-        let coming = self.coming.iter().rev().find(|change| change.id == *id);
-        coming.map_or_else(|| self.shown.get(id).cloned(), |change| change.entry.clone())
+        let latest = self.pending.iter().rev().find(|change| change.id == *id);
+        latest.map_or_else(|| self.visible.get(id).cloned(), |change| change.entry.clone())
     }
 }
 
-/// The host list and its server.
+/// HTTP server of the host list.
 #[derive(Debug)]
 pub struct HostListServer {
     hosts: Arc<Mutex<Hosts>>,
@@ -57,11 +58,11 @@
 }
 
 impl HostListServer {
-    /// Serves an empty list whose changes are seen `lag` after they are made.
+    /// Serves an empty list where each change becomes visible after `lag`.
     ///
     /// # Errors
     ///
-    /// The port is taken.
+    /// Returns an error if the port is taken.
     pub async fn start(address: SocketAddr, lag: Duration) -> io::Result<Self> {
         let hosts = Arc::new(Mutex::new(Hosts::default()));
         let state = Arc::clone(&hosts);
@@ -69,7 +70,7 @@
         Ok(Self { hosts, lag, server })
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -93,8 +94,8 @@
     }
 
     fn change(&self, id: UpstreamId, entry: Option<HostEntry>) {
-        let seen_from = Instant::now() + self.lag;
-        lock(&self.hosts).coming.push(Change { seen_from, id, entry });
+        let visible_at = Instant::now() + self.lag;
+        lock(&self.hosts).pending.push(PendingChange { visible_at, id, entry });
     }
 }
 
@@ -103,7 +104,7 @@
         return unknown(req.method(), req.uri().path());
     }
     let mut hosts = lock(hosts);
-    hosts.settle(Instant::now());
-    let list = HostList { hosts: hosts.shown.values().cloned().collect() };
+    hosts.apply_due(Instant::now());
+    let list = HostList { hosts: hosts.visible.values().cloned().collect() };
     json(StatusCode::OK, &list)
 }
--- a/crates/skylarkshore-standins/src/http.rs
+++ b/crates/skylarkshore-standins/src/http.rs
@@ -115,7 +115,7 @@
     handler(Request::from_parts(parts, body.to_bytes())).await
 }
 
-fn whole(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<Body> {
+fn complete(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<Body> {
     let body = Full::new(body).map_err(|never: Infallible| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -125,7 +125,7 @@
 
 /// Makes an answer of plain text.
 pub fn text(status: StatusCode, body: &str) -> Response<Body> {
-    whole(status, "text/plain", Bytes::copy_from_slice(body.as_bytes()))
+    complete(status, "text/plain", Bytes::copy_from_slice(body.as_bytes()))
 }
 
 /// Makes an answer of JSON.
@@ -135,7 +135,7 @@
 /// Never for the types of this workspace, which can all be written as JSON.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<Body> {
     let body = serde_json::to_vec(body).expect("wire types can be written as JSON");
-    whole(status, "application/json", body.into())
+    complete(status, "application/json", body.into())
 }
 
 /// Makes an answer that is sent part by part.
--- a/crates/skylarkshore-standins/src/process.rs
+++ b/crates/skylarkshore-standins/src/process.rs
@@ -23,7 +23,7 @@
 const MILLIS_PER_TICK: u64 = 10;
 
 /// How often a condition is looked at while waiting for it.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A signal to a process.
 #[derive(Clone, Copy, Debug, Display)]
@@ -284,7 +284,7 @@
                 let state = if ended { "has ended" } else { "isn't ready in time" };
                 return Err(io::Error::other(format!("{} {state}; its log:\n{}", self.host(), self.log())));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -355,7 +355,7 @@
         if Instant::now() >= deadline {
             return false;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     true
 }
--- a/crates/skylarkshore-standins/src/programs.rs
+++ b/crates/skylarkshore-standins/src/programs.rs
@@ -66,7 +66,7 @@
         let [Ok(first), Ok(second)] = built else { return Ok(true) };
         let mut newest = SystemTime::UNIX_EPOCH;
         for package in PACKAGES {
-            newest = newest.max(newest_source(&crates().join(package))?);
+            newest = newest.max(newest_source_time(&crates().join(package))?);
         }
         Ok(newest > first.min(second))
     }
@@ -100,7 +100,7 @@
     path.metadata()?.modified()
 }
 
-fn newest_source(folder: &Path) -> io::Result<SystemTime> {
+fn newest_source_time(folder: &Path) -> io::Result<SystemTime> {
     let mut newest = modified(&folder.join("Cargo.toml"))?;
     let mut folders = vec![folder.join("src")];
     while let Some(folder) = folders.pop() {
--- a/crates/skylarkshore-standins/src/relay.rs
+++ b/crates/skylarkshore-standins/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::fleet::any_port;
 
 /// The longest piece that is passed on at a time, in bytes.
-const PIECE_LEN: usize = 16 * 1024;
+const BUFFER_LEN: usize = 16 * 1024;
 
 /// How a relay treats what passes through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,17 +37,17 @@
 
 /// The way that bytes take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Out,
     Back,
 }
 
 impl Line {
-    fn swallows(self, way: Way) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
             Self::Silent => true,
-            Self::Mute => way == Way::Out,
-            Self::Deaf => way == Way::Back,
+            Self::Mute => direction == Direction::Out,
+            Self::Deaf => direction == Direction::Back,
             Self::Whole | Self::Cut | Self::Slow(_) => false,
         }
     }
@@ -108,19 +108,19 @@
         let Ok((from, _)) = listener.accept().await else { continue };
         let line = line.subscribe();
         if *line.borrow() != Line::Cut {
-            tokio::spawn(pass_on(from, target, line));
+            tokio::spawn(relay_connection(from, target, line));
         }
     }
 }
 
-async fn pass_on(from: TcpStream, target: SocketAddr, mut line: watch::Receiver<Line>) {
+async fn relay_connection(from: TcpStream, target: SocketAddr, mut line: watch::Receiver<Line>) {
     let Ok(to) = TcpStream::connect(target).await else { return };
     _ = from.set_nodelay(true);
     _ = to.set_nodelay(true);
     let (from_reader, from_writer) = from.into_split();
     let (to_reader, to_writer) = to.into_split();
-    let out = forward(from_reader, to_writer, Way::Out, line.clone());
-    let back = forward(to_reader, from_writer, Way::Back, line.clone());
+    let out = forward(from_reader, to_writer, Direction::Out, line.clone());
+    let back = forward(to_reader, from_writer, Direction::Back, line.clone());
     tokio::select! {
         // A connection that breaks on either side ends here, as it would without the relay.
         _ = async { tokio::try_join!(out, back) } => {}
@@ -131,14 +131,14 @@
 async fn forward(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     line: watch::Receiver<Line>,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE_LEN];
+    let mut buf = vec![0; BUFFER_LEN];
     loop {
         let len = reader.read(&mut buf).await?;
         let line = *line.borrow();
-        if line.swallows(way) {
+        if line.drops(direction) {
             return std::future::pending().await;
         }
         if let Line::Slow(by) = line {
--- a/crates/skylarkshore-standins/src/service.rs
+++ b/crates/skylarkshore-standins/src/service.rs
@@ -106,7 +106,7 @@
 
 async fn answer(shared: Arc<Shared>, req: Request<Bytes>) -> Answered {
     let path = req.uri().path().to_owned();
-    let faults = take_faults(&shared);
+    let faults = consume_faults(&shared);
     if faults.leaving {
         let body = NotRun { error: NotRunReason::Leaving };
         let mut response = json_answer(StatusCode::CONFLICT, &body);
@@ -125,7 +125,7 @@
             let Some(key) = req.headers().get(IDEMPOTENCY_HEADER).and_then(|key| key.to_str().ok()) else {
                 return Ok(text(StatusCode::BAD_REQUEST, "the idempotency-key header is missing; add it"));
             };
-            let run = shared.census.run(key);
+            let run = shared.census.record_run(key);
             json_answer(StatusCode::OK, &json!({"booking": key, "run": run}))
         }
         method => unknown(method, &path),
@@ -153,10 +153,10 @@
 }
 
 /// Returns the faults that strike this call, and counts them down.
-fn take_faults(shared: &Shared) -> ServiceFaults {
+fn consume_faults(shared: &Shared) -> ServiceFaults {
     let mut faults = lock(&shared.faults);
-    let striking = faults.clone();
+    let active = faults.clone();
     faults.lose_answers = faults.lose_answers.saturating_sub(1);
     faults.cut_answers = faults.cut_answers.saturating_sub(1);
-    striking
+    active
 }
--- a/crates/skylarkshore-standins/src/store.rs
+++ b/crates/skylarkshore-standins/src/store.rs
@@ -1,4 +1,5 @@
-//! The key-value service, with the published JSON gateway and switches for its faults.
+//! Stand-in for the key-value service: etcd's JSON gateway with injectable faults. Start with
+//! [`Store`].
 
 mod kv;
 mod watch;
@@ -26,27 +27,27 @@
 use crate::lock;
 use kv::Kv;
 
-/// Where faults are read and switched.
+/// Path to read and set the faults.
 pub const FAULTS_PATH: &str = "/standin/faults";
-/// Where calls are counted.
+/// Path to read the call counts.
 pub const COUNTS_PATH: &str = "/standin/counts";
 
-/// How often leases are looked at.
-const EXPIRE_EVERY: Duration = Duration::from_millis(50);
+/// How often leases are checked for expiry.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is wrong with the service.
+/// Faults injected into the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Cut every call and watch without an answer and without an effect.
+    /// Close the connection of every call and watch, without an effect.
     pub down: bool,
-    /// Wait this long before each call, in milliseconds.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// Cut the next writes after they took effect.
+    /// Close the connection of this many writes after they take effect.
     pub lose_writes: u32,
-    /// Count only writes of keys that contain this text; empty for all.
+    /// Restrict `lose_writes` to keys that contain this text; empty matches all.
     pub lose_writes_of: String,
-    /// Answer reads from the state in which this was switched on.
+    /// Answer reads from the state at the time this was enabled.
     pub stale: bool,
 }
 
@@ -61,7 +62,7 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the watches when something has changed.
+    /// Wakes the watches after a change.
     changed: signal::Sender<()>,
 }
 
@@ -80,40 +81,40 @@
 }
 
 impl Store {
-    /// Serves an empty key-value service.
+    /// Starts an empty key-value service.
     ///
     /// # Errors
     ///
-    /// The port is taken.
+    /// Returns an error if the port is taken.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared { state: Mutex::default(), changed: signal::Sender::new(()) });
         let state = Arc::clone(&shared);
         let server = Server::start(address, move |req| answer(Arc::clone(&state), req)).await?;
-        let expiry = tokio::spawn(expire(Arc::clone(&shared)));
+        let expiry = tokio::spawn(expire_leases_periodically(Arc::clone(&shared)));
         Ok(Self { shared, server, expiry })
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches its faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Returns its faults, with the losses that are still to come.
+    /// Returns the injected faults with their remaining counts.
     pub fn faults(&self) -> StoreFaults {
         lock(&self.shared.state).faults.clone()
     }
 
-    /// Returns the number of calls of each kind, a waiting watch counted once.
+    /// Returns the number of calls by kind; a watch counts once.
     pub fn counts(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.state).counts.clone()
     }
 
-    /// Returns every key with its value, as text.
+    /// Returns all keys and values as text.
     pub fn contents(&self) -> BTreeMap<String, String> {
         let all = RangeRequest { key: vec![0].into(), range_end: vec![0].into(), ..RangeRequest::default() };
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -140,9 +141,9 @@
     }
 }
 
-async fn expire(shared: Arc<Shared>) {
+async fn expire_leases_periodically(shared: Arc<Shared>) {
     loop {
-        sleep(EXPIRE_EVERY).await;
+        sleep(EXPIRY_CHECK_INTERVAL).await;
         let mut state = lock(&shared.state);
         let before = state.kv.revision();
         state.kv.expire(Instant::now());
@@ -159,7 +160,7 @@
     match (req.method(), path.as_str()) {
         (&Method::GET, FAULTS_PATH) => return Ok(json(StatusCode::OK, &lock(&shared.state).faults)),
         (&Method::GET, COUNTS_PATH) => return Ok(json(StatusCode::OK, &lock(&shared.state).counts)),
-        (&Method::POST, FAULTS_PATH) => return Ok(switch(&shared, req.body())),
+        (&Method::POST, FAULTS_PATH) => return Ok(set_faults_from(&shared, req.body())),
         (&Method::POST, _) => {}
         (method, _) => return Ok(unknown(method, &path)),
     }
@@ -169,12 +170,12 @@
         return Err(Cut);
     }
     match path.as_str() {
-        RANGE_PATH => Ok(with(req.body(), |body| range(&shared, &body))),
+        RANGE_PATH => Ok(parse_then(req.body(), |body| range(&shared, &body))),
         TXN_PATH => txn(&shared, req.body()),
-        LEASE_GRANT_PATH => Ok(with(req.body(), |body| grant(&shared, &body))),
-        LEASE_KEEPALIVE_PATH => Ok(with(req.body(), |body| keep_alive(&shared, &body))),
-        LEASE_REVOKE_PATH => Ok(with(req.body(), |body| revoke(&shared, &body))),
-        WATCH_PATH => Ok(with(req.body(), |body: WatchRequest| {
+        LEASE_GRANT_PATH => Ok(parse_then(req.body(), |body| grant(&shared, &body))),
+        LEASE_KEEPALIVE_PATH => Ok(parse_then(req.body(), |body| keep_alive(&shared, &body))),
+        LEASE_REVOKE_PATH => Ok(parse_then(req.body(), |body| revoke(&shared, &body))),
+        WATCH_PATH => Ok(parse_then(req.body(), |body: WatchRequest| {
             shared.count("watch");
             watch::answer(&shared, body.create_request)
         })),
@@ -182,26 +183,26 @@
     }
 }
 
-fn switch(shared: &Shared, body: &[u8]) -> Response<Body> {
-    with(body, |faults| {
+fn set_faults_from(shared: &Shared, body: &[u8]) -> Response<Body> {
+    parse_then(body, |faults| {
         shared.set_faults(faults);
         text(StatusCode::OK, "switched")
     })
 }
 
-fn with<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> Response<Body>) -> Response<Body> {
+fn parse_then<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> Response<Body>) -> Response<Body> {
     match serde_json::from_slice(body) {
         Ok(body) => then(body),
-        Err(err) => failed(StatusCode::BAD_REQUEST, &err.to_string(), 3),
+        Err(err) => error_response(StatusCode::BAD_REQUEST, &err.to_string(), 3),
     }
 }
 
-fn failed(status: StatusCode, message: &str, code: u32) -> Response<Body> {
+fn error_response(status: StatusCode, message: &str, code: u32) -> Response<Body> {
     json(status, &ErrorResponse { message: message.to_owned(), code })
 }
 
-fn no_lease() -> Response<Body> {
-    failed(StatusCode::NOT_FOUND, "etcdserver: requested lease not found", ErrorResponse::NOT_FOUND)
+fn lease_not_found() -> Response<Body> {
+    error_response(StatusCode::NOT_FOUND, "etcdserver: requested lease not found", ErrorResponse::NOT_FOUND)
 }
 
 fn range(shared: &Shared, req: &RangeRequest) -> Response<Body> {
@@ -216,29 +217,29 @@
     shared.count("txn");
     let req: TxnRequest = match serde_json::from_slice(body) {
         Ok(req) => req,
-        Err(err) => return Ok(failed(StatusCode::BAD_REQUEST, &err.to_string(), 3)),
+        Err(err) => return Ok(error_response(StatusCode::BAD_REQUEST, &err.to_string(), 3)),
     };
     let mut state = lock(&shared.state);
     let Ok(response) = state.kv.txn(&req) else {
-        return Ok(no_lease());
+        return Ok(lease_not_found());
     };
-    let lost = state.faults.loses(&req);
+    let lost = state.faults.consume_lost_write(&req);
     drop(state);
     shared.changed.send_replace(());
     if lost { Err(Cut) } else { Ok(json(StatusCode::OK, &response)) }
 }
 
 impl StoreFaults {
-    /// Tells whether this write's answer gets lost, and counts it down.
-    fn loses(&mut self, req: &TxnRequest) -> bool {
-        let meant = req.success.iter().any(|step| match step {
+    /// Reports whether this write's answer is lost, and decrements the fault's count.
+    fn consume_lost_write(&mut self, req: &TxnRequest) -> bool {
+        let matches_filter = req.success.iter().any(|step| match step {
             RequestOp::Put(put) => String::from_utf8_lossy(&put.key.0).contains(&self.lose_writes_of),
             RequestOp::DeleteRange(delete) => {
                 String::from_utf8_lossy(&delete.key.0).contains(&self.lose_writes_of)
             }
             RequestOp::Range(_) => false,
         });
-        if !meant || self.lose_writes == 0 {
+        if !matches_filter || self.lose_writes == 0 {
             return false;
         }
         self.lose_writes -= 1;
@@ -265,7 +266,7 @@
     shared.count("lease_revoke");
     let mut state = lock(&shared.state);
     if !state.kv.revoke(req.id.0) {
-        return no_lease();
+        return lease_not_found();
     }
     let header = state.kv.header();
     drop(state);
--- a/crates/skylarkshore-standins/src/store/kv.rs
+++ b/crates/skylarkshore-standins/src/store/kv.rs
@@ -1,4 +1,4 @@
-//! Keys, leases and their history.
+//! In-memory key-value data with leases and change history. Start with [`Kv`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -11,7 +11,7 @@
 };
 use tokio::time::Instant;
 
-/// A lease and the keys that vanish with it.
+/// A lease and the keys deleted when it ends.
 #[derive(Clone, Debug)]
 struct Lease {
     ttl: Duration,
@@ -19,7 +19,7 @@
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// The whole state of the key-value service.
+/// Keys, leases and history at one revision.
 #[derive(Clone, Debug)]
 pub(crate) struct Kv {
     revision: u64,
@@ -31,7 +31,7 @@
 
 impl Default for Kv {
     fn default() -> Self {
-        // The published service starts at revision 1 as well.
+        // etcd starts at revision 1 as well.
         Self {
             revision: 1,
             keys: BTreeMap::new(),
@@ -42,9 +42,9 @@
     }
 }
 
-/// A write that names a lease which has ended.
+/// A write refers to a lease that doesn't exist or has ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct NoSuchLease;
+pub(crate) struct LeaseNotFound;
 
 impl Kv {
     pub(crate) const fn revision(&self) -> u64 {
@@ -67,16 +67,16 @@
         }
     }
 
-    pub(crate) fn txn(&mut self, req: &TxnRequest) -> Result<TxnResponse, NoSuchLease> {
-        let succeeded = req.compare.iter().all(|compare| self.holds(compare));
+    pub(crate) fn txn(&mut self, req: &TxnRequest) -> Result<TxnResponse, LeaseNotFound> {
+        let succeeded = req.compare.iter().all(|compare| self.compare_holds(compare));
         let steps = if succeeded { &req.success } else { &req.failure };
-        if steps.iter().any(|step| self.names_ended_lease(step)) {
-            return Err(NoSuchLease);
+        if steps.iter().any(|step| self.refers_to_missing_lease(step)) {
+            return Err(LeaseNotFound);
         }
         let next = self.revision + 1;
         let mut responses = Vec::with_capacity(steps.len());
         for step in steps {
-            responses.push(self.step(step, next));
+            responses.push(self.execute_op(step, next));
         }
         Ok(TxnResponse { header: self.header(), succeeded, responses })
     }
@@ -88,14 +88,14 @@
         self.next_lease
     }
 
-    /// Renews a lease and returns how long it lives, or none when it has ended.
+    /// Renews a lease and returns its time to live, or `None` if it has ended.
     pub(crate) fn keep_alive(&mut self, id: u64, now: Instant) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
         lease.expires = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and tells whether there was one.
+    /// Ends a lease and reports whether it existed.
     pub(crate) fn revoke(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.remove(&id) else { return false };
         let next = self.revision + 1;
@@ -105,7 +105,7 @@
         true
     }
 
-    /// Ends the leases that weren't renewed in time.
+    /// Ends the leases that have expired.
     pub(crate) fn expire(&mut self, now: Instant) {
         let due: Vec<u64> =
             self.leases.iter().filter(|(_, lease)| lease.expires <= now).map(|(id, _)| *id).collect();
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the changes of a range from a revision on.
+    /// Returns the changes in a range since revision `from`, inclusive.
     pub(crate) fn changes(&self, key: &Bytes64, range_end: &Bytes64, from: u64) -> Vec<WatchEvent> {
         let start = self.history.partition_point(|event| event.kv.mod_revision.0 < from);
         let inside = |event: &&WatchEvent| in_range(&event.kv.key.0, key, range_end);
@@ -129,7 +129,7 @@
         self.keys.range(from).map(|(_, kv)| kv).take_while(|kv| in_range(&kv.key.0, key, range_end)).collect()
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn compare_holds(&self, compare: &Compare) -> bool {
         let kv = self.keys.get(&compare.key.0);
         let (found, wanted) = match compare.target {
             CompareTarget::Version => (kv.map(|kv| kv.version), compare.version),
@@ -145,14 +145,14 @@
         }
     }
 
-    fn names_ended_lease(&self, step: &RequestOp) -> bool {
+    fn refers_to_missing_lease(&self, step: &RequestOp) -> bool {
         match step {
             RequestOp::Put(put) => put.lease.0 != 0 && !self.leases.contains_key(&put.lease.0),
             RequestOp::Range(_) | RequestOp::DeleteRange(_) => false,
         }
     }
 
-    fn step(&mut self, step: &RequestOp, next: u64) -> ResponseOp {
+    fn execute_op(&mut self, step: &RequestOp, next: u64) -> ResponseOp {
         match step {
             RequestOp::Range(req) => ResponseOp::Range(self.range(req)),
             RequestOp::Put(req) => {
@@ -203,8 +203,8 @@
             lease.keys.remove(key);
         }
         self.revision = next;
-        let gone = KeyValue { key: kv.key, mod_revision: Int64(next), ..KeyValue::default() };
-        self.history.push(WatchEvent { kind: WatchEventKind::Delete, kv: gone });
+        let tombstone = KeyValue { key: kv.key, mod_revision: Int64(next), ..KeyValue::default() };
+        self.history.push(WatchEvent { kind: WatchEventKind::Delete, kv: tombstone });
     }
 }
 
@@ -212,6 +212,6 @@
     if range_end.is_empty() {
         return candidate == key.0;
     }
-    // A single zero byte stands for the end of all keys.
+    // A single zero byte means no upper bound.
     candidate >= key.0.as_slice() && (range_end.0 == [0] || candidate < range_end.0.as_slice())
 }
--- a/crates/skylarkshore-standins/src/store/watch.rs
+++ b/crates/skylarkshore-standins/src/store/watch.rs
@@ -1,4 +1,4 @@
-//! Watches, which stream changes as they come.
+//! Watch requests, answered by a stream of changes.
 
 use std::io;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use crate::lock;
 use crate::store::Shared;
 
-/// After how long without a change a watch tells the revision.
-const PROGRESS_EVERY: Duration = Duration::from_secs(1);
+/// Idle time after which a watch sends a progress notification.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 struct Watch {
     shared: Arc<Shared>,
@@ -34,15 +34,15 @@
     streamed(
         "application/json",
         stream::unfold(watch, |mut watch| async move {
-            let part = watch.part().await;
+            let part = watch.next_part().await;
             Some((part, watch))
         }),
     )
 }
 
 impl Watch {
-    /// Waits for the next part of the answer; an error cuts the connection.
-    async fn part(&mut self) -> io::Result<Bytes> {
+    /// Waits for the next part of the answer; an error closes the connection.
+    async fn next_part(&mut self) -> io::Result<Bytes> {
         if !self.created {
             self.created = true;
             let header = lock(&self.shared.state).kv.header();
@@ -51,16 +51,16 @@
         let mut idle = false;
         loop {
             self.changed.mark_unchanged();
-            if let Some(news) = self.news(idle)? {
-                return line(news);
+            if let Some(response) = self.next_response(idle)? {
+                return line(response);
             }
-            let waited = timeout(PROGRESS_EVERY, self.changed.changed()).await;
+            let waited = timeout(PROGRESS_INTERVAL, self.changed.changed()).await;
             idle = waited.is_err() && self.req.progress_notify;
         }
     }
 
-    /// Takes the changes that weren't told yet, or just the revision when `idle`.
-    fn news(&mut self, idle: bool) -> io::Result<Option<WatchResponse>> {
+    /// Returns the changes that weren't sent yet, or just the revision when `idle`.
+    fn next_response(&mut self, idle: bool) -> io::Result<Option<WatchResponse>> {
         let state = lock(&self.shared.state);
         if state.faults.down {
             return Err(io::ErrorKind::ConnectionReset.into());
--- a/crates/skylarkshore-standins/src/weights.rs
+++ b/crates/skylarkshore-standins/src/weights.rs
@@ -26,10 +26,10 @@
 }
 
 /// How often a load's progress is worked out anew.
-const STEP: Duration = Duration::from_millis(10);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Percent of a whole.
-const HUNDRED: u64 = 100;
+const FULL_SPEED_PERCENT: u64 = 100;
 
 /// The weight store.
 #[derive(Debug)]
@@ -41,9 +41,9 @@
     speed_percent: AtomicU64,
 }
 
-struct Active<'a>(&'a AtomicU32);
+struct ActiveLoad<'a>(&'a AtomicU32);
 
-impl Drop for Active<'_> {
+impl Drop for ActiveLoad<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -57,7 +57,7 @@
             next_start: Mutex::new(Instant::now()),
             active: AtomicU32::new(0),
             peak: AtomicU32::new(0),
-            speed_percent: AtomicU64::new(HUNDRED),
+            speed_percent: AtomicU64::new(FULL_SPEED_PERCENT),
         }
     }
 
@@ -73,30 +73,31 @@
 
     /// Loads an amount of weights, which takes its time.
     pub async fn load(&self, mib: u64) {
-        self.wait_for_start().await;
+        self.wait_for_start_slot().await;
         let active = self.active.fetch_add(1, Ordering::SeqCst) + 1;
-        let _active = Active(&self.active);
+        let _active = ActiveLoad(&self.active);
         self.peak.fetch_max(active, Ordering::SeqCst);
-        let mut left = i128::from(mib) * 1_000_000;
+        let mut remaining = i128::from(mib) * 1_000_000;
         let mut last = Instant::now();
-        while left > 0 {
-            sleep(STEP).await;
+        while remaining > 0 {
+            sleep(PROGRESS_INTERVAL).await;
             let now = Instant::now();
             let us = i128::try_from((now - last).as_micros()).unwrap_or(0);
-            left -= us * i128::from(self.speed());
+            remaining -= us * i128::from(self.speed());
             last = now;
         }
     }
 
     /// Returns one load's present speed in MiB a second.
     fn speed(&self) -> u64 {
-        let full = self.limits.mib_per_second * self.speed_percent.load(Ordering::SeqCst) / HUNDRED;
+        let full =
+            self.limits.mib_per_second * self.speed_percent.load(Ordering::SeqCst) / FULL_SPEED_PERCENT;
         let active = u64::from(self.active.load(Ordering::SeqCst).max(1));
         let share = u64::from(self.limits.full_speed_loads).min(active);
         full * share / active
     }
 
-    async fn wait_for_start(&self) {
+    async fn wait_for_start_slot(&self) {
         let start = {
             let mut next = lock(&self.next_start);
             let start = (*next).max(Instant::now());
