--- a/crates/skylarkshore-standins/src/client.rs
+++ b/crates/skylarkshore-standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client without retries, with one connection for each request.
+//! Minimal HTTP client without retries that opens a connection per request. Start with [`Call`].
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 
-/// Why there is no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug, Display, Error, From)]
 pub enum CallError {
-    /// Nothing listens there, or the connection broke before the request went out.
+    /// The connection couldn't be opened, so the request wasn't sent.
     #[display("can't connect: {_0}; check that it runs and the address is right")]
     Connect(std::io::Error),
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     #[display("the connection broke: {_0}; the request may have been run")]
     Broken(hyper::Error),
     /// The request isn't valid HTTP.
@@ -29,49 +29,49 @@
     Json(serde_json::Error),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Returns the body as text, with what isn't UTF-8 replaced.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// The body has another shape.
+    /// Returns an error if the body isn't JSON of the expected type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         Ok(serde_json::from_slice(&self.body)?)
     }
 }
 
-/// An answer whose body is still coming.
+/// An answer whose body is still being received.
 #[derive(Debug)]
 pub struct Streaming {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
     body: Incoming,
 }
 
 impl Streaming {
-    /// Waits for the next part of the body; none at the whole end.
+    /// Waits for the next part of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// Returns an error if the connection broke.
     pub async fn next(&mut self) -> Result<Option<Bytes>, CallError> {
         while let Some(frame) = self.body.frame().await {
             if let Ok(data) = frame?.into_data() {
@@ -85,14 +85,14 @@
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// Returns an error if the connection broke.
     pub async fn rest(self) -> Result<Answer, CallError> {
         let body = self.body.collect().await?.to_bytes();
         Ok(Answer { status: self.status, headers: self.headers, body })
     }
 }
 
-/// A request that is being put together.
+/// Builder of a request.
 #[derive(Debug)]
 pub struct Call {
     address: SocketAddr,
@@ -101,19 +101,19 @@
 }
 
 impl Call {
-    /// Begins a GET request.
+    /// Creates a GET request.
     pub fn get(address: SocketAddr, path: &str) -> Self {
         Self::new(Method::GET, address, path)
     }
 
-    /// Begins a POST request with a body of JSON.
+    /// Creates a POST request with a JSON body.
     pub fn post(address: SocketAddr, path: &str, body: impl Into<Bytes>) -> Self {
         let mut call = Self::new(Method::POST, address, path).header("content-type", "application/json");
         call.body = body.into();
         call
     }
 
-    /// Begins a request.
+    /// Creates a request without a body.
     pub fn new(method: Method, address: SocketAddr, path: &str) -> Self {
         let builder = Request::builder().method(method).uri(path).header(header::HOST, address.to_string());
         Self { address, builder, body: Bytes::new() }
@@ -133,11 +133,11 @@
         self
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the status and headers of the answer.
     ///
     /// # Errors
     ///
-    /// There is no connection, or it broke.
+    /// Returns an error if the connection couldn't be opened or broke.
     pub async fn stream(self) -> Result<Streaming, CallError> {
         let req = self.builder.body(Full::new(self.body))?;
         let stream = TcpStream::connect(self.address).await?;
@@ -148,11 +148,11 @@
         Ok(Streaming { status: parts.status, headers: parts.headers, body })
     }
 
-    /// Sends the request and waits for the whole answer.
+    /// Sends the request and waits for the complete answer.
     ///
     /// # Errors
     ///
-    /// There is no connection, or it broke.
+    /// Returns an error if the connection couldn't be opened or broke.
     pub async fn send(self) -> Result<Answer, CallError> {
         self.stream().await?.rest().await
     }
--- a/crates/skylarkshore-standins/src/engine.rs
+++ b/crates/skylarkshore-standins/src/engine.rs
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(
         settings: EngineSettings,
         weights: Arc<WeightStore>,
--- a/crates/skylarkshore-standins/src/fleet.rs
+++ b/crates/skylarkshore-standins/src/fleet.rs
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn serve_census(&self) -> io::Result<Server> {
         let census = Arc::clone(&self.census);
         let answer = move |req: Request<Bytes>| match req.uri().path() {
--- a/crates/skylarkshore-standins/src/http.rs
+++ b/crates/skylarkshore-standins/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections can all be cut at once.
+//! Minimal HTTP server that can close all of its connections at once. Start with [`Server`].
 
 use std::convert::Infallible;
 use std::io;
@@ -22,18 +22,18 @@
 
 use crate::lock;
 
-/// The body of an answer.
+/// Response body.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// What a stand-in gives back for a request.
+/// Result of a handler: a response, or a closed connection.
 pub type Answered = Result<Response<Body>, Cut>;
 
-/// The largest request body that a stand-in takes, in bytes.
+/// Largest accepted request body in bytes.
 const MAX_REQUEST_LEN: usize = 4 * 1024 * 1024;
 
-/// The connection is closed without an answer.
+/// Closes the connection without an answer.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("the stand-in cuts the connection, as it was told to")]
+#[display("the stand-in closes the connection because of an injected fault")]
 pub struct Cut;
 
 /// A server on a loopback port.
@@ -44,11 +44,11 @@
 }
 
 impl Server {
-    /// Listens on `address`, of which port 0 stands for any free one.
+    /// Listens on `address`; port 0 selects any free port.
     ///
     /// # Errors
     ///
-    /// The port is taken.
+    /// Returns an error if the port is taken.
     pub async fn start<H, F>(address: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Bytes>) -> F + Send + Sync + 'static,
@@ -60,12 +60,12 @@
         Ok(Self { address, task: Mutex::new(Some(task)) })
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the port and cuts every connection.
+    /// Closes the port and every connection.
     pub fn stop(&self) {
         if let Some(task) = lock(&self.task).take() {
             task.abort();
@@ -84,11 +84,11 @@
     H: Fn(Request<Bytes>) -> F + Send + Sync + 'static,
     F: Future<Output = Answered> + Send + 'static,
 {
-    // Aborting this task drops the set, which aborts every connection with it.
+    // Aborting this task drops the set, which aborts every connection.
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // Small writes of a stream would otherwise wait for the peer's delayed acknowledgement.
+        // Without this, small writes of a stream wait for the peer's delayed ACK.
         _ = stream.set_nodelay(true);
         let handler = Arc::clone(&handler);
         connections.spawn(async move {
@@ -96,7 +96,7 @@
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service);
-            // A connection that ends early is the client's choice or a fault that was asked for.
+            // An early end is caused by the client or by an injected fault.
             _ = connection.await;
         });
         while connections.try_join_next().is_some() {}
@@ -123,22 +123,22 @@
     response
 }
 
-/// Makes an answer of plain text.
+/// Returns a plain text response.
 pub fn text(status: StatusCode, body: &str) -> Response<Body> {
     complete(status, "text/plain", Bytes::copy_from_slice(body.as_bytes()))
 }
 
-/// Makes an answer of JSON.
+/// Returns a JSON response.
 ///
 /// # Panics
 ///
-/// Never for the types of this workspace, which can all be written as JSON.
+/// Panics if `body` can't be serialized, which holds for no type of this workspace.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<Body> {
-    let body = serde_json::to_vec(body).expect("wire types can be written as JSON");
+    let body = serde_json::to_vec(body).expect("wire types serialize to JSON");
     complete(status, "application/json", body.into())
 }
 
-/// Makes an answer that is sent part by part.
+/// Returns a streamed response.
 pub fn stream<S>(content_type: &'static str, parts: S) -> Response<Body>
 where
     S: Stream<Item = io::Result<Bytes>> + Send + 'static,
@@ -151,7 +151,7 @@
     response
 }
 
-/// Answers a request that no handler knows.
+/// Returns the response to an unknown method or path.
 pub fn unknown(method: &Method, path: &str) -> Response<Body> {
     text(StatusCode::NOT_FOUND, &format!("there is no {method} {path} here; see the page INTERFACES"))
 }
--- a/crates/skylarkshore-standins/src/lib.rs
+++ b/crates/skylarkshore-standins/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for the platform and the upstreams, with switches for their faults.
+//! Test doubles of the platform and the upstreams, with injectable faults.
 //!
-//! They keep to the formats on the page INTERFACES and count what a real one
-//! would suffer in silence: loads beyond the rules, memory and power beyond
-//! their limits, orders under old fences, second runs of one idempotency key.
+//! They implement the formats on the page INTERFACES and count what real systems
+//! wouldn't report: loads beyond the rules, memory and power beyond their limits,
+//! orders with outdated fences and repeated runs of one idempotency key. Start with
+//! [`fleet::Fleet`] for real servers or [`world::World`] for a simulation.
 
 pub mod census;
 pub mod client;
@@ -22,7 +23,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a panic elsewhere, which has its own report.
+/// Locks a mutex, ignoring poisoning: the panic that caused it is reported on its own.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/skylarkshore-standins/src/ports.rs
+++ b/crates/skylarkshore-standins/src/ports.rs
@@ -1,25 +1,26 @@
-//! Ports for processes that are told theirs before they start.
+//! Free ports for processes whose ports are configured before they start.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The first port that is tried.
+/// Lowest port tried.
 const FIRST_PORT: u32 = 20_000;
-/// How many ports are tried.
+/// Number of ports tried.
 ///
-/// They lie below those that the system gives to outgoing connections, which
-/// would else take a port between its choice and its use, and the process that
-/// was told of it couldn't start.
+/// The range lies below the system's ephemeral ports; otherwise an outgoing
+/// connection could take a port between its choice and its use, and the process
+/// configured with it couldn't start.
 const PORT_COUNT: u32 = 12_000;
-/// Keeps test programs that run at the same time apart.
+/// Distance between the first ports of processes with consecutive ids, so that concurrent test
+/// programs try different ports.
 const PROCESS_STRIDE: u32 = 613;
 
 /// Finds a loopback port that is free for TCP and UDP.
 ///
 /// # Errors
 ///
-/// Every port is taken.
+/// Returns an error if all ports in the range are taken.
 pub fn free_port() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     for _ in 0..PORT_COUNT {
@@ -31,5 +32,5 @@
             return Ok(address);
         }
     }
-    Err(io::Error::new(io::ErrorKind::AddrInUse, "no loopback port is free; end some processes"))
+    Err(io::Error::new(io::ErrorKind::AddrInUse, "no free loopback port; stop some processes"))
 }
--- a/crates/skylarkshore-standins/src/process.rs
+++ b/crates/skylarkshore-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs the programs as processes of their own, and strikes them with signals.
+//! Runs the real programs as child processes and sends them signals. Start with [`EntryHost`].
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,44 +19,44 @@
 use crate::ports::free_port;
 use crate::programs::Programs;
 
-/// The unit in which Linux tells processor times.
+/// Length of a Linux clock tick, the unit of CPU times in `/proc`.
 const MILLIS_PER_TICK: u64 = 10;
 
-/// How often a condition is looked at while waiting for it.
+/// How often an awaited condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A signal to a process.
+/// A signal sent to a process.
 #[derive(Clone, Copy, Debug, Display)]
 pub enum Signal {
-    /// Has it read its settings again.
+    /// Reloads the settings.
     #[display("HUP")]
     Hup,
-    /// Ends it in an orderly way.
+    /// Shuts the process down gracefully.
     #[display("TERM")]
     Term,
-    /// Ends it at once.
+    /// Kills the process.
     #[display("KILL")]
     Kill,
-    /// Freezes it.
+    /// Pauses the process.
     #[display("STOP")]
     Stop,
-    /// Wakes it up again.
+    /// Resumes the process.
     #[display("CONT")]
     Cont,
 }
 
-/// A folder of its own, removed when dropped unless a test failed.
+/// A temporary folder, removed when dropped unless the thread panics.
 #[derive(Debug)]
 pub struct TempFolder {
     path: PathBuf,
 }
 
 impl TempFolder {
-    /// Makes a new folder.
+    /// Creates a new folder.
     ///
     /// # Errors
     ///
-    /// The folder for temporary files can't be written to.
+    /// Returns an error if the folder for temporary files isn't writable.
     pub fn new() -> io::Result<Self> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -65,7 +65,7 @@
         Ok(Self { path })
     }
 
-    /// Returns where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -74,7 +74,7 @@
 impl Drop for TempFolder {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // The logs in it tell what went wrong.
+            // The logs in the folder help to diagnose the failure.
             eprintln!("the logs are in {}", self.path.display());
         } else {
             _ = std::fs::remove_dir_all(&self.path);
@@ -82,43 +82,43 @@
     }
 }
 
-/// What an entry host is told.
+/// Settings of an entry host process.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Its name.
+    /// Host name.
     pub host: HostId,
-    /// Where it stands.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// Listening address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// Listening address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators reach it.
+    /// Listening address for operators.
     pub operator_address: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub store: SocketAddr,
-    /// The host list.
+    /// Address of the host list.
     pub host_list: SocketAddr,
-    /// The times it keeps, in milliseconds; an absent one has its default.
+    /// Timings in milliseconds; absent ones have their defaults.
     pub timings: BTreeMap<&'static str, u64>,
-    /// What it is told of a platform whose upstreams register themselves, instead of the two above.
+    /// Addresses for a platform with self-registering upstreams, used instead of `store` and `host_list`.
     pub registry: Option<RegistryAddresses>,
-    /// The whole settings file, instead of one that is made of the rest.
+    /// Complete settings file, used instead of all other fields.
     pub text: Option<String>,
 }
 
-/// Where a platform is reached whose upstreams register themselves, and what is served for it.
+/// Addresses for a platform whose upstreams register themselves.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryAddresses {
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// Where callers ask which hosts to use.
+    /// Listening address of the directory, which tells callers the hosts to use.
     pub directory: SocketAddr,
-    /// Where the platform asks whether the host is ready.
+    /// Listening address of the readiness check.
     pub readiness: SocketAddr,
 }
 
-/// Times that let a test of a failure take seconds.
+/// Returns timings short enough that a failure test takes seconds.
 pub fn short_timings() -> BTreeMap<&'static str, u64> {
     BTreeMap::from([
         ("lease_ttl_ms", 2000),
@@ -139,11 +139,11 @@
 }
 
 impl EntrySettings {
-    /// Makes the settings of a host with free loopback ports.
+    /// Creates settings with free loopback ports.
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub fn new(
         host: HostId,
         data_centre: DataCentre,
@@ -178,7 +178,7 @@
         });
         if let Some(registry) = &self.registry {
             settings["everyone_watches"] = json!(true);
-            // A platform whose operators know nothing of rules has these.
+            // Default for a platform whose operators don't manage rules.
             settings["default_rules"] = json!({"otherwise": {"idle_after": "never"}});
             settings["registry"] = json!({
                 "address": registry.store,
@@ -193,21 +193,21 @@
     }
 }
 
-/// A running entry host; killed when dropped.
+/// A running entry host process, killed when dropped.
 #[derive(Debug)]
 pub struct EntryHost {
-    /// What it was told.
+    /// Settings of the process.
     pub settings: EntrySettings,
     child: Child,
     log: PathBuf,
 }
 
 impl EntryHost {
-    /// Starts an entry host, with its settings file and its log in `folder`.
+    /// Starts an entry host; `folder` receives its settings file and log.
     ///
     /// # Errors
     ///
-    /// The program or the folder can't be used.
+    /// Returns an error if the program or the folder can't be used.
     pub fn start(programs: &Programs, settings: EntrySettings, folder: &Path) -> io::Result<Self> {
         let file = folder.join(format!("{}.jsonc", settings.host));
         std::fs::write(&file, settings.to_json())?;
@@ -223,51 +223,51 @@
         Ok(Self { settings, child, log })
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address for callers.
     pub const fn caller_address(&self) -> SocketAddr {
         self.settings.caller_address
     }
 
-    /// Returns where operators reach it.
+    /// Returns the address for operators.
     pub const fn operator_address(&self) -> SocketAddr {
         self.settings.operator_address
     }
 
-    /// Returns its name.
+    /// Returns the host name.
     pub const fn host(&self) -> &HostId {
         &self.settings.host
     }
 
-    /// Starts it again with the same settings, after it has ended or been killed.
+    /// Kills the process if it still runs and starts it again with the same settings.
     ///
     /// # Errors
     ///
-    /// It doesn't end, or can't be started.
+    /// Returns an error if the process doesn't end or can't be started.
     pub async fn restart(&mut self, programs: &Programs, folder: &Path) -> io::Result<()> {
         self.child.kill().await?;
         *self = Self::start(programs, self.settings.clone(), folder)?;
         Ok(())
     }
 
-    /// Returns what it has logged so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits until it answers; it may still lack the rules.
+    /// Waits until the process answers health checks; it may not have the rules yet.
     ///
     /// # Errors
     ///
-    /// It ended, or doesn't answer within `limit`; the error holds its log.
+    /// Returns an error if the process ended or didn't answer within `limit`; the error contains its log.
     pub async fn wait_alive(&mut self, limit: Duration) -> io::Result<()> {
         self.wait_ok("/healthz", limit).await
     }
 
-    /// Waits until it says that it is ready, for which it needs the rules.
+    /// Waits until the process reports that it is ready, which requires the rules.
     ///
     /// # Errors
     ///
-    /// It ended, or isn't ready within `limit`; the error holds its log.
+    /// Returns an error if the process ended or wasn't ready within `limit`; the error contains its log.
     pub async fn wait_ready(&mut self, limit: Duration) -> io::Result<()> {
         self.wait_ok("/readyz", limit).await
     }
@@ -281,74 +281,74 @@
             }
             let ended = self.child.try_wait()?.is_some();
             if ended || Instant::now() >= deadline {
-                let state = if ended { "has ended" } else { "isn't ready in time" };
+                let state = if ended { "has ended" } else { "did not become ready in time" };
                 return Err(io::Error::other(format!("{} {state}; its log:\n{}", self.host(), self.log())));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Sends a signal by the system's `kill` program.
+    /// Sends a signal with the system's `kill` program.
     ///
     /// # Errors
     ///
-    /// The process has ended, or there is no `kill` program.
+    /// Returns an error if the process has ended, or there is no `kill` program.
     pub async fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = self.child.id().ok_or_else(|| io::Error::other("the process has ended"))?;
         let status = Command::new("kill").arg(format!("-{signal}")).arg(pid.to_string()).status().await?;
-        if status.success() { Ok(()) } else { Err(io::Error::other("kill has failed")) }
+        if status.success() { Ok(()) } else { Err(io::Error::other("the kill program failed")) }
     }
 
-    /// Returns how much memory it holds that it shares with no other process, in bytes.
+    /// Returns the private (anonymous resident) memory of the process in bytes.
     ///
     /// # Errors
     ///
-    /// The process has ended, or the system tells nothing of it.
+    /// Returns an error if the process has ended or `/proc` has no entry for it.
     pub fn private_memory(&self) -> io::Result<u64> {
         let pid = self.child.id().ok_or_else(|| io::Error::other("the process has ended"))?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
         let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:"));
         let kibibytes = line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
-        kibibytes.map(|n| n * 1024).ok_or_else(|| io::Error::other("no line RssAnon in kB"))
+        kibibytes.map(|n| n * 1024).ok_or_else(|| io::Error::other("/proc status has no RssAnon line in kB"))
     }
 
-    /// Returns the processor time that the process has used.
+    /// Returns the CPU time used by the process.
     ///
     /// # Errors
     ///
-    /// The process has ended, or the system tells nothing of it.
+    /// Returns an error if the process has ended or `/proc` has no entry for it.
     pub fn processor_time(&self) -> io::Result<Duration> {
         let pid = self.child.id().ok_or_else(|| io::Error::other("the process has ended"))?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-        // The program's name, which may hold anything, ends with the last bracket.
+        // The program name may contain any characters and ends at the last bracket.
         let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
         let ticks: Vec<u64> = fields.skip(11).take(2).filter_map(|field| field.parse().ok()).collect();
         match ticks.as_slice() {
             [user, system] => Ok(Duration::from_millis((user + system) * MILLIS_PER_TICK)),
-            _ => Err(io::Error::other("no times of the processor")),
+            _ => Err(io::Error::other("/proc stat has no CPU times")),
         }
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     ///
     /// # Errors
     ///
-    /// It doesn't end within `limit`.
+    /// Returns an error if the process doesn't end within `limit`.
     pub async fn wait_ended(&mut self, limit: Duration) -> io::Result<ExitStatus> {
         timeout(limit, self.child.wait()).await?
     }
 }
 
-/// Runs the operators' program and waits for its end.
+/// Runs the operators' program to completion.
 ///
 /// # Errors
 ///
-/// It can't be started.
+/// Returns an error if the program can't be started.
 pub async fn skylarkctl(programs: &Programs, args: &[&str]) -> io::Result<Output> {
     Command::new(&programs.skylarkctl).args(args).stdin(Stdio::null()).output().await
 }
 
-/// Waits until a condition holds and tells whether it did within `limit`.
+/// Waits up to `limit` for a condition and reports whether it was met.
 pub async fn wait_until(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while !holds() {
--- a/crates/skylarkshore-standins/src/programs.rs
+++ b/crates/skylarkshore-standins/src/programs.rs
@@ -1,4 +1,5 @@
-//! Finds the two programs beside the running one, and builds them when needed.
+//! Locates the two programs in cargo's target folder and builds them when needed. Start with
+//! [`Programs`].
 
 use std::ffi::OsStr;
 use std::io;
@@ -8,7 +9,7 @@
 use derive_more::{Display, Error, From};
 use tokio::process::Command;
 
-/// The packages whose sources the programs are made of.
+/// Packages whose sources make the programs outdated when they change.
 const PACKAGES: [&str; 6] = [
     "skylarkshore-core",
     "skylarkshore-wire",
@@ -18,49 +19,49 @@
     "skylarkctl",
 ];
 
-/// Why the programs can't be used.
+/// Why the programs aren't available.
 #[derive(Debug, Display, Error, From)]
 pub enum ProgramsError {
-    /// A file or folder can't be read.
-    #[display("can't look for the programs: {_0}")]
+    /// A file or folder can't be read, or cargo can't be started.
+    #[display("can't find or build the programs: {_0}")]
     Io(io::Error),
-    /// The running program lies in no folder of cargo's.
-    #[display("the programs are looked for beside this one; start it with cargo")]
+    /// The running program isn't in cargo's target folder.
+    #[display("the programs must be in the same target folder as this one; start it with cargo")]
     #[from(skip)]
     NotUnderCargo,
     /// Cargo failed.
-    #[display("cargo could not build the programs; run 'cargo build' and mend what it tells")]
+    #[display("cargo failed to build the programs; run 'cargo build' and fix the errors it reports")]
     #[from(skip)]
     Build,
 }
 
-/// The two programs.
+/// Paths of the two programs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The program that runs on entry hosts.
+    /// Program that runs on entry hosts.
     pub skylarkshore: PathBuf,
-    /// The operators' program.
+    /// Command-line program for operators.
     pub skylarkctl: PathBuf,
 }
 
 impl Programs {
-    /// Finds the programs in the folder above that of the running one.
+    /// Returns the paths in the parent of the running program's folder, without checking the files.
     ///
     /// # Errors
     ///
-    /// The running program wasn't built by cargo as a test or an example.
+    /// Returns an error if the running program wasn't built by cargo as a test or an example.
     pub fn beside_this() -> Result<Self, ProgramsError> {
         let this = std::env::current_exe()?;
-        // Tests lie in target/debug/deps, examples in target/release/examples.
+        // Tests are in target/debug/deps, examples in target/release/examples.
         let folder = this.parent().and_then(Path::parent).ok_or(ProgramsError::NotUnderCargo)?;
         Ok(Self { skylarkshore: folder.join("skylarkshore"), skylarkctl: folder.join("skylarkctl") })
     }
 
-    /// Tells whether one of them is missing or older than its sources.
+    /// Reports whether a program is missing or older than its sources.
     ///
     /// # Errors
     ///
-    /// The sources can't be read.
+    /// Returns an error if the sources can't be read.
     pub fn are_outdated(&self) -> Result<bool, ProgramsError> {
         let built = [&self.skylarkshore, &self.skylarkctl].map(|path| modified(path));
         let [Ok(first), Ok(second)] = built else { return Ok(true) };
@@ -71,11 +72,11 @@
         Ok(newest > first.min(second))
     }
 
-    /// Builds them with cargo.
+    /// Builds the programs with cargo.
     ///
     /// # Errors
     ///
-    /// Cargo is missing or failed.
+    /// Returns an error if cargo is missing or the build failed.
     pub async fn build(&self) -> Result<(), ProgramsError> {
         let folder = self.skylarkshore.parent().ok_or(ProgramsError::NotUnderCargo)?;
         let target = folder.parent().ok_or(ProgramsError::NotUnderCargo)?;
@@ -86,7 +87,7 @@
         if folder.file_name() == Some(OsStr::new("release")) {
             command.arg("--release");
         }
-        // Interrupting the wait has to end cargo as well.
+        // Dropping the future must also end cargo.
         let status = command.kill_on_drop(true).status().await?;
         if status.success() { Ok(()) } else { Err(ProgramsError::Build) }
     }
--- a/crates/skylarkshore-standins/src/relay.rs
+++ b/crates/skylarkshore-standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A connection that can be cut: a relay between one process and what it talks to.
+//! TCP relay that injects network faults between a process and its target. Start with [`Relay`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 
 use crate::fleet::any_port;
 
-/// The longest piece that is passed on at a time, in bytes.
+/// Largest number of bytes forwarded at a time.
 const BUFFER_LEN: usize = 16 * 1024;
 
-/// How a relay treats what passes through it.
+/// The fault applied by a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Line {
-    /// Bytes pass.
+    /// Forward all bytes.
     #[default]
     Whole,
-    /// Connections are closed, and new ones at once.
+    /// Close all connections, and new ones immediately.
     Cut,
-    /// Nothing passes any more on a connection that is used meanwhile, not even later.
+    /// Discard all bytes; a connection used meanwhile never forwards again.
     Silent,
-    /// As silent, but only towards the target.
+    /// Like [`Self::Silent`], but only towards the target.
     Mute,
-    /// As silent, but only from the target.
+    /// Like [`Self::Silent`], but only from the target.
     Deaf,
-    /// Each piece comes so much later.
+    /// Delay each chunk by this duration.
     Slow(Duration),
 }
 
-/// The way that bytes take.
+/// Direction of forwarded bytes: to the target or back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     Out,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Passes connections on to a target until it is cut.
+/// Forwards connections to a target, with an adjustable fault.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(any_port()).await?;
         let address = listener.local_addr()?;
@@ -82,22 +82,22 @@
         Ok(Self { address, line, task })
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Treats what passes from now on in another way.
+    /// Sets the fault for all connections, including existing ones.
     pub fn set(&self, line: Line) {
         self.line.send_replace(line);
     }
 
-    /// Closes every connection, and each new one at once.
+    /// Closes all connections, and new ones immediately.
     pub fn cut(&self) {
         self.set(Line::Cut);
     }
 
-    /// Passes new connections on again.
+    /// Removes the fault.
     pub fn mend(&self) {
         self.set(Line::Whole);
     }
@@ -122,7 +122,7 @@
     let out = forward(from_reader, to_writer, Direction::Out, line.clone());
     let back = forward(to_reader, from_writer, Direction::Back, line.clone());
     tokio::select! {
-        // A connection that breaks on either side ends here, as it would without the relay.
+        // A failure on either side closes the connection on both, as without the relay.
         _ = async { tokio::try_join!(out, back) } => {}
         _ = line.wait_for(|line| *line == Line::Cut) => {}
     }
--- a/crates/skylarkshore-standins/src/service.rs
+++ b/crates/skylarkshore-standins/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service: lookups that may be repeated, and confirmations that may not.
+//! Stand-in for a plain service: lookups, which may be repeated, and bookings, which may not.
+//! Start with [`Service`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,37 +19,37 @@
 use crate::http::{Answered, Cut, Server, json as json_answer, text, unknown};
 use crate::lock;
 
-/// Where availability is looked up.
+/// Path prefix of availability lookups.
 pub const AVAILABILITY_PATH: &str = "/availability/";
-/// Where bookings are confirmed; a call may not be repeated.
+/// Path of booking confirmations, which must not be repeated.
 pub const BOOKINGS_PATH: &str = "/bookings";
-/// Names a request that may not be repeated.
+/// Header that identifies a request that must not be repeated.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// What a replica is.
+/// Identity and location of a replica.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Its name.
+    /// Replica name.
     pub id: UpstreamId,
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Where it stands.
+    /// Data centre of the replica.
     pub data_centre: DataCentre,
-    /// The site.
+    /// Site of the replica.
     pub site: SiteName,
 }
 
-/// What is wrong with a replica.
+/// Faults injected into a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Work this long on each call, in milliseconds.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// Cut the next calls after they ran.
+    /// Close the connection of this many calls after they ran.
     pub lose_answers: u32,
-    /// Cut the next calls in the middle of their answer.
+    /// Close the connection of this many calls in the middle of their answer.
     pub cut_answers: u32,
-    /// Say that it is about to go.
+    /// Refuse calls because the replica is leaving.
     pub leaving: bool,
 }
 
@@ -71,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(settings: ServiceSettings, census: Arc<Census>) -> io::Result<Self> {
         let shared = Arc::new(Shared { settings, faults: Mutex::default(), census });
         let state = Arc::clone(&shared);
@@ -80,7 +81,7 @@
         Ok(Self { shared, server })
     }
 
-    /// Returns its entry of the host list.
+    /// Returns the replica's host list entry.
     pub fn host_entry(&self) -> HostEntry {
         let settings = &self.shared.settings;
         HostEntry {
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Returns its name.
+    /// Returns the replica's name.
     pub fn id(&self) -> &UpstreamId {
         &self.shared.settings.id
     }
 
-    /// Switches its faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *lock(&self.shared.faults) = faults;
     }
@@ -152,7 +153,7 @@
     Ok(response)
 }
 
-/// Returns the faults that strike this call, and counts them down.
+/// Returns the faults for this call and decrements their counts.
 fn consume_faults(shared: &Shared) -> ServiceFaults {
     let mut faults = lock(&shared.faults);
     let active = faults.clone();
--- a/crates/skylarkshore-standins/src/weights.rs
+++ b/crates/skylarkshore-standins/src/weights.rs
@@ -1,4 +1,5 @@
-//! The weight store: a few loads a second, and a few at once at full speed.
+//! Stand-in for the weight store, which limits the rate of load starts and the total bandwidth.
+//! Start with [`WeightStore`].
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -8,14 +9,14 @@
 
 use crate::lock;
 
-/// What the weight store allows.
+/// Limits of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightStoreLimits {
-    /// Loads that begin within a second.
+    /// Number of loads started per second.
     pub loads_per_second: u32,
-    /// Loads at once at full speed; more of them share it.
+    /// Number of concurrent loads at full speed; more loads share that bandwidth.
     pub full_speed_loads: u32,
-    /// The full speed of one load.
+    /// Full speed of one load in MiB per second.
     pub mib_per_second: u64,
 }
 
@@ -25,13 +26,13 @@
     }
 }
 
-/// How often a load's progress is worked out anew.
+/// How often the progress of a load is updated.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Percent of a whole.
+/// Speed setting at which loads aren't slowed down, in percent.
 const FULL_SPEED_PERCENT: u64 = 100;
 
-/// The weight store.
+/// A weight store that only simulates the time loads take.
 #[derive(Debug)]
 pub struct WeightStore {
     limits: WeightStoreLimits,
@@ -50,7 +51,7 @@
 }
 
 impl WeightStore {
-    /// Makes a weight store at full speed.
+    /// Creates a weight store at full speed.
     pub fn new(limits: WeightStoreLimits) -> Self {
         Self {
             limits,
@@ -61,17 +62,17 @@
         }
     }
 
-    /// Sets how much of its full speed it reaches, in percent; 0 stops all loads.
+    /// Sets the speed in percent of the full speed; 0 stalls all loads.
     pub fn set_speed(&self, percent: u64) {
         self.speed_percent.store(percent, Ordering::SeqCst);
     }
 
-    /// Returns the most loads that ran at once.
+    /// Returns the highest number of concurrent loads.
     pub fn peak_loads(&self) -> u32 {
         self.peak.load(Ordering::SeqCst)
     }
 
-    /// Loads an amount of weights, which takes its time.
+    /// Waits for as long as loading `mib` of weights takes.
     pub async fn load(&self, mib: u64) {
         self.wait_for_start_slot().await;
         let active = self.active.fetch_add(1, Ordering::SeqCst) + 1;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns one load's present speed in MiB a second.
+    /// Returns the current speed of one load in MiB per second.
     fn speed(&self) -> u64 {
         let full =
             self.limits.mib_per_second * self.speed_percent.load(Ordering::SeqCst) / FULL_SPEED_PERCENT;
