--- a/crates/skylarkshore-standins/src/world.rs
+++ b/crates/skylarkshore-standins/src/world.rs
@@ -35,7 +35,7 @@
 use schedule::{Schedule, Task};
 use service::ServiceReplica;
 
-pub use callers::{Ask, Callers, Final, RequestKey, RequestLog};
+pub use callers::{Ask, Callers, FinalAnswer, RequestKey, RequestLog};
 pub use checks::Checks;
 pub use engine::Engine;
 pub use fault::{Faults, NoFaults, Planned, Strike, StrikeAt};
@@ -195,12 +195,12 @@
 
     /// Kills a host's process and schedules its restart with a new incarnation.
     pub fn kill(&mut self, h: usize) {
-        self.kill_for_good(h);
+        self.kill_without_restart(h);
         self.schedule.add(self.now.after(RESTART_DELAY), Task::Restart { host: h });
     }
 
     /// Kills a host's process without a restart.
-    pub fn kill_for_good(&mut self, h: usize) {
+    pub fn kill_without_restart(&mut self, h: usize) {
         let Some(sender) = self.hosts[h].end_process() else { return };
         self.store.unwatch(h);
         self.callers.abandon_from(sender, self.now);
--- a/crates/skylarkshore-standins/src/world/callers.rs
+++ b/crates/skylarkshore-standins/src/world/callers.rs
@@ -45,7 +45,7 @@
 
 /// A request's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// A complete answer.
     Answered,
     /// A refusal.
@@ -68,31 +68,31 @@
     /// Time at which the answer started.
     pub started: Option<Time>,
     /// The final answer and its time.
-    pub ended: Option<Ended>,
+    pub ended: Option<TimedAnswer>,
     /// Whether the host's process ended or the caller disconnected.
     pub abandoned: bool,
 }
 
 /// A final answer with its time.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct TimedAnswer {
     /// Time of the final answer.
     pub at: Time,
     /// The final answer.
-    pub with: Final,
+    pub with: FinalAnswer,
 }
 
 impl RequestLog {
     /// Reports whether the request got a complete answer.
     pub fn is_answered(&self) -> bool {
-        self.ended.as_ref().is_some_and(|ended| ended.with == Final::Answered)
+        self.ended.as_ref().is_some_and(|ended| ended.with == FinalAnswer::Answered)
     }
 
     /// Returns the refusal if the request was refused or its answer aborted.
     pub fn refusal(&self) -> Option<&Refusal> {
         match &self.ended.as_ref()?.with {
-            Final::Answered => None,
-            Final::Refused(refusal) | Final::Aborted(refusal) => Some(refusal),
+            FinalAnswer::Answered => None,
+            FinalAnswer::Refused(refusal) | FinalAnswer::Aborted(refusal) => Some(refusal),
         }
     }
 
@@ -179,14 +179,14 @@
         }
     }
 
-    pub(crate) fn end(&mut self, key: &RequestKey, with: Final, now: Time) {
+    pub(crate) fn end(&mut self, key: &RequestKey, with: FinalAnswer, now: Time) {
         let Some(log) = self.requests.get_mut(key) else { return };
         if let Some(ended) = &log.ended {
             let text = format!("{key:?} gets a second final answer {with:?} after {:?}", ended.with);
             self.violations.push(Violation::new(now, text));
             return;
         }
-        log.ended = Some(Ended { at: now, with });
+        log.ended = Some(TimedAnswer { at: now, with });
         if log.was_refused_as_not_run() && log.runs > 0 {
             self.violations.push(Violation::new(now, format!("{key:?} was run but refused as not run")));
         }
@@ -197,6 +197,6 @@
         if self.requests.get(key).is_some_and(|log| log.ask.digest.0 != *body) {
             self.violations.push(Violation::new(now, format!("{key:?} gets another request's answer")));
         }
-        self.end(key, Final::Answered, now);
+        self.end(key, FinalAnswer::Answered, now);
     }
 }
--- a/crates/skylarkshore-standins/src/world/execute.rs
+++ b/crates/skylarkshore-standins/src/world/execute.rs
@@ -11,7 +11,7 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::upstream::OrderAnswer;
 
-use super::callers::{Final, RequestKey};
+use super::callers::{FinalAnswer, RequestKey};
 use super::engine::{Engine, Run};
 use super::fault::Strike;
 use super::schedule::{RunId, Sender, SentCall, SentOrder, SentRequest, Task};
@@ -128,10 +128,10 @@
                 self.callers.end_with_recorded(&key(from, request), &answer.body, self.now);
             }
             Effect::Refuse { request, refusal } => {
-                self.callers.end(&key(from, request), Final::Refused(refusal), self.now);
+                self.callers.end(&key(from, request), FinalAnswer::Refused(refusal), self.now);
             }
             Effect::Abort { request, refusal } => {
-                self.callers.end(&key(from, request), Final::Aborted(refusal), self.now);
+                self.callers.end(&key(from, request), FinalAnswer::Aborted(refusal), self.now);
             }
             Effect::LogEvent(note) => {
                 let host = self.hosts[h].id.clone();
@@ -150,7 +150,7 @@
             | Effect::ReadNewsForOthers(_) => {}
             Effect::Exit => {
                 self.hosts[h].exited = true;
-                self.kill_for_good(h);
+                self.kill_without_restart(h);
             }
         }
     }
@@ -390,7 +390,7 @@
             return;
         }
         if matches!(end, AttemptOutcome::Completed { held: None }) {
-            self.callers.end(&key(from, request), Final::Answered, self.now);
+            self.callers.end(&key(from, request), FinalAnswer::Answered, self.now);
         }
         self.answer(from, Event::AttemptEnded { attempt, end });
     }
