--- a/crates/skylarkshore-standins/src/engine/memory.rs
+++ b/crates/skylarkshore-standins/src/engine/memory.rs
@@ -66,7 +66,7 @@
     incarnation: Incarnation,
     fence: Fence,
     models: BTreeMap<ModelName, Loaded>,
-    settled: VecDeque<OrderId>,
+    finished_orders: VecDeque<OrderId>,
     cache_events: VecDeque<CacheEvent>,
     last_event: u64,
 }
@@ -80,7 +80,7 @@
             incarnation: Incarnation(1),
             fence: Fence(0),
             models: BTreeMap::new(),
-            settled: VecDeque::new(),
+            finished_orders: VecDeque::new(),
             cache_events: VecDeque::new(),
             last_event: 0,
         }
@@ -90,7 +90,7 @@
         for model in std::mem::take(&mut self.models).keys() {
             self.census.replica_ended(model);
         }
-        self.settled.clear();
+        self.finished_orders.clear();
         self.cache_events.clear();
         self.last_event = 0;
         self.record_power_draw();
@@ -111,11 +111,11 @@
         }
         if req.fence > self.fence {
             self.fence = req.fence;
-            self.settled.clear();
+            self.finished_orders.clear();
         }
         if req.fence == self.fence {
-            self.settled.push_back(req.order);
-            self.settled.truncate_oldest(MAX_HISTORY);
+            self.finished_orders.push_back(req.order);
+            self.finished_orders.truncate_oldest(MAX_HISTORY);
         }
         match self.execute_action(req.action) {
             Ok(work) => (OrderReply::Accepted(true), work),
@@ -222,7 +222,7 @@
             memory_mib: self.settings.memory,
             watts,
             models: self.models.iter().map(|(name, loaded)| model_report(name, loaded)).collect(),
-            settled: self.settled.iter().copied().collect(),
+            settled: self.finished_orders.iter().copied().collect(),
             ..Report::default()
         }
     }
--- a/crates/skylarkshore-standins/src/http.rs
+++ b/crates/skylarkshore-standins/src/http.rs
@@ -132,7 +132,7 @@
 ///
 /// # Panics
 ///
-/// Panics if `body` can't be serialized, which holds for no type of this workspace.
+/// Panics if `body` does not serialize to JSON; every type of this workspace does.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<Body> {
     let body = serde_json::to_vec(body).expect("wire types serialize to JSON");
     complete(status, "application/json", body.into())
--- a/crates/skylarkshore-standins/src/world.rs
+++ b/crates/skylarkshore-standins/src/world.rs
@@ -86,7 +86,7 @@
     schedule: Schedule,
     faults: Box<dyn Faults>,
     serial: u64,
-    list: Vec<Upstream>,
+    host_list: Vec<Upstream>,
     services: OrderedMap<UpstreamId, ServiceReplica>,
     attempts: OrderedMap<AttemptKey, OpenAttempt>,
     open_calls: OrderedSet<CallKey>,
@@ -127,7 +127,7 @@
             schedule: Schedule::default(),
             faults,
             serial: 0,
-            list: setup.upstreams.clone(),
+            host_list: setup.upstreams.clone(),
             services: services.into_iter().map(|s| (s.id.clone(), s)).collect(),
             attempts: OrderedMap::new(),
             open_calls: OrderedSet::new(),
@@ -178,7 +178,7 @@
     /// Delivers a caller's request to a host immediately.
     pub fn ask(&mut self, h: usize, ask: &Ask) -> RequestKey {
         let host = &mut self.hosts[h];
-        let (key, arrival) = self.callers.arrive(host.next_request(), ask, self.now);
+        let (key, arrival) = self.callers.record_arrival(host.next_request(), ask, self.now);
         if host.is_up() {
             self.deliver(h, Event::Arrived { request: key.request, arrival });
         } else {
@@ -212,8 +212,8 @@
     /// Pauses a process for `d`; events that arrive meanwhile are queued.
     pub fn freeze(&mut self, h: usize, d: Duration) {
         if self.hosts[h].freeze() {
-            self.checks.paused(h, self.now, self.now.after(d));
-            self.schedule.add(self.now.after(d), Task::Wake { host: h });
+            self.checks.record_pause(h, self.now, self.now.after(d));
+            self.schedule.add(self.now.after(d), Task::Resume { host: h });
         }
     }
 
@@ -233,14 +233,14 @@
 
     /// Disconnects a host from the key-value service until `until`.
     pub fn cut_store(&mut self, h: usize, until: Time) {
-        self.hosts[h].no_store_until = until;
+        self.hosts[h].store_unreachable_until = until;
         self.store.unwatch(h);
         self.deliver(h, Event::WatchBroken);
     }
 
     /// Disconnects a host from its peers until `until`.
     pub fn cut_peers(&mut self, h: usize, until: Time) {
-        self.hosts[h].no_peers_until = until;
+        self.hosts[h].peers_unreachable_until = until;
     }
 
     /// Sets the mode of the key-value service; an outage breaks every watch.
@@ -258,7 +258,7 @@
     pub fn apply_document(&mut self, document: Document) {
         let key = Key::Document;
         let expect = self.store.get(&key).map_or(Expect::Absent, |v| Expect::At(v.revision));
-        self.checks.document_accepted(&document, self.now);
+        self.checks.record_document(&document, self.now);
         let record = Some(Record::Document(document.into()));
         let answer = self.store.write(&key, expect, record, None, None);
         debug_assert!(matches!(answer, StoreAnswer::Written(_)), "the document has no other writer");
@@ -267,7 +267,7 @@
 
     /// Marks an upstream as leaving on the host list.
     pub fn mark_leaving(&mut self, id: &UpstreamId) {
-        for upstream in self.list.iter_mut().filter(|u| u.id == *id) {
+        for upstream in self.host_list.iter_mut().filter(|u| u.id == *id) {
             upstream.status = UpstreamStatus::Leaving;
         }
         self.checks.marked_leaving(id, self.now);
@@ -275,7 +275,7 @@
 
     /// Removes an upstream from the host list and crashes it for good.
     pub fn reclaim(&mut self, id: &UpstreamId) {
-        self.list.retain(|u| u.id != *id);
+        self.host_list.retain(|u| u.id != *id);
         self.crash_engine(id, None);
     }
 
@@ -351,7 +351,7 @@
                     self.deliver(to.host, event);
                 }
             }
-            Task::Wake { host } => self.resume(host),
+            Task::Resume { host } => self.resume(host),
             Task::Restart { host } => {
                 if self.hosts[host].node.is_none() {
                     self.start_host(host);
@@ -364,16 +364,16 @@
             }
             Task::StoreUp => self.set_store_mode(StoreMode::Up),
             Task::StoreTimeout { from, call } => self.store_answered(from, call, Err(StoreFailure::Unknown)),
-            Task::Crash { engine } => self.crash_for_a_while(&engine),
+            Task::Crash { engine } => self.crash_and_restart(&engine),
             Task::EngineUp { engine } => {
                 if let Some(engine) = self.engines.get_mut(&engine) {
                     engine.restart(self.now);
                 }
             }
             Task::Store(call) => self.handle_store_call(call),
-            Task::Order(order) => self.take_order(&order),
+            Task::Order(order) => self.handle_order(&order),
             Task::ReportRequest { from, engine, asked } => self.handle_report_request(from, &engine, asked),
-            Task::Start(start) => self.start_run(start),
+            Task::StartRun(start) => self.start_run(start),
             Task::AttemptTimeout { from, attempt } => self.time_out(from, attempt),
             Task::LoadDone { engine, incarnation, model } => {
                 if let Some(engine) = self.engines.get_mut(&engine) {
@@ -400,7 +400,7 @@
         if self.hosts[h].life != life || self.hosts[h].node.is_none() {
             return;
         }
-        self.deliver(h, Event::HostList(self.list.clone()));
+        self.deliver(h, Event::HostList(self.host_list.clone()));
         self.schedule.add(self.now.after(HOST_LIST_INTERVAL), Task::HostList { host: h, life });
     }
 
@@ -430,7 +430,7 @@
 
     /// Runs the final checks: every request of a running process that is due must have its final answer.
     pub fn finish(&mut self) {
-        self.checks.at_end(self.now, &self.callers);
+        self.checks.check_at_end(self.now, &self.callers);
     }
 
     /// Returns the key-value service's revision.
--- a/crates/skylarkshore-standins/src/world/callers.rs
+++ b/crates/skylarkshore-standins/src/world/callers.rs
@@ -112,7 +112,7 @@
 }
 
 impl Callers {
-    pub(crate) fn arrive(&mut self, key: RequestKey, ask: &Ask, now: Time) -> (RequestKey, Arrival) {
+    pub(crate) fn record_arrival(&mut self, key: RequestKey, ask: &Ask, now: Time) -> (RequestKey, Arrival) {
         let deadline = now.after(ask.timeout);
         let arrival = Arrival {
             caller: ask.caller.clone(),
@@ -156,7 +156,7 @@
     }
 
     /// Records that an upstream starts to run a request.
-    pub(crate) fn run(&mut self, key: &RequestKey, now: Time) {
+    pub(crate) fn record_run(&mut self, key: &RequestKey, now: Time) {
         let Some(log) = self.requests.get_mut(key) else { return };
         log.runs += 1;
         if log.was_refused_as_not_run() {
@@ -173,13 +173,13 @@
         }
     }
 
-    pub(crate) fn answer_started(&mut self, key: &RequestKey, now: Time) {
+    pub(crate) fn record_answer_start(&mut self, key: &RequestKey, now: Time) {
         if let Some(log) = self.requests.get_mut(key) {
             log.started.get_or_insert(now);
         }
     }
 
-    pub(crate) fn end(&mut self, key: &RequestKey, with: FinalAnswer, now: Time) {
+    pub(crate) fn record_end(&mut self, key: &RequestKey, with: FinalAnswer, now: Time) {
         let Some(log) = self.requests.get_mut(key) else { return };
         if let Some(ended) = &log.ended {
             let text = format!("{key:?} gets a second final answer {with:?} after {:?}", ended.with);
@@ -193,10 +193,10 @@
     }
 
     /// Records a stored answer, which must belong to this request.
-    pub(crate) fn end_with_recorded(&mut self, key: &RequestKey, body: &[u8], now: Time) {
+    pub(crate) fn record_stored_answer(&mut self, key: &RequestKey, body: &[u8], now: Time) {
         if self.requests.get(key).is_some_and(|log| log.ask.digest.0 != *body) {
             self.violations.push(Violation::new(now, format!("{key:?} gets another request's answer")));
         }
-        self.end(key, FinalAnswer::Answered, now);
+        self.record_end(key, FinalAnswer::Answered, now);
     }
 }
--- a/crates/skylarkshore-standins/src/world/checks.rs
+++ b/crates/skylarkshore-standins/src/world/checks.rs
@@ -21,7 +21,7 @@
 pub(crate) const LEAVING_GRACE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Life {
+struct ProcessKey {
     host: usize,
     life: u64,
 }
@@ -48,14 +48,14 @@
     /// Highest power draw of each site.
     pub peak_watts: OrderedMap<SiteName, Watts>,
     accepted: Vec<AcceptedDocument>,
-    revisions: OrderedMap<Life, RulesRevision>,
+    revisions: OrderedMap<ProcessKey, RulesRevision>,
     leaving: OrderedMap<UpstreamId, Time>,
     pauses: Vec<Pause>,
     reported: OrderedSet<String>,
 }
 
 impl Checks {
-    pub(crate) fn document_accepted(&mut self, document: &Document, now: Time) {
+    pub(crate) fn record_document(&mut self, document: &Document, now: Time) {
         if let Some(last) = self.accepted.last_mut() {
             last.replaced_at = now;
         }
@@ -67,7 +67,7 @@
         self.leaving.entry(id.clone()).or_insert(now);
     }
 
-    pub(crate) fn paused(&mut self, host: usize, from: Time, to: Time) {
+    pub(crate) fn record_pause(&mut self, host: usize, from: Time, to: Time) {
         self.pauses.push(Pause { host, from, to });
     }
 
@@ -147,8 +147,8 @@
     pub(crate) fn check_rules(&mut self, now: Time, host: &Host) {
         let Some(node) = &host.node else { return };
         let revision = node.document().revision;
-        let life = Life { host: host.index, life: host.life };
-        let previous = self.revisions.insert(life, revision);
+        let process = ProcessKey { host: host.index, life: host.life };
+        let previous = self.revisions.insert(process, revision);
         if previous.is_some_and(|previous| previous > revision) {
             self.report(now, format!("the rules at {} went back", host.id));
         }
@@ -161,7 +161,7 @@
         self.accepted.iter().filter(live).map(|a| &a.document)
     }
 
-    pub(crate) fn at_end(&mut self, now: Time, callers: &Callers) {
+    pub(crate) fn check_at_end(&mut self, now: Time, callers: &Callers) {
         for violation in &callers.violations {
             self.report(violation.at, violation.what.clone());
         }
--- a/crates/skylarkshore-standins/src/world/engine.rs
+++ b/crates/skylarkshore-standins/src/world/engine.rs
@@ -128,7 +128,7 @@
         self.idle
     }
 
-    pub(crate) fn take_order(
+    pub(crate) fn handle_order(
         &mut self,
         order: OrderId,
         fence: Fence,
@@ -244,11 +244,11 @@
         })
     }
 
-    pub(crate) fn in_progress(&self) -> usize {
+    pub(crate) fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    pub(crate) fn begin(&mut self, run: Run, now: Time) {
+    pub(crate) fn add_run(&mut self, run: Run, now: Time) {
         self.update_idle_time(now);
         self.runs.insert(run.id, run);
     }
@@ -257,7 +257,7 @@
         self.runs.get_mut(&id)
     }
 
-    pub(crate) fn end(&mut self, id: RunId, now: Time) -> Option<Run> {
+    pub(crate) fn remove_run(&mut self, id: RunId, now: Time) -> Option<Run> {
         self.update_idle_time(now);
         self.runs.remove(&id)
     }
@@ -277,7 +277,7 @@
         self.finished_orders.clear();
     }
 
-    pub(crate) fn loading(&self) -> u32 {
+    pub(crate) fn loading_count(&self) -> u32 {
         let count = self.models.values().filter(|loaded| loaded.state == LoadState::Loading).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/skylarkshore-standins/src/world/execute.rs
+++ b/crates/skylarkshore-standins/src/world/execute.rs
@@ -39,15 +39,15 @@
 impl World {
     pub(crate) fn execute_all(&mut self, h: usize, effects: Vec<Effect>) {
         let effects = self.faults.rewrite(&self.hosts[h].id, effects);
-        let mut rest = VecDeque::from(effects);
-        while let Some(effect) = rest.pop_front() {
-            let strike = self.strike(h, &effect);
-            match strike {
+        let mut pending = VecDeque::from(effects);
+        while let Some(effect) = pending.pop_front() {
+            let fault = self.next_fault(h, &effect);
+            match fault {
                 Strike::KillBefore => return self.kill(h),
                 Strike::Freeze(d) => {
-                    rest.push_front(effect);
+                    pending.push_front(effect);
                     self.freeze(h, d);
-                    return self.hosts[h].defer(rest);
+                    return self.hosts[h].defer(pending);
                 }
                 Strike::CutStore(d) => self.cut_store(h, self.now.after(d)),
                 Strike::CutPeers(d) => self.cut_peers(h, self.now.after(d)),
@@ -57,14 +57,14 @@
                 }
                 _ => {}
             }
-            self.execute(h, effect, strike);
-            if strike == Strike::KillAfter {
+            self.execute(h, effect, fault);
+            if fault == Strike::KillAfter {
                 return self.kill(h);
             }
         }
     }
 
-    fn strike(&mut self, h: usize, effect: &Effect) -> Strike {
+    fn next_fault(&mut self, h: usize, effect: &Effect) -> Strike {
         if matches!(effect, Effect::LogEvent(_)) || self.hosts[h].is_frozen() {
             return Strike::None;
         }
@@ -72,66 +72,66 @@
         self.faults.strike(self.serial, &self.hosts[h].id, effect)
     }
 
-    pub(crate) fn execute(&mut self, h: usize, effect: Effect, strike: Strike) {
+    pub(crate) fn execute(&mut self, h: usize, effect: Effect, fault: Strike) {
         let from = self.hosts[h].sender();
         if self.metered {
             self.hosts[h].meter.count(&effect);
         }
         match effect {
             Effect::Store { call, request } => {
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent = SentCall { from, call, request, answer_lost };
-                self.fail_store_call_later(&sent);
-                self.send(strike, Task::Store(sent));
+                self.schedule_store_timeout(&sent);
+                self.send(fault, Task::Store(sent));
             }
-            Effect::Watch { from: revision } => self.watch(h, revision, strike),
+            Effect::Watch { from: revision } => self.watch(h, revision, fault),
             Effect::Unwatch => self.store.unwatch(h),
-            Effect::Peer(envelope) => self.send_to_peer(h, envelope, strike),
+            Effect::Peer(envelope) => self.send_to_peer(h, envelope, fault),
             Effect::Probe { host, incarnation, .. } => self.probe(from, host, incarnation),
             Effect::Order { upstream, order, fence, not_after, action, .. } => {
                 if not_after < self.now {
                     let event = Event::Order { upstream, order, answer: OrderAnswer::NotSent };
-                    return self.answer(from, event);
+                    return self.send_event(from, event);
                 }
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent = SentOrder { from, engine: upstream.clone(), order, fence, action, answer_lost };
-                if strike == Strike::Lose {
+                if fault == Strike::Lose {
                     let event = Event::Order { upstream: upstream.clone(), order, answer: OrderAnswer::Lost };
-                    self.answer(from, event);
+                    self.send_event(from, event);
                 }
-                self.send(strike, Task::Order(sent));
-                self.crash_upstream_if_planned(&upstream, strike);
+                self.send(fault, Task::Order(sent));
+                self.crash_upstream_if_planned(&upstream, fault);
             }
             Effect::RequestReport { upstream } => {
-                self.send(strike, Task::ReportRequest { from, engine: upstream, asked: self.now });
+                self.send(fault, Task::ReportRequest { from, engine: upstream, asked: self.now });
             }
             Effect::Send { request, attempt, upstream, deadline, hold, .. } => {
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent =
                     SentRequest { from, request, attempt, upstream: upstream.clone(), hold, answer_lost };
                 self.schedule.add(deadline, Task::AttemptTimeout { from, attempt });
                 self.attempts
                     .insert(AttemptKey::new(from, attempt), OpenAttempt { request, delivered: false });
-                if strike == Strike::Lose {
+                if fault == Strike::Lose {
                     let end = AttemptOutcome::Lost { passed_on: false, died: false };
                     self.attempt_ended(from, attempt, end);
                 } else {
-                    self.send(strike, Task::Start(sent));
+                    self.send(fault, Task::StartRun(sent));
                 }
-                self.crash_upstream_if_planned(&upstream, strike);
+                self.crash_upstream_if_planned(&upstream, fault);
             }
             Effect::Cancel { attempt } => {
                 self.attempts.remove(&AttemptKey::new(from, attempt));
                 self.stop_runs(from, attempt);
             }
             Effect::Answer { request, answer } => {
-                self.callers.end_with_recorded(&key(from, request), &answer.body, self.now);
+                self.callers.record_stored_answer(&request_key(from, request), &answer.body, self.now);
             }
             Effect::Refuse { request, refusal } => {
-                self.callers.end(&key(from, request), FinalAnswer::Refused(refusal), self.now);
+                self.callers.record_end(&request_key(from, request), FinalAnswer::Refused(refusal), self.now);
             }
             Effect::Abort { request, refusal } => {
-                self.callers.end(&key(from, request), FinalAnswer::Aborted(refusal), self.now);
+                self.callers.record_end(&request_key(from, request), FinalAnswer::Aborted(refusal), self.now);
             }
             Effect::LogEvent(note) => {
                 let host = self.hosts[h].id.clone();
@@ -166,9 +166,9 @@
         self.attempt_ended(from, attempt, AttemptOutcome::Lost { passed_on, died: false });
     }
 
-    fn send(&mut self, strike: Strike, task: Task) {
+    fn send(&mut self, fault: Strike, task: Task) {
         let at = self.now.after(LATENCY);
-        match strike {
+        match fault {
             Strike::Lose => {}
             Strike::Delay(d) => self.schedule.add(at.after(d), task),
             Strike::Double => {
@@ -179,24 +179,24 @@
         }
     }
 
-    fn answer(&mut self, to: Sender, event: Event) {
+    fn send_event(&mut self, to: Sender, event: Event) {
         self.schedule.add(self.now.after(LATENCY), Task::Event { to, event });
     }
 
-    fn crash_upstream_if_planned(&mut self, upstream: &UpstreamId, strike: Strike) {
-        if strike == Strike::CrashUpstream {
+    fn crash_upstream_if_planned(&mut self, upstream: &UpstreamId, fault: Strike) {
+        if fault == Strike::CrashUpstream {
             let engine = upstream.clone();
             self.schedule.add(self.now.after(LATENCY * 2), Task::Crash { engine });
         }
     }
 
-    pub(crate) fn crash_for_a_while(&mut self, id: &UpstreamId) {
+    pub(crate) fn crash_and_restart(&mut self, id: &UpstreamId) {
         self.crash_engine(id, Some(CRASH_DOWNTIME));
     }
 
-    fn watch(&mut self, h: usize, from: StoreRevision, strike: Strike) {
-        let reachable = self.store.mode == StoreMode::Up && self.hosts[h].no_store_until <= self.now;
-        if !reachable || strike == Strike::Lose {
+    fn watch(&mut self, h: usize, from: StoreRevision, fault: Strike) {
+        let reachable = self.store.mode == StoreMode::Up && self.hosts[h].store_unreachable_until <= self.now;
+        if !reachable || fault == Strike::Lose {
             let to = self.hosts[h].sender();
             let at = self.now.after(self.setup.timings.store_timeout);
             return self.schedule.add(at, Task::Event { to, event: Event::WatchBroken });
@@ -205,34 +205,35 @@
         self.notify_watchers();
     }
 
-    fn send_to_peer(&mut self, h: usize, envelope: Envelope, strike: Strike) {
+    fn send_to_peer(&mut self, h: usize, envelope: Envelope, fault: Strike) {
         let Some(to) = self.hosts.iter().position(|host| host.id == envelope.to) else { return };
-        let cut = self.hosts[h].no_peers_until > self.now || self.hosts[to].no_peers_until > self.now;
+        let cut = self.hosts[h].peers_unreachable_until > self.now
+            || self.hosts[to].peers_unreachable_until > self.now;
         if cut || !self.hosts[to].is_up() {
             return;
         }
         let event = Event::Peer { from: self.hosts[h].id.clone(), message: envelope.message };
         let to = self.hosts[to].sender();
-        self.send(strike, Task::Event { to, event });
+        self.send(fault, Task::Event { to, event });
     }
 
     fn probe(&mut self, from: Sender, host: HostId, incarnation: Incarnation) {
         let Some(found) = self.hosts.iter().find(|h| h.id == host) else { return };
         let ended = !found.is_up() || found.incarnation() > incarnation;
         if ended {
-            self.answer(from, Event::PeerConnectionRefused { host, incarnation });
+            self.send_event(from, Event::PeerConnectionRefused { host, incarnation });
         }
     }
 
     /// Schedules a call to end with an unknown result unless it is answered before the timeout.
-    fn fail_store_call_later(&mut self, sent: &SentCall) {
+    fn schedule_store_timeout(&mut self, sent: &SentCall) {
         self.open_calls.insert(CallKey { from: sent.from, call: sent.call });
         let at = self.now.after(self.setup.timings.store_timeout);
         self.schedule.add(at, Task::StoreTimeout { from: sent.from, call: sent.call });
     }
 
     pub(crate) fn handle_store_call(&mut self, sent: SentCall) {
-        let cut = self.hosts[sent.from.host].no_store_until > self.now;
+        let cut = self.hosts[sent.from.host].store_unreachable_until > self.now;
         let mode = if cut { StoreMode::Hanging } else { self.store.mode };
         if mode == StoreMode::Refusing {
             return self.store_answered(sent.from, sent.call, Err(StoreFailure::NotDone));
@@ -249,28 +250,28 @@
 
     pub(crate) fn store_answered(&mut self, from: Sender, call: CallId, result: StoreResult) {
         if self.open_calls.remove(&CallKey { from, call }) {
-            self.answer(from, Event::Store { call, result });
+            self.send_event(from, Event::Store { call, result });
         }
     }
 
-    pub(crate) fn take_order(&mut self, sent: &SentOrder) {
+    pub(crate) fn handle_order(&mut self, sent: &SentOrder) {
         let now = self.now;
-        let loading: u32 = self.engines.values().map(Engine::loading).sum();
+        let loading: u32 = self.engines.values().map(Engine::loading_count).sum();
         let Some(engine) = self.engines.get_mut(&sent.engine).filter(|engine| engine.up) else {
             let event = Event::Order {
                 upstream: sent.engine.clone(),
                 order: sent.order,
                 answer: OrderAnswer::NotSent,
             };
-            return self.answer(sent.from, event);
+            return self.send_event(sent.from, event);
         };
-        let order_result = engine.take_order(sent.order, sent.fence, &sent.action, now);
+        let order_result = engine.handle_order(sent.order, sent.fence, &sent.action, now);
         if let Some(started_load) = order_result.started_load {
             let models = &self.setup.document.catalogue.models;
             let load_time =
                 models.get(&started_load.model).map_or(DEFAULT_LOAD_TIME, |model| model.load_time);
-            let concurrent = (loading + 1).max(LOADS_AT_FULL_SPEED);
-            let at = now.after(load_time * concurrent / LOADS_AT_FULL_SPEED);
+            let concurrent_loads = (loading + 1).max(LOADS_AT_FULL_SPEED);
+            let at = now.after(load_time * concurrent_loads / LOADS_AT_FULL_SPEED);
             let engine = sent.engine.clone();
             self.schedule.add(
                 at,
@@ -281,14 +282,14 @@
             self.end_run(&run, lost_outcome(&run, false));
         }
         let answer = if sent.answer_lost { OrderAnswer::Lost } else { order_result.answer };
-        self.answer(sent.from, Event::Order { upstream: sent.engine.clone(), order: sent.order, answer });
+        self.send_event(sent.from, Event::Order { upstream: sent.engine.clone(), order: sent.order, answer });
     }
 
     pub(crate) fn handle_report_request(&mut self, from: Sender, id: &UpstreamId, asked: Time) {
         let report = self.engines.get(id).and_then(Engine::report);
-        let wait = if report.is_some() { LATENCY } else { REPORT_TIMEOUT };
+        let delay = if report.is_some() { LATENCY } else { REPORT_TIMEOUT };
         let event = Event::Report { upstream: id.clone(), asked, report };
-        self.schedule.add(self.now.after(wait), Task::Event { to: from, event });
+        self.schedule.add(self.now.after(delay), Task::Event { to: from, event });
     }
 
     pub(crate) fn start_run(&mut self, sent: SentRequest) {
@@ -298,14 +299,14 @@
         if std::mem::replace(&mut attempt.delivered, true) {
             return;
         }
-        let request = key(sent.from, sent.request);
+        let request = request_key(sent.from, sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
         let (target, run_time) = (log.ask.target.clone(), log.ask.run_time);
         if let Some(end) = self.rejection(&sent, &target) {
             return self.attempt_ended(sent.from, sent.attempt, end);
         }
         self.checks.check_new_work(&sent.upstream, self.now);
-        self.callers.run(&request, self.now);
+        self.callers.record_run(&request, self.now);
         self.runs += 1;
         let id = RunId(self.runs);
         let upstream = sent.upstream.clone();
@@ -315,7 +316,7 @@
         };
         let run = Run { id, sent, model, started: false };
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.begin(run, self.now);
+            engine.add_run(run, self.now);
         } else if let Some(service) = self.services.get_mut(&upstream) {
             service.runs.insert(id, run);
         }
@@ -334,7 +335,7 @@
                     return Some(AttemptOutcome::Rejected(Rejection::NotLoaded));
                 }
                 let most = engine.spec.concurrency as usize * REQUEST_LIMIT_FACTOR;
-                (engine.in_progress() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
+                (engine.run_count() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
             }
             Target::Service(name) => {
                 let known = self.services.get(&sent.upstream).is_some_and(|service| service.service == *name);
@@ -351,26 +352,26 @@
         let Some(run) = run else { return };
         run.started = true;
         let sent = run.sent.clone();
-        let request = key(sent.from, sent.request);
+        let request = request_key(sent.from, sent.request);
         if self.callers.requests.get(&request).is_some_and(|log| log.ask.crashes) {
-            return self.crash_for_a_while(upstream);
+            return self.crash_and_restart(upstream);
         }
         if self.attempts.contains_key(&AttemptKey::new(sent.from, sent.attempt)) {
-            self.callers.answer_started(&request, self.now);
-            self.answer(sent.from, Event::AnswerStarted { attempt: sent.attempt });
+            self.callers.record_answer_start(&request, self.now);
+            self.send_event(sent.from, Event::AnswerStarted { attempt: sent.attempt });
         }
     }
 
     pub(crate) fn run_done(&mut self, upstream: &UpstreamId, id: RunId) {
         let run = match self.engines.get_mut(upstream) {
-            Some(engine) => engine.end(id, self.now),
+            Some(engine) => engine.remove_run(id, self.now),
             None => self.services.get_mut(upstream).and_then(|service| service.runs.remove(&id)),
         };
         let Some(run) = run else { return };
         if run.sent.answer_lost {
             return self.end_run(&run, lost_outcome(&run, false));
         }
-        let request = key(run.sent.from, run.sent.request);
+        let request = request_key(run.sent.from, run.sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
         let body = log.ask.digest.0.to_vec();
         let held = run.sent.hold.then_some(RecordedAnswer { status: 200, content_type: None, body });
@@ -390,13 +391,13 @@
             return;
         }
         if matches!(end, AttemptOutcome::Completed { held: None }) {
-            self.callers.end(&key(from, request), FinalAnswer::Answered, self.now);
+            self.callers.record_end(&request_key(from, request), FinalAnswer::Answered, self.now);
         }
-        self.answer(from, Event::AttemptEnded { attempt, end });
+        self.send_event(from, Event::AttemptEnded { attempt, end });
     }
 }
 
-const fn key(from: Sender, request: RequestId) -> RequestKey {
+const fn request_key(from: Sender, request: RequestId) -> RequestKey {
     RequestKey { host: from.host, life: from.life, request }
 }
 
--- a/crates/skylarkshore-standins/src/world/schedule.rs
+++ b/crates/skylarkshore-standins/src/world/schedule.rs
@@ -56,7 +56,7 @@
     Tick { host: usize, life: u64 },
     HostList { host: usize, life: u64 },
     Event { to: Sender, event: Event },
-    Wake { host: usize },
+    Resume { host: usize },
     Restart { host: usize },
     ExpireLeases,
     StoreUp,
@@ -66,7 +66,7 @@
     Store(SentCall),
     Order(SentOrder),
     ReportRequest { from: Sender, engine: UpstreamId, asked: Time },
-    Start(SentRequest),
+    StartRun(SentRequest),
     AttemptTimeout { from: Sender, attempt: AttemptId },
     LoadDone { engine: UpstreamId, incarnation: Incarnation, model: ModelName },
     RunStarted { upstream: UpstreamId, run: RunId },
@@ -92,7 +92,7 @@
 /// Tasks by time; tasks of the same time keep the order in which they were added.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
-    items: OrderedMap<TaskKey, Task>,
+    tasks: OrderedMap<TaskKey, Task>,
     added: u64,
 }
 
@@ -105,12 +105,12 @@
 impl Schedule {
     pub(crate) fn add(&mut self, at: Time, task: Task) {
         self.added += 1;
-        self.items.insert(TaskKey { at, number: self.added }, task);
+        self.tasks.insert(TaskKey { at, number: self.added }, task);
     }
 
     /// Removes the next task that is due by `until` and advances the clock to its time.
     pub(crate) fn next(&mut self, until: Time, now: &mut Time) -> Option<Task> {
-        let entry = self.items.first_entry()?;
+        let entry = self.tasks.first_entry()?;
         if entry.key().at > until {
             return None;
         }
