--- a/crates/skylarkshore-standins/src/engine.rs
+++ b/crates/skylarkshore-standins/src/engine.rs
@@ -223,7 +223,7 @@
         tokio::spawn(async move {
             sleep(shared.settings.restart_time).await;
             lock(&shared.memory).begin_incarnation();
-            // If the port has been taken meanwhile, the engine stays down and tests fail visibly.
+            // If another process has taken the port, the engine stays down and tests fail visibly.
             _ = shared.listen().await;
         });
     }
--- a/crates/skylarkshore-standins/src/engine/batch.rs
+++ b/crates/skylarkshore-standins/src/engine/batch.rs
@@ -90,7 +90,7 @@
         slot.await.map_err(|_gone| Full)
     }
 
-    /// Drops all slots and queued requests, as a crash does.
+    /// Resets the slots and the queue, as a crash does.
     pub(super) fn clear(&self) {
         let mut inner = lock(&self.inner);
         *inner = Inner { incarnation: inner.incarnation + 1, ..Inner::default() };
@@ -100,11 +100,8 @@
     pub(super) fn load(&self, lag: Duration) -> Load {
         let inner = lock(&self.inner);
         let sampled_until = Instant::now().checked_sub(lag);
-        let sample = inner
-            .history
-            .iter()
-            .rev()
-            .find(|(at, _)| sampled_until.is_some_and(|sampled_until| *at <= sampled_until));
+        let sample =
+            inner.history.iter().rev().find(|(at, _)| sampled_until.is_some_and(|until| *at <= until));
         sample.map(|(_, load)| *load).unwrap_or_default()
     }
 
--- a/crates/skylarkshore-standins/src/process.rs
+++ b/crates/skylarkshore-standins/src/process.rs
@@ -112,7 +112,7 @@
 pub struct RegistryAddresses {
     /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// Listening address of the directory, which tells callers the hosts to use.
+    /// Listening address of the directory, which serves the list of hosts to callers.
     pub directory: SocketAddr,
     /// Listening address of the readiness check.
     pub readiness: SocketAddr,
--- a/crates/skylarkshore-standins/src/relay.rs
+++ b/crates/skylarkshore-standins/src/relay.rs
@@ -25,7 +25,7 @@
     Whole,
     /// Close all connections, and new ones immediately.
     Cut,
-    /// Discard all bytes; a connection used meanwhile never forwards again.
+    /// Discard all bytes; a connection used in this state stalls for good.
     Silent,
     /// Like [`Self::Silent`], but only towards the target.
     Mute,
--- a/crates/skylarkshore-standins/src/world/fault.rs
+++ b/crates/skylarkshore-standins/src/world/fault.rs
@@ -10,11 +10,11 @@
 pub enum Strike {
     /// No fault.
     None,
-    /// The effect is lost; the sender isn't notified.
+    /// The effect never arrives; the sender can't tell whether it did.
     Lose,
     /// The effect is applied, but its answer is lost.
     LoseAnswer,
-    /// The effect is delayed.
+    /// The effect is delayed by this duration.
     Delay(Duration),
     /// The effect arrives twice, except a request to an upstream, which a connection delivers once.
     Double,
@@ -22,13 +22,13 @@
     KillBefore,
     /// The process is killed after the effect.
     KillAfter,
-    /// The process is paused before the effect.
+    /// The process is paused for this duration before the effect.
     Freeze(Duration),
-    /// The host is disconnected from the key-value service.
+    /// The host is disconnected from the key-value service for this duration.
     CutStore(Duration),
-    /// The host is disconnected from its peers.
+    /// The host is disconnected from its peers for this duration.
     CutPeers(Duration),
-    /// The key-value service stops answering.
+    /// The key-value service stops answering for this duration.
     StoreDown(Duration),
     /// The target upstream crashes just after the effect arrives.
     CrashUpstream,
