--- a/crates/skylarkshore-standins/src/relay.rs
+++ b/crates/skylarkshore-standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A connection that can be cut: a relay between one process and what it talks to.
+//! TCP relay that injects network faults between a process and its target. Start with [`Relay`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,46 +14,46 @@
 
 use crate::fleet::any_port;
 
-/// The longest piece that is passed on at a time, in bytes.
-const PIECE_LEN: usize = 16 * 1024;
+/// Largest number of bytes forwarded at a time.
+const BUFFER_LEN: usize = 16 * 1024;
 
-/// How a relay treats what passes through it.
+/// The fault applied by a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Line {
-    /// Bytes pass.
+    /// Forward all bytes.
     #[default]
     Whole,
-    /// Connections are closed, and new ones at once.
+    /// Close all connections, and new ones immediately.
     Cut,
-    /// Nothing passes any more on a connection that is used meanwhile, not even later.
+    /// Discard all bytes; a connection used in this state stalls for good.
     Silent,
-    /// As silent, but only towards the target.
+    /// Like [`Self::Silent`], but only towards the target.
     Mute,
-    /// As silent, but only from the target.
+    /// Like [`Self::Silent`], but only from the target.
     Deaf,
-    /// Each piece comes so much later.
+    /// Delay each chunk by this duration.
     Slow(Duration),
 }
 
-/// The way that bytes take.
+/// Direction of forwarded bytes: to the target or back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Out,
     Back,
 }
 
 impl Line {
-    fn swallows(self, way: Way) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
             Self::Silent => true,
-            Self::Mute => way == Way::Out,
-            Self::Deaf => way == Way::Back,
+            Self::Mute => direction == Direction::Out,
+            Self::Deaf => direction == Direction::Back,
             Self::Whole | Self::Cut | Self::Slow(_) => false,
         }
     }
 }
 
-/// Passes connections on to a target until it is cut.
+/// Forwards connections to a target, with an adjustable fault.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(any_port()).await?;
         let address = listener.local_addr()?;
@@ -82,22 +82,22 @@
         Ok(Self { address, line, task })
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Treats what passes from now on in another way.
+    /// Sets the fault for all connections, including existing ones.
     pub fn set(&self, line: Line) {
         self.line.send_replace(line);
     }
 
-    /// Closes every connection, and each new one at once.
+    /// Closes all connections, and new ones immediately.
     pub fn cut(&self) {
         self.set(Line::Cut);
     }
 
-    /// Passes new connections on again.
+    /// Removes the fault.
     pub fn mend(&self) {
         self.set(Line::Whole);
     }
@@ -108,21 +108,21 @@
         let Ok((from, _)) = listener.accept().await else { continue };
         let line = line.subscribe();
         if *line.borrow() != Line::Cut {
-            tokio::spawn(pass_on(from, target, line));
+            tokio::spawn(relay_connection(from, target, line));
         }
     }
 }
 
-async fn pass_on(from: TcpStream, target: SocketAddr, mut line: watch::Receiver<Line>) {
+async fn relay_connection(from: TcpStream, target: SocketAddr, mut line: watch::Receiver<Line>) {
     let Ok(to) = TcpStream::connect(target).await else { return };
     _ = from.set_nodelay(true);
     _ = to.set_nodelay(true);
     let (from_reader, from_writer) = from.into_split();
     let (to_reader, to_writer) = to.into_split();
-    let out = forward(from_reader, to_writer, Way::Out, line.clone());
-    let back = forward(to_reader, from_writer, Way::Back, line.clone());
+    let out = forward(from_reader, to_writer, Direction::Out, line.clone());
+    let back = forward(to_reader, from_writer, Direction::Back, line.clone());
     tokio::select! {
-        // A connection that breaks on either side ends here, as it would without the relay.
+        // A failure on either side closes the connection on both, as without the relay.
         _ = async { tokio::try_join!(out, back) } => {}
         _ = line.wait_for(|line| *line == Line::Cut) => {}
     }
@@ -131,14 +131,14 @@
 async fn forward(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     line: watch::Receiver<Line>,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE_LEN];
+    let mut buf = vec![0; BUFFER_LEN];
     loop {
         let len = reader.read(&mut buf).await?;
         let line = *line.borrow();
-        if line.swallows(way) {
+        if line.drops(direction) {
             return std::future::pending().await;
         }
         if let Line::Slow(by) = line {
--- a/crates/skylarkshore-standins/src/world/perform.rs
+++ b/crates/skylarkshore-standins/src/world/execute.rs
@@ -1,4 +1,4 @@
-//! Carries the processes' effects out.
+//! Execution of the processes' effects, with injected faults applied.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,60 +11,60 @@
 use skylarkshore_core::time::Time;
 use skylarkshore_core::upstream::OrderAnswer;
 
-use super::agenda::{Item, RunId, Sender, SentCall, SentOrder, SentRequest};
-use super::callers::{Final, RequestKey};
+use super::callers::{FinalAnswer, RequestKey};
 use super::engine::{Engine, Run};
 use super::fault::Strike;
+use super::schedule::{RunId, Sender, SentCall, SentOrder, SentRequest, Task};
 use super::store::StoreMode;
 use super::{HostNote, LATENCY, World};
 
-/// How long an engine that crashed by a fault or a request stays away.
-const CRASH_DOWN: Duration = Duration::from_secs(2);
-/// After how long a question to an engine that is away ends.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many requests an engine queues for each that it runs.
-const QUEUE_FACTOR: usize = 4;
-/// How many loads the weight store serves at full speed.
+/// How long an engine stays down after a crash caused by a fault or a request.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
+/// Timeout of a report request to an engine that is down.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit on the requests in an engine, as a multiple of its concurrency.
+const REQUEST_LIMIT_FACTOR: usize = 4;
+/// Number of concurrent loads that the weight store serves at full speed.
 const LOADS_AT_FULL_SPEED: u32 = 4;
-/// How long a load takes that the document doesn't tell of.
-const UNKNOWN_LOAD_TIME: Duration = Duration::from_secs(5);
-/// How long the first token takes.
+/// Load time of a model that is missing from the document.
+const DEFAULT_LOAD_TIME: Duration = Duration::from_secs(5);
+/// Time to first token.
 const FIRST_TOKEN: Duration = Duration::from_millis(50);
 
-/// How a run ends for its sender when its upstream is lost.
-pub(crate) const fn lost(run: &Run, died: bool) -> AttemptOutcome {
+/// Returns the outcome of a run whose upstream or answer is lost.
+pub(crate) const fn lost_outcome(run: &Run, died: bool) -> AttemptOutcome {
     AttemptOutcome::Lost { passed_on: run.started && !run.sent.hold, died }
 }
 
 impl World {
-    pub(crate) fn carry_out(&mut self, h: usize, effects: Vec<Effect>) {
+    pub(crate) fn execute_all(&mut self, h: usize, effects: Vec<Effect>) {
         let effects = self.faults.rewrite(&self.hosts[h].id, effects);
-        let mut rest = VecDeque::from(effects);
-        while let Some(effect) = rest.pop_front() {
-            let strike = self.strike(h, &effect);
-            match strike {
+        let mut pending = VecDeque::from(effects);
+        while let Some(effect) = pending.pop_front() {
+            let fault = self.next_fault(h, &effect);
+            match fault {
                 Strike::KillBefore => return self.kill(h),
                 Strike::Freeze(d) => {
-                    rest.push_front(effect);
+                    pending.push_front(effect);
                     self.freeze(h, d);
-                    return self.hosts[h].put_off(rest);
+                    return self.hosts[h].defer(pending);
                 }
                 Strike::CutStore(d) => self.cut_store(h, self.now.after(d)),
                 Strike::CutPeers(d) => self.cut_peers(h, self.now.after(d)),
                 Strike::StoreDown(d) => {
                     self.set_store_mode(StoreMode::Hanging);
-                    self.agenda.add(self.now.after(d), Item::StoreUp);
+                    self.schedule.add(self.now.after(d), Task::StoreUp);
                 }
                 _ => {}
             }
-            self.perform(h, effect, strike);
-            if strike == Strike::KillAfter {
+            self.execute(h, effect, fault);
+            if fault == Strike::KillAfter {
                 return self.kill(h);
             }
         }
     }
 
-    fn strike(&mut self, h: usize, effect: &Effect) -> Strike {
+    fn next_fault(&mut self, h: usize, effect: &Effect) -> Strike {
         if matches!(effect, Effect::LogEvent(_)) || self.hosts[h].is_frozen() {
             return Strike::None;
         }
@@ -72,71 +72,73 @@
         self.faults.strike(self.serial, &self.hosts[h].id, effect)
     }
 
-    pub(crate) fn perform(&mut self, h: usize, effect: Effect, strike: Strike) {
+    pub(crate) fn execute(&mut self, h: usize, effect: Effect, fault: Strike) {
         let from = self.hosts[h].sender();
         if self.metered {
             self.hosts[h].meter.count(&effect);
         }
         match effect {
             Effect::Store { call, request } => {
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent = SentCall { from, call, request, answer_lost };
-                self.fail_store_call_later(&sent);
-                self.send(strike, Item::Store(sent));
+                self.schedule_store_timeout(&sent);
+                self.send(fault, Task::Store(sent));
             }
-            Effect::Watch { from: revision } => self.watch(h, revision, strike),
+            Effect::Watch { from: revision } => self.watch(h, revision, fault),
             Effect::Unwatch => self.store.unwatch(h),
-            Effect::Peer(envelope) => self.send_to_peer(h, envelope, strike),
+            Effect::Peer(envelope) => self.send_to_peer(h, envelope, fault),
             Effect::Probe { host, incarnation, .. } => self.probe(from, host, incarnation),
             Effect::Order { upstream, order, fence, not_after, action, .. } => {
                 if not_after < self.now {
                     let event = Event::Order { upstream, order, answer: OrderAnswer::NotSent };
-                    return self.answer(from, event);
+                    return self.send_event(from, event);
                 }
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent = SentOrder { from, engine: upstream.clone(), order, fence, action, answer_lost };
-                if strike == Strike::Lose {
+                if fault == Strike::Lose {
                     let event = Event::Order { upstream: upstream.clone(), order, answer: OrderAnswer::Lost };
-                    self.answer(from, event);
+                    self.send_event(from, event);
                 }
-                self.send(strike, Item::Order(sent));
-                self.crash_if_struck(&upstream, strike);
+                self.send(fault, Task::Order(sent));
+                self.crash_upstream_if_planned(&upstream, fault);
             }
             Effect::RequestReport { upstream } => {
-                self.send(strike, Item::Ask { from, engine: upstream, asked: self.now });
+                self.send(fault, Task::ReportRequest { from, engine: upstream, asked: self.now });
             }
             Effect::Send { request, attempt, upstream, deadline, hold, .. } => {
-                let answer_lost = strike == Strike::LoseAnswer;
+                let answer_lost = fault == Strike::LoseAnswer;
                 let sent =
                     SentRequest { from, request, attempt, upstream: upstream.clone(), hold, answer_lost };
-                self.agenda.add(deadline, Item::AttemptTimeout { from, attempt });
-                self.attempts.insert(AttemptKey::new(from, attempt), OpenAttempt { request, carried: false });
-                if strike == Strike::Lose {
+                self.schedule.add(deadline, Task::AttemptTimeout { from, attempt });
+                self.attempts
+                    .insert(AttemptKey::new(from, attempt), OpenAttempt { request, delivered: false });
+                if fault == Strike::Lose {
                     let end = AttemptOutcome::Lost { passed_on: false, died: false };
                     self.attempt_ended(from, attempt, end);
                 } else {
-                    self.send(strike, Item::Start(sent));
+                    self.send(fault, Task::StartRun(sent));
                 }
-                self.crash_if_struck(&upstream, strike);
+                self.crash_upstream_if_planned(&upstream, fault);
             }
             Effect::Cancel { attempt } => {
                 self.attempts.remove(&AttemptKey::new(from, attempt));
                 self.stop_runs(from, attempt);
             }
             Effect::Answer { request, answer } => {
-                self.callers.end_with_kept(&key(from, request), &answer.body, self.now);
+                self.callers.record_stored_answer(&request_key(from, request), &answer.body, self.now);
             }
             Effect::Refuse { request, refusal } => {
-                self.callers.end(&key(from, request), Final::Refused(refusal), self.now);
+                self.callers.record_end(&request_key(from, request), FinalAnswer::Refused(refusal), self.now);
             }
             Effect::Abort { request, refusal } => {
-                self.callers.end(&key(from, request), Final::Aborted(refusal), self.now);
+                self.callers.record_end(&request_key(from, request), FinalAnswer::Aborted(refusal), self.now);
             }
             Effect::LogEvent(note) => {
                 let host = self.hosts[h].id.clone();
                 self.notes.push(HostNote { at: self.now, host, note });
             }
-            // No upstream of this world answers that it failed, and callers come to hosts that stay.
+            // Not simulated: upstreams here never answer with a failure, and the hosts that callers
+            // connect to don't change.
             Effect::ForwardHeldAnswer { .. }
             | Effect::CloseIntake
             | Effect::Decision(_)
@@ -148,7 +150,7 @@
             | Effect::ReadNewsForOthers(_) => {}
             Effect::Exit => {
                 self.hosts[h].exited = true;
-                self.kill_for_good(h);
+                self.kill_without_restart(h);
             }
         }
     }
@@ -158,79 +160,80 @@
         self.engines.values_mut().flat_map(|engine| engine.cancel(from, attempt, now)).collect()
     }
 
-    /// Ends an attempt that has no whole answer by its deadline, as the surroundings of a real process do.
+    /// Ends an attempt without a complete answer at its deadline, as the host runtime does.
     pub(crate) fn time_out(&mut self, from: Sender, attempt: AttemptId) {
         let passed_on = self.stop_runs(from, attempt).iter().any(|run| run.started && !run.sent.hold);
         self.attempt_ended(from, attempt, AttemptOutcome::Lost { passed_on, died: false });
     }
 
-    fn send(&mut self, strike: Strike, item: Item) {
+    fn send(&mut self, fault: Strike, task: Task) {
         let at = self.now.after(LATENCY);
-        match strike {
+        match fault {
             Strike::Lose => {}
-            Strike::Delay(d) => self.agenda.add(at.after(d), item),
+            Strike::Delay(d) => self.schedule.add(at.after(d), task),
             Strike::Double => {
-                self.agenda.add(at, item.clone());
-                self.agenda.add(at.after(LATENCY), item);
+                self.schedule.add(at, task.clone());
+                self.schedule.add(at.after(LATENCY), task);
             }
-            _ => self.agenda.add(at, item),
+            _ => self.schedule.add(at, task),
         }
     }
 
-    fn answer(&mut self, to: Sender, event: Event) {
-        self.agenda.add(self.now.after(LATENCY), Item::Event { to, event });
+    fn send_event(&mut self, to: Sender, event: Event) {
+        self.schedule.add(self.now.after(LATENCY), Task::Event { to, event });
     }
 
-    fn crash_if_struck(&mut self, upstream: &UpstreamId, strike: Strike) {
-        if strike == Strike::CrashUpstream {
+    fn crash_upstream_if_planned(&mut self, upstream: &UpstreamId, fault: Strike) {
+        if fault == Strike::CrashUpstream {
             let engine = upstream.clone();
-            self.agenda.add(self.now.after(LATENCY * 2), Item::Crash { engine });
+            self.schedule.add(self.now.after(LATENCY * 2), Task::Crash { engine });
         }
     }
 
-    pub(crate) fn crash_for_a_while(&mut self, id: &UpstreamId) {
-        self.crash_engine(id, Some(CRASH_DOWN));
+    pub(crate) fn crash_and_restart(&mut self, id: &UpstreamId) {
+        self.crash_engine(id, Some(CRASH_DOWNTIME));
     }
 
-    fn watch(&mut self, h: usize, from: StoreRevision, strike: Strike) {
-        let reachable = self.store.mode == StoreMode::Up && self.hosts[h].no_store_until <= self.now;
-        if !reachable || strike == Strike::Lose {
+    fn watch(&mut self, h: usize, from: StoreRevision, fault: Strike) {
+        let reachable = self.store.mode == StoreMode::Up && self.hosts[h].store_unreachable_until <= self.now;
+        if !reachable || fault == Strike::Lose {
             let to = self.hosts[h].sender();
             let at = self.now.after(self.setup.timings.store_timeout);
-            return self.agenda.add(at, Item::Event { to, event: Event::WatchBroken });
+            return self.schedule.add(at, Task::Event { to, event: Event::WatchBroken });
         }
         self.store.watch(h, from);
-        self.tell_watchers();
+        self.notify_watchers();
     }
 
-    fn send_to_peer(&mut self, h: usize, envelope: Envelope, strike: Strike) {
+    fn send_to_peer(&mut self, h: usize, envelope: Envelope, fault: Strike) {
         let Some(to) = self.hosts.iter().position(|host| host.id == envelope.to) else { return };
-        let cut = self.hosts[h].no_peers_until > self.now || self.hosts[to].no_peers_until > self.now;
+        let cut = self.hosts[h].peers_unreachable_until > self.now
+            || self.hosts[to].peers_unreachable_until > self.now;
         if cut || !self.hosts[to].is_up() {
             return;
         }
         let event = Event::Peer { from: self.hosts[h].id.clone(), message: envelope.message };
         let to = self.hosts[to].sender();
-        self.send(strike, Item::Event { to, event });
+        self.send(fault, Task::Event { to, event });
     }
 
     fn probe(&mut self, from: Sender, host: HostId, incarnation: Incarnation) {
         let Some(found) = self.hosts.iter().find(|h| h.id == host) else { return };
         let ended = !found.is_up() || found.incarnation() > incarnation;
         if ended {
-            self.answer(from, Event::PeerConnectionRefused { host, incarnation });
+            self.send_event(from, Event::PeerConnectionRefused { host, incarnation });
         }
     }
 
-    /// A call that has no answer in time ends as unknown; an answer before that makes this void.
-    fn fail_store_call_later(&mut self, sent: &SentCall) {
+    /// Schedules a call to end with an unknown result unless it is answered before the timeout.
+    fn schedule_store_timeout(&mut self, sent: &SentCall) {
         self.open_calls.insert(CallKey { from: sent.from, call: sent.call });
         let at = self.now.after(self.setup.timings.store_timeout);
-        self.agenda.add(at, Item::StoreTimeout { from: sent.from, call: sent.call });
+        self.schedule.add(at, Task::StoreTimeout { from: sent.from, call: sent.call });
     }
 
-    pub(crate) fn take_store_call(&mut self, sent: SentCall) {
-        let cut = self.hosts[sent.from.host].no_store_until > self.now;
+    pub(crate) fn handle_store_call(&mut self, sent: SentCall) {
+        let cut = self.hosts[sent.from.host].store_unreachable_until > self.now;
         let mode = if cut { StoreMode::Hanging } else { self.store.mode };
         if mode == StoreMode::Refusing {
             return self.store_answered(sent.from, sent.call, Err(StoreFailure::NotDone));
@@ -239,7 +242,7 @@
             return;
         }
         let answer = self.store.call(sent.request, self.now);
-        self.tell_watchers();
+        self.notify_watchers();
         if mode == StoreMode::Up && !sent.answer_lost {
             self.store_answered(sent.from, sent.call, Ok(answer));
         }
@@ -247,60 +250,63 @@
 
     pub(crate) fn store_answered(&mut self, from: Sender, call: CallId, result: StoreResult) {
         if self.open_calls.remove(&CallKey { from, call }) {
-            self.answer(from, Event::Store { call, result });
+            self.send_event(from, Event::Store { call, result });
         }
     }
 
-    pub(crate) fn take_order(&mut self, sent: &SentOrder) {
+    pub(crate) fn handle_order(&mut self, sent: &SentOrder) {
         let now = self.now;
-        let loading: u32 = self.engines.values().map(Engine::loading).sum();
+        let loading: u32 = self.engines.values().map(Engine::loading_count).sum();
         let Some(engine) = self.engines.get_mut(&sent.engine).filter(|engine| engine.up) else {
             let event = Event::Order {
                 upstream: sent.engine.clone(),
                 order: sent.order,
                 answer: OrderAnswer::NotSent,
             };
-            return self.answer(sent.from, event);
+            return self.send_event(sent.from, event);
         };
-        let taken = engine.take_order(sent.order, sent.fence, &sent.action, now);
-        if let Some(begun) = taken.begun {
+        let order_result = engine.handle_order(sent.order, sent.fence, &sent.action, now);
+        if let Some(started_load) = order_result.started_load {
             let models = &self.setup.document.catalogue.models;
-            let usual = models.get(&begun.model).map_or(UNKNOWN_LOAD_TIME, |model| model.load_time);
-            let crowd = (loading + 1).max(LOADS_AT_FULL_SPEED);
-            let at = now.after(usual * crowd / LOADS_AT_FULL_SPEED);
+            let load_time =
+                models.get(&started_load.model).map_or(DEFAULT_LOAD_TIME, |model| model.load_time);
+            let concurrent_loads = (loading + 1).max(LOADS_AT_FULL_SPEED);
+            let at = now.after(load_time * concurrent_loads / LOADS_AT_FULL_SPEED);
             let engine = sent.engine.clone();
-            self.agenda
-                .add(at, Item::LoadDone { engine, incarnation: begun.incarnation, model: begun.model });
+            self.schedule.add(
+                at,
+                Task::LoadDone { engine, incarnation: started_load.incarnation, model: started_load.model },
+            );
         }
-        for run in taken.cut {
-            self.end_run(&run, lost(&run, false));
+        for run in order_result.interrupted {
+            self.end_run(&run, lost_outcome(&run, false));
         }
-        let answer = if sent.answer_lost { OrderAnswer::Lost } else { taken.answer };
-        self.answer(sent.from, Event::Order { upstream: sent.engine.clone(), order: sent.order, answer });
+        let answer = if sent.answer_lost { OrderAnswer::Lost } else { order_result.answer };
+        self.send_event(sent.from, Event::Order { upstream: sent.engine.clone(), order: sent.order, answer });
     }
 
-    pub(crate) fn take_ask(&mut self, from: Sender, id: &UpstreamId, asked: Time) {
+    pub(crate) fn handle_report_request(&mut self, from: Sender, id: &UpstreamId, asked: Time) {
         let report = self.engines.get(id).and_then(Engine::report);
-        let wait = if report.is_some() { LATENCY } else { ASK_TIMEOUT };
+        let delay = if report.is_some() { LATENCY } else { REPORT_TIMEOUT };
         let event = Event::Report { upstream: id.clone(), asked, report };
-        self.agenda.add(self.now.after(wait), Item::Event { to: from, event });
+        self.schedule.add(self.now.after(delay), Task::Event { to: from, event });
     }
 
-    pub(crate) fn take_start(&mut self, sent: SentRequest) {
+    pub(crate) fn start_run(&mut self, sent: SentRequest) {
         let Some(attempt) = self.attempts.get_mut(&AttemptKey::new(sent.from, sent.attempt)) else { return };
-        // An attempt is one request on one connection, which delivers it once;
-        // the HTTP client's own retry is off.
-        if std::mem::replace(&mut attempt.carried, true) {
+        // An attempt is one request on one connection, which delivers it at most once;
+        // the HTTP client's own retries are disabled.
+        if std::mem::replace(&mut attempt.delivered, true) {
             return;
         }
-        let request = key(sent.from, sent.request);
+        let request = request_key(sent.from, sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
         let (target, run_time) = (log.ask.target.clone(), log.ask.run_time);
-        if let Some(end) = self.turned_away(&sent, &target) {
+        if let Some(end) = self.rejection(&sent, &target) {
             return self.attempt_ended(sent.from, sent.attempt, end);
         }
-        self.checks.new_work(&sent.upstream, self.now);
-        self.callers.run(&request, self.now);
+        self.checks.check_new_work(&sent.upstream, self.now);
+        self.callers.record_run(&request, self.now);
         self.runs += 1;
         let id = RunId(self.runs);
         let upstream = sent.upstream.clone();
@@ -310,16 +316,16 @@
         };
         let run = Run { id, sent, model, started: false };
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.begin(run, self.now);
+            engine.add_run(run, self.now);
         } else if let Some(service) = self.services.get_mut(&upstream) {
             service.runs.insert(id, run);
         }
         let first = FIRST_TOKEN.min(run_time);
-        self.agenda.add(self.now.after(first), Item::RunStarted { upstream: upstream.clone(), run: id });
-        self.agenda.add(self.now.after(run_time), Item::RunDone { upstream, run: id });
+        self.schedule.add(self.now.after(first), Task::RunStarted { upstream: upstream.clone(), run: id });
+        self.schedule.add(self.now.after(run_time), Task::RunDone { upstream, run: id });
     }
 
-    fn turned_away(&self, sent: &SentRequest, target: &Target) -> Option<AttemptOutcome> {
+    fn rejection(&self, sent: &SentRequest, target: &Target) -> Option<AttemptOutcome> {
         match target {
             Target::Model(target) => {
                 let Some(engine) = self.engines.get(&sent.upstream).filter(|engine| engine.up) else {
@@ -328,8 +334,8 @@
                 if !engine.holds(&target.model, target.adapter.as_ref()) {
                     return Some(AttemptOutcome::Rejected(Rejection::NotLoaded));
                 }
-                let most = engine.spec.concurrency as usize * QUEUE_FACTOR;
-                (engine.in_progress() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
+                let most = engine.spec.concurrency as usize * REQUEST_LIMIT_FACTOR;
+                (engine.run_count() >= most).then_some(AttemptOutcome::Rejected(Rejection::Busy))
             }
             Target::Service(name) => {
                 let known = self.services.get(&sent.upstream).is_some_and(|service| service.service == *name);
@@ -346,26 +352,26 @@
         let Some(run) = run else { return };
         run.started = true;
         let sent = run.sent.clone();
-        let request = key(sent.from, sent.request);
+        let request = request_key(sent.from, sent.request);
         if self.callers.requests.get(&request).is_some_and(|log| log.ask.crashes) {
-            return self.crash_for_a_while(upstream);
+            return self.crash_and_restart(upstream);
         }
         if self.attempts.contains_key(&AttemptKey::new(sent.from, sent.attempt)) {
-            self.callers.answer_started(&request, self.now);
-            self.answer(sent.from, Event::AnswerStarted { attempt: sent.attempt });
+            self.callers.record_answer_start(&request, self.now);
+            self.send_event(sent.from, Event::AnswerStarted { attempt: sent.attempt });
         }
     }
 
     pub(crate) fn run_done(&mut self, upstream: &UpstreamId, id: RunId) {
         let run = match self.engines.get_mut(upstream) {
-            Some(engine) => engine.end(id, self.now),
+            Some(engine) => engine.remove_run(id, self.now),
             None => self.services.get_mut(upstream).and_then(|service| service.runs.remove(&id)),
         };
         let Some(run) = run else { return };
         if run.sent.answer_lost {
-            return self.end_run(&run, lost(&run, false));
+            return self.end_run(&run, lost_outcome(&run, false));
         }
-        let request = key(run.sent.from, run.sent.request);
+        let request = request_key(run.sent.from, run.sent.request);
         let Some(log) = self.callers.requests.get(&request) else { return };
         let body = log.ask.digest.0.to_vec();
         let held = run.sent.hold.then_some(RecordedAnswer { status: 200, content_type: None, body });
@@ -385,17 +391,17 @@
             return;
         }
         if matches!(end, AttemptOutcome::Completed { held: None }) {
-            self.callers.end(&key(from, request), Final::Answered, self.now);
+            self.callers.record_end(&request_key(from, request), FinalAnswer::Answered, self.now);
         }
-        self.answer(from, Event::AttemptEnded { attempt, end });
+        self.send_event(from, Event::AttemptEnded { attempt, end });
     }
 }
 
-const fn key(from: Sender, request: RequestId) -> RequestKey {
+const fn request_key(from: Sender, request: RequestId) -> RequestKey {
     RequestKey { host: from.host, life: from.life, request }
 }
 
-/// An attempt over all hosts and lives.
+/// Identifies an attempt across all hosts and process incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     host: usize,
@@ -409,15 +415,15 @@
     }
 }
 
-/// An attempt that hasn't ended.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenAttempt {
     request: RequestId,
-    /// Whether it has reached its upstream.
-    carried: bool,
+    /// Whether the request has reached its upstream.
+    delivered: bool,
 }
 
-/// A call to the key-value service over all hosts and lives.
+/// Identifies a call to the key-value service across all hosts and process incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallKey {
     from: Sender,
