--- a/crates/skylarkshore-standins/examples/replay.rs
+++ b/crates/skylarkshore-standins/examples/replay.rs
@@ -1,4 +1,4 @@
-//! Replays a recorded trace under several policies and compares them.
+//! Replays a recorded trace under several policies and compares the outcomes.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -7,11 +7,11 @@
 
 use getopts::{Matches, Options};
 use skylarkshore_standins::replay::{
-    Deployment, NotSound, Outcome, Policy, Profile, Stated, Trace, generate, plot, replay, table,
+    Deployment, Expectations, InvariantViolated, Outcome, Policy, Profile, Trace, generate, plot, replay,
+    table,
 };
 
-/// How many replays run at a time.
-const AT_ONCE: usize = 4;
+const MAX_CONCURRENT_REPLAYS: usize = 4;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Writes a new trace for the deployment of the same name in the same folder.
+/// Writes a generated trace for the workload's deployment file in the same folder.
 fn write_trace(file: &Path, profile: Profile, matches: &Matches) -> Result<ExitCode, Failure> {
     let seed = matches.opt_str("seed").map_or(Ok(1), |seed| seed.parse())?;
     let name = format!("{profile}.json");
@@ -72,29 +72,29 @@
     let trace = Trace::parse(&read(file)?).map_err(|err| format!("{}: {err}", file.display()))?;
     let deployment = read_deployment(&file.with_file_name(&trace.deployment))?;
     trace.check(&deployment).map_err(|err| format!("{}: {err}", file.display()))?;
-    let stated = read_stated(&file.with_extension("outcomes"))?;
+    let expectations = read_expectations(&file.with_extension("outcomes"))?;
     let outcomes = replay_all(&trace, &deployment, &policies)?;
     print!("{}", table(&outcomes));
     let name = file.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
     let svg = matches.opt_str("plot").map_or_else(|| PathBuf::from(format!("{name}.svg")), PathBuf::from);
     plot(&svg, &format!("{name}: {} requests", trace.entries.len()), &outcomes)?;
     println!("plot written to {}", svg.display());
-    Ok(report(&stated, &outcomes))
+    Ok(report(&expectations, &outcomes))
 }
 
-/// Prints how the rules' own outcome stands against the stated one.
-fn report(stated: &Stated, outcomes: &[Outcome]) -> ExitCode {
+/// Prints the expectations that the outcome under the deployment's own rules doesn't meet.
+fn report(expectations: &Expectations, outcomes: &[Outcome]) -> ExitCode {
     let Some(own) = outcomes.iter().find(|outcome| outcome.policy == Policy::Rules) else {
         return ExitCode::SUCCESS;
     };
-    let missed = stated.missed(own);
-    for line in &missed {
-        println!("not as stated: {line}");
+    let unmet = expectations.unmet(own);
+    for line in &unmet {
+        println!("not as expected: {line}");
     }
-    if !missed.is_empty() {
+    if !unmet.is_empty() {
         return ExitCode::FAILURE;
     }
-    println!("the outcome is as stated");
+    println!("the outcome is as expected");
     ExitCode::SUCCESS
 }
 
@@ -112,40 +112,44 @@
     Ok(policies)
 }
 
-fn replay_all(trace: &Trace, deployment: &Deployment, policies: &[Policy]) -> Result<Vec<Outcome>, NotSound> {
+fn replay_all(
+    trace: &Trace,
+    deployment: &Deployment,
+    policies: &[Policy],
+) -> Result<Vec<Outcome>, InvariantViolated> {
     let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<(usize, Result<Outcome, NotSound>)>> = Mutex::new(Vec::new());
+    let done: Mutex<Vec<(usize, Result<Outcome, InvariantViolated>)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_CONCURRENT_REPLAYS {
             scope.spawn(|| {
                 loop {
                     let i = next.fetch_add(1, Ordering::Relaxed);
                     let Some(policy) = policies.get(i) else { return };
                     eprintln!("replaying under {policy}");
                     let outcome = replay(trace, deployment, *policy);
-                    done.lock().expect("no replay panics with the lock").push((i, outcome));
+                    done.lock().expect("no replay panics while it holds the lock").push((i, outcome));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("no replay panics with the lock");
+    let mut done = done.into_inner().expect("no replay panics while it holds the lock");
     done.sort_by_key(|(i, _)| *i);
     done.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
 fn read(file: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(file)
-        .map_err(|err| format!("{}: {err}; name a file that can be read", file.display()).into())
+        .map_err(|err| format!("{}: {err}; name a readable file", file.display()).into())
 }
 
 fn read_deployment(file: &Path) -> Result<Deployment, Failure> {
     Deployment::parse(&read(file)?).map_err(|err| format!("{}: {err}", file.display()).into())
 }
 
-/// Reads the stated outcomes; a trace without them is compared with nothing.
-fn read_stated(file: &Path) -> Result<Stated, Failure> {
+/// Reads the expected outcomes; a trace without such a file has none.
+fn read_expectations(file: &Path) -> Result<Expectations, Failure> {
     if !file.exists() {
-        return Ok(Stated::default());
+        return Ok(Expectations::default());
     }
-    Stated::parse(&read(file)?).map_err(|err| format!("{}: {err}", file.display()).into())
+    Expectations::parse(&read(file)?).map_err(|err| format!("{}: {err}", file.display()).into())
 }
--- a/crates/skylarkshore-standins/src/replay/deployment.rs
+++ b/crates/skylarkshore-standins/src/replay/deployment.rs
@@ -1,4 +1,4 @@
-//! The hosts, upstreams and rules on which a trace was recorded.
+//! The deployment file of a trace: its hosts, upstreams and rules.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 
 use crate::world::{HostSetup, Setup};
 
-/// How often the replay's processes get a tick; longer than live ones', to save time.
+/// The tick interval of replayed processes; longer than in production, to speed up the replay.
 const TICK: Duration = Duration::from_millis(500);
-/// The first port of the upstreams, which nobody listens on.
+/// The first port of the upstreams' addresses; no socket is opened on them.
 const FIRST_PORT: u16 = 9000;
 
-/// A deployment as its file describes it.
+/// The JSON form of a deployment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DeploymentWire {
@@ -58,7 +58,7 @@
     service: ServiceName,
 }
 
-/// What a trace runs on.
+/// The hosts, upstreams and rules that a trace is replayed on.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The entry hosts.
@@ -69,23 +69,23 @@
     pub document: Document,
 }
 
-/// A file that describes no deployment.
+/// A deployment file that can't be parsed.
 #[derive(Debug, Display, Error, From)]
 pub enum InvalidDeployment {
-    /// It has another shape.
+    /// The JSON is malformed or has missing or unknown keys.
     #[display("the deployment's file can't be read: {_0}; see traces/README.md for its keys")]
     Shape(serde_json::Error),
-    /// Its document is invalid.
+    /// The operators' document is invalid.
     #[display("the deployment's document: {_0}")]
     Document(InvalidDocument),
 }
 
 impl Deployment {
-    /// Reads a deployment.
+    /// Parses a deployment file.
     ///
     /// # Errors
     ///
-    /// Names the place in the file and the remedy.
+    /// Returns the position in the file and the remedy if the text is invalid.
     pub fn parse(text: &str) -> Result<Self, InvalidDeployment> {
         let wire: DeploymentWire = serde_json::from_str(text)?;
         let site = wire.site;
@@ -99,7 +99,7 @@
         Ok(Self { hosts: hosts.collect(), upstreams, document: wire.document.try_into()? })
     }
 
-    /// Makes the world's setup with the operators' document of one policy.
+    /// Returns the simulation's setup with the given operators' document.
     pub fn setup(&self, document: Document, seed: u64) -> Setup {
         Setup {
             hosts: self.hosts.clone(),
--- a/crates/skylarkshore-standins/src/replay/outcome.rs
+++ b/crates/skylarkshore-standins/src/replay/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a replay, and the table that compares several.
+//! The results of a replay, and a table that compares several.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -12,50 +12,50 @@
 use super::policy::Policy;
 use crate::world::{RequestLog, World};
 
-/// A wait that counts as a cold start; warm requests begin within a few milliseconds.
-const COLD: Duration = Duration::from_secs(1);
+/// The shortest wait that counts as a cold start; warm requests start within a few milliseconds.
+const COLD_START_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// What came of a replay.
+/// The results of a replay.
 ///
 /// A wait is the time from a request's arrival to the first part of its answer.
-/// A request that wasn't served counts with its whole time-out, so that nothing
-/// is gained by refusing.
+/// A request that wasn't served counts with its whole time-out, so that refusing
+/// requests doesn't improve the results.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Under which policy.
+    /// The policy of the replay.
     pub policy: Policy,
     /// Requests for models and services that were answered.
     pub served: u64,
     /// Requests that were refused as not run.
     pub refused_not_run: u64,
     /// Requests that ended in any other way.
-    pub others: u64,
-    /// Requests for models that met a cold start.
+    pub ended_otherwise: u64,
+    /// Requests for models that waited for a cold start.
     pub cold: u64,
-    /// What half of the requests for models waited at most.
+    /// The median wait for models.
     pub wait_p50: Duration,
-    /// What 95 of 100 requests for models waited at most.
+    /// The 95th percentile of the waits for models.
     pub wait_p95: Duration,
-    /// What 99 of 100 requests for models waited at most.
+    /// The 99th percentile of the waits for models.
     pub wait_p99: Duration,
-    /// What 99 of 100 cold starts took at most.
+    /// The 99th percentile of the cold starts.
     pub cold_p99: Duration,
-    /// The longest wait of a request for a model.
-    pub longest: Duration,
-    /// What requests for models waited, all together.
-    pub waited: Duration,
-    /// What the waits cost by the deployment's own weights, in seconds of an idle accelerator.
-    pub waits_cost: Duration,
-    /// How long accelerators held a model and ran nothing.
+    /// The longest wait for a model.
+    pub longest_wait: Duration,
+    /// The sum of all waits for models.
+    pub total_wait: Duration,
+    /// The cost of the waits by the deployment's own weights, as time of one idle accelerator.
+    pub wait_cost: Duration,
+    /// The accumulated time during which accelerators held a model without running a request.
     pub idle: Duration,
-    /// The most that a site drew.
-    pub peak: Watts,
-    /// Loads that engines began.
+    /// The highest power draw of a site.
+    pub peak_power: Watts,
+    /// Model loads that engines started.
     pub loads: u64,
 }
 
-/// The longest wait that is told apart, in milliseconds: a day.
-const LONGEST_MS: u64 = 24 * 3600 * 1000;
+/// The upper bound of the wait histogram: one day.
+const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
 const SECS_PER_HOUR: f64 = 3600.0;
 
 impl Outcome {
@@ -67,30 +67,31 @@
         let refused_not_run = logs().filter(is_not_run).count() as u64;
         let models = logs().filter(|log| matches!(log.ask.target, Target::Model(_)));
         let waits: Vec<Duration> = models.map(wait).collect();
-        let cold: Vec<Duration> = waits.iter().copied().filter(|wait| *wait >= COLD).collect();
+        let cold: Vec<Duration> =
+            waits.iter().copied().filter(|wait| *wait >= COLD_START_THRESHOLD).collect();
         let (all, cold_starts) = (histogram(&waits), histogram(&cold));
         Self {
             policy,
             served,
             refused_not_run,
-            others: logs().count() as u64 - served - refused_not_run,
+            ended_otherwise: logs().count() as u64 - served - refused_not_run,
             cold: cold.len() as u64,
             wait_p50: quantile(&all, 0.5),
             wait_p95: quantile(&all, 0.95),
             wait_p99: quantile(&all, 0.99),
             cold_p99: quantile(&cold_starts, 0.99),
-            waited: waits.iter().sum(),
-            waits_cost: logs().map(|log| cost(rules, log)).sum(),
-            longest: waits.iter().copied().max().unwrap_or_default(),
+            total_wait: waits.iter().sum(),
+            wait_cost: logs().map(|log| cost(rules, log)).sum(),
+            longest_wait: waits.iter().copied().max().unwrap_or_default(),
             idle,
-            peak: world.checks.peak_watts.values().copied().max().unwrap_or_default(),
+            peak_power: world.checks.peak_watts.values().copied().max().unwrap_or_default(),
             loads,
         }
     }
 
-    /// Returns what the rules weigh: waits by their weight, and idle accelerators, in hours of the latter.
+    /// Returns the weighted waits plus the idle time, in accelerator hours.
     pub fn cost_hours(&self) -> f64 {
-        (self.waits_cost + self.idle).as_secs_f64() / SECS_PER_HOUR
+        (self.wait_cost + self.idle).as_secs_f64() / SECS_PER_HOUR
     }
 
     /// Returns the idle accelerator hours.
@@ -106,14 +107,14 @@
 
 fn cost(rules: &Rules, log: &RequestLog) -> Duration {
     let Target::Model(target) = &log.ask.target else { return Duration::ZERO };
-    let facts = RuleInput { model: Some(&target.model), ..RuleInput::default() };
-    let outcome = rules.decide(&facts).outcome;
+    let input = RuleInput { model: Some(&target.model), ..RuleInput::default() };
+    let outcome = rules.decide(&input).outcome;
     wait(log) * outcome.cold_start_weight / outcome.idle_weight.max(1)
 }
 
 fn histogram(waits: &[Duration]) -> Histogram<u64> {
     let mut histogram =
-        Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("the bounds are within the library's limits");
+        Histogram::new_with_bounds(1, MAX_WAIT_MS, 3).expect("the bounds are within the library's limits");
     for wait in waits {
         histogram.saturating_record(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX));
     }
@@ -124,7 +125,7 @@
     Duration::from_millis(histogram.value_at_quantile(quantile))
 }
 
-/// Writes a table with a line for each outcome.
+/// Formats a table with a row per outcome.
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut text = format!(
         "{:<12} {:>7} {:>8} {:>6} {:>6} {:>8} {:>8} {:>8} {:>9} {:>9} {:>8} {:>7} {:>7} {:>7} {:>6}\n",
@@ -152,17 +153,17 @@
             o.policy.to_string(),
             o.served,
             o.refused_not_run,
-            o.others,
+            o.ended_otherwise,
             o.cold,
             o.wait_p50.as_secs_f64(),
             o.wait_p95.as_secs_f64(),
             o.wait_p99.as_secs_f64(),
             o.cold_p99.as_secs_f64(),
-            o.longest.as_secs_f64(),
-            o.waited.as_secs_f64() / SECS_PER_HOUR,
+            o.longest_wait.as_secs_f64(),
+            o.total_wait.as_secs_f64() / SECS_PER_HOUR,
             o.idle_hours(),
             o.cost_hours(),
-            o.peak.0,
+            o.peak_power.0,
             o.loads
         );
     }
--- a/crates/skylarkshore-standins/src/replay/plot.rs
+++ b/crates/skylarkshore-standins/src/replay/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of policies by idle accelerator hours and tail of the waits.
+//! Plots policies by idle accelerator hours and 99th percentile of the waits.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 use super::outcome::Outcome;
 use super::policy::Policy;
 
-/// A plot that couldn't be written.
+/// A plot file that couldn't be written.
 #[derive(Debug, Display, Error)]
 #[display("the plot can't be written to {file}: {reason}; name another file by --plot")]
 pub struct PlotFailed {
@@ -19,17 +19,17 @@
     reason: String,
 }
 
-const SIZE: (u32, u32) = (900, 600);
-const MARGIN: f64 = 1.1;
-const DOT: i32 = 4;
+const SIZE_PX: (u32, u32) = (900, 600);
+const AXIS_HEADROOM: f64 = 1.1;
+const DOT_RADIUS_PX: i32 = 4;
 
-/// Writes an SVG file with a dot for each outcome; those by weights are joined by a line.
+/// Writes an SVG scatter plot of the outcomes; a line joins those of the deployment's own rules.
 ///
 /// # Errors
 ///
-/// Tells when the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn plot(file: &Path, title: &str, outcomes: &[Outcome]) -> Result<(), PlotFailed> {
-    draw(file, title, outcomes)
+    render(file, title, outcomes)
         .map_err(|err| PlotFailed { file: file.display().to_string(), reason: err.to_string() })
 }
 
@@ -46,11 +46,11 @@
     }
 }
 
-fn draw(file: &Path, title: &str, outcomes: &[Outcome]) -> Result<(), Box<dyn std::error::Error>> {
+fn render(file: &Path, title: &str, outcomes: &[Outcome]) -> Result<(), Box<dyn std::error::Error>> {
     let dots: Vec<Dot> = outcomes.iter().map(Dot::new).collect();
-    let right = dots.iter().map(|dot| dot.x).fold(0.1, f64::max) * MARGIN;
-    let top = dots.iter().map(|dot| dot.y).fold(0.1, f64::max) * MARGIN;
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let right = dots.iter().map(|dot| dot.x).fold(0.1, f64::max) * AXIS_HEADROOM;
+    let top = dots.iter().map(|dot| dot.y).fold(0.1, f64::max) * AXIS_HEADROOM;
+    let area = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20).into_font())
@@ -59,15 +59,19 @@
         .y_label_area_size(50)
         .build_cartesian_2d(0.0..right, 0.0..top)?;
     chart.configure_mesh().x_desc("idle accelerator hours").y_desc("99th percentile of waits, s").draw()?;
-    let is_own = |policy: Policy| matches!(policy, Policy::Rules | Policy::Weighted(_));
-    let mut line: Vec<(f64, f64)> =
-        outcomes.iter().zip(&dots).filter(|(o, _)| is_own(o.policy)).map(|(_, dot)| (dot.x, dot.y)).collect();
+    let uses_own_rules = |policy: Policy| matches!(policy, Policy::Rules | Policy::Weighted(_));
+    let mut line: Vec<(f64, f64)> = outcomes
+        .iter()
+        .zip(&dots)
+        .filter(|(o, _)| uses_own_rules(o.policy))
+        .map(|(_, dot)| (dot.x, dot.y))
+        .collect();
     line.sort_by(|a, b| a.0.total_cmp(&b.0));
     chart.draw_series(LineSeries::new(line, &BLUE))?;
     for (outcome, dot) in outcomes.iter().zip(&dots) {
-        let colour = if is_own(outcome.policy) { BLUE } else { RED };
+        let colour = if uses_own_rules(outcome.policy) { BLUE } else { RED };
         let element = EmptyElement::at((dot.x, dot.y))
-            + Circle::new((0, 0), DOT, colour.filled())
+            + Circle::new((0, 0), DOT_RADIUS_PX, colour.filled())
             + Text::new(dot.label.clone(), (6, -12), ("sans-serif", 13).into_font().color(&BLACK));
         chart.draw_series([element])?;
     }
--- a/crates/skylarkshore-standins/src/replay/policy.rs
+++ b/crates/skylarkshore-standins/src/replay/policy.rs
@@ -1,4 +1,4 @@
-//! Policies by name, expressed as changes of the operators' rules.
+//! Replay policies by name, expressed as changes to the operators' rules.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -13,60 +13,66 @@
     /// The deployment's own rules.
     #[display("rules")]
     Rules,
-    /// The deployment's own rules with other weights of cold starts, in percent.
+    /// The deployment's own rules with the cold-start weight scaled, in percent.
     #[display("rules@{_0}%")]
     Weighted(u32),
-    /// Every model is unloaded after a fixed idle time, in seconds.
+    /// Unloads each model after a fixed idle time, in seconds.
     #[display("fixed-{_0}s")]
     Fixed(u64),
-    /// No model is unloaded unless others need its memory.
+    /// Unloads a model only if another one needs its memory.
     #[display("never")]
     Never,
-    /// Every model is unloaded as soon as it is idle.
+    /// Unloads each model as soon as it is idle.
     #[display("at-once")]
     AtOnce,
-    /// Loads in the order in which requests came, with a fixed idle time of five minutes.
+    /// Loads models in the order of their requests, with a fixed idle time of five minutes.
     #[display("fcfs")]
-    FirstCome,
+    FirstComeFirstServed,
 }
 
-/// A name that is no policy.
+/// An unknown policy name.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
-#[display("'{name}' is no policy; use rules, rules@PERCENT%, fixed-SECONDSs, never, at-once or fcfs")]
+#[display("unknown policy '{name}'; use rules, rules@PERCENT%, fixed-SECONDSs, never, at-once or fcfs")]
 pub struct UnknownPolicy {
     name: String,
 }
 
-const FIRST_COME_IDLE: u64 = 300;
+const FCFS_IDLE_SECS: u64 = 300;
 
 impl Policy {
-    /// The policies that each replay is compared with.
-    pub const BASELINES: [Self; 6] =
-        [Self::Fixed(60), Self::Fixed(300), Self::Fixed(900), Self::Never, Self::AtOnce, Self::FirstCome];
+    /// The policies that a replay is compared with by default.
+    pub const BASELINES: [Self; 6] = [
+        Self::Fixed(60),
+        Self::Fixed(300),
+        Self::Fixed(900),
+        Self::Never,
+        Self::AtOnce,
+        Self::FirstComeFirstServed,
+    ];
 
-    /// Returns the operators' document that makes the core follow the policy.
+    /// Returns the operators' document changed to follow the policy.
     pub fn apply(self, document: &Document) -> Document {
         let mut document = document.clone();
         let rules = &mut document.rules;
         for outcome in rules.list.iter_mut().map(|rule| &mut rule.then).chain([&mut rules.otherwise]) {
-            self.change(outcome);
+            self.apply_to(outcome);
         }
         document
     }
 
-    fn change(self, outcome: &mut RuleOutcome) {
+    fn apply_to(self, outcome: &mut RuleOutcome) {
         match self {
             Self::Rules => {}
             Self::Weighted(percent) => {
-                // Both weights grow, so that small ones aren't rounded to nothing.
+                // Scales both weights up, since dividing a small integer would round it to zero.
                 outcome.cold_start_weight *= percent;
                 outcome.idle_weight *= 100;
             }
             Self::Fixed(secs) => outcome.idle_after = IdleAfter::Fixed(Duration::from_secs(secs)),
             Self::Never => outcome.idle_after = IdleAfter::Never,
             Self::AtOnce => outcome.idle_after = IdleAfter::Fixed(Duration::ZERO),
-            Self::FirstCome => {
-                outcome.idle_after = IdleAfter::Fixed(Duration::from_secs(FIRST_COME_IDLE));
+            Self::FirstComeFirstServed => {
+                outcome.idle_after = IdleAfter::Fixed(Duration::from_secs(FCFS_IDLE_SECS));
                 outcome.order = ServiceOrder::default();
             }
         }
@@ -82,7 +88,7 @@
             "rules" => return Ok(Self::Rules),
             "never" => return Ok(Self::Never),
             "at-once" => return Ok(Self::AtOnce),
-            "fcfs" => return Ok(Self::FirstCome),
+            "fcfs" => return Ok(Self::FirstComeFirstServed),
             _ => {}
         }
         if let Some(percent) = name.strip_prefix("rules@").and_then(|rest| rest.strip_suffix('%')) {
--- a/crates/skylarkshore-standins/src/replay/trace.rs
+++ b/crates/skylarkshore-standins/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! A trace's lines, from text to checked types and back.
+//! Parses, validates and writes the text format of traces.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -9,21 +9,21 @@
 
 use super::deployment::Deployment;
 
-/// The first line's text: the kind of file and its version.
+/// The first line of a trace file: the format and its version.
 const HEADER: &str = "skylarkshore-trace 1";
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum RequestTarget {
     /// A model or an adapter, by its name.
     Model(String),
     /// A plain service.
     Service(ServiceName),
-    /// A call of a plain service that may not be repeated, under a key.
+    /// An at-most-once call of a plain service.
     Once {
         /// The service.
         service: ServiceName,
-        /// The key; the same key twice is the same call.
+        /// The idempotency key; requests with the same key are the same call.
         key: u64,
     },
 }
@@ -31,36 +31,36 @@
 /// One request of a trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The line where it stands in its file.
+    /// The line number in the trace file.
     pub line: usize,
-    /// When it arrives, from the trace's start.
+    /// The arrival time, relative to the start of the trace.
     pub at: Duration,
-    /// The number of the entry host, from 1.
+    /// The number of the entry host, counted from 1.
     pub host: usize,
-    /// Who asks.
+    /// The caller.
     pub caller: CallerId,
-    /// What it is for.
-    pub wanted: Wanted,
-    /// How long the caller waits.
+    /// The requested model or service.
+    pub target: RequestTarget,
+    /// The caller's time-out.
     pub timeout: Duration,
-    /// How long it runs once it has begun.
+    /// The run time on the upstream.
     pub run: Duration,
 }
 
-/// A recorded run of a deployment.
+/// The recorded requests to a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// The file, beside the trace, that describes the deployment.
+    /// The name of the deployment file, in the same folder as the trace.
     pub deployment: String,
-    /// Where all randomness starts.
+    /// The random seed of the replay.
     pub seed: u64,
-    /// How long the trace lasts.
+    /// The duration of the trace.
     pub span: Duration,
-    /// The requests, the earliest first.
+    /// The requests, ordered by arrival time.
     pub entries: Vec<Entry>,
 }
 
-/// A line that can't be understood.
+/// A trace line that can't be parsed or doesn't fit the deployment.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("line {line}: {problem}")]
 pub struct InvalidTrace {
@@ -69,11 +69,11 @@
 }
 
 impl Trace {
-    /// Reads a trace.
+    /// Parses a trace.
     ///
     /// # Errors
     ///
-    /// Names the first line that can't be understood, and what to write there.
+    /// Returns the first invalid line and its remedy.
     pub fn parse(text: &str) -> Result<Self, InvalidTrace> {
         let mut lines = Lines::new(text);
         lines.header()?;
@@ -83,11 +83,11 @@
         let span = Duration::from_secs(span);
         let mut entries: Vec<Entry> = Vec::new();
         while let Some((line, text)) = lines.next() {
-            let entry = entry(line, text).map_err(|problem| InvalidTrace { line, problem })?;
+            let entry = parse_entry(line, text).map_err(|problem| InvalidTrace { line, problem })?;
             let earliest = entries.last().map_or(Duration::ZERO, |last| last.at);
             let problem = match entry.at {
-                at if at < earliest => "it lies before the line above; sort the lines by time",
-                at if at >= span => "it lies after the trace's end; raise the span or drop the line",
+                at if at < earliest => "it arrives before the line above; sort the lines by time",
+                at if at >= span => "it arrives after the trace's end; raise the span or remove the line",
                 _ => "",
             };
             if !problem.is_empty() {
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first line that asks for something that isn't there.
+    /// Returns the first line with an unknown host, model or service.
     pub fn check(&self, deployment: &Deployment) -> Result<(), InvalidTrace> {
         for entry in &self.entries {
             entry.check(deployment).map_err(|problem| InvalidTrace { line: entry.line, problem })?;
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Writes the trace as text.
+    /// Returns the trace in its text format.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{HEADER}\ndeployment {}\nseed {}\nspan {}\n# at_ms host caller target timeout_ms run_ms\n",
@@ -133,15 +133,17 @@
             return Err(format!("there is no host {}; the deployment has 1 to {hosts}", self.host));
         }
         let catalogue = &deployment.document.catalogue;
-        let (kind, name) = match &self.wanted {
-            Wanted::Model(name) if catalogue.resolve(name).is_some() => return Ok(()),
-            Wanted::Service(name) | Wanted::Once { service: name, .. }
+        let (kind, name) = match &self.target {
+            RequestTarget::Model(name) if catalogue.resolve(name).is_some() => return Ok(()),
+            RequestTarget::Service(name) | RequestTarget::Once { service: name, .. }
                 if catalogue.services.contains_key(name) =>
             {
                 return Ok(());
             }
-            Wanted::Model(name) => ("model or adapter", name.as_str()),
-            Wanted::Service(name) | Wanted::Once { service: name, .. } => ("service", name.as_str()),
+            RequestTarget::Model(name) => ("model or adapter", name.as_str()),
+            RequestTarget::Service(name) | RequestTarget::Once { service: name, .. } => {
+                ("service", name.as_str())
+            }
         };
         Err(format!("the deployment has no {kind} '{name}'; correct the name or add it to the deployment"))
     }
@@ -150,33 +152,33 @@
 impl std::fmt::Display for Entry {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} {} {} ", self.at.as_millis(), self.host, self.caller)?;
-        match &self.wanted {
-            Wanted::Model(model) => f.write_str(model)?,
-            Wanted::Service(service) => write!(f, "service={service}")?,
-            Wanted::Once { service, key } => write!(f, "once={service}/{key}")?,
+        match &self.target {
+            RequestTarget::Model(model) => f.write_str(model)?,
+            RequestTarget::Service(service) => write!(f, "service={service}")?,
+            RequestTarget::Once { service, key } => write!(f, "once={service}/{key}")?,
         }
         write!(f, " {} {}", self.timeout.as_millis(), self.run.as_millis())
     }
 }
 
-/// The lines that are neither empty nor comments, with their numbers.
+/// Iterates over the numbered lines that are neither empty nor comments.
 struct Lines<'a> {
     lines: std::iter::Enumerate<std::str::Lines<'a>>,
-    at: usize,
+    line: usize,
 }
 
 impl<'a> Lines<'a> {
     fn new(text: &'a str) -> Self {
-        Self { lines: text.lines().enumerate(), at: 1 }
+        Self { lines: text.lines().enumerate(), line: 1 }
     }
 
     fn next(&mut self) -> Option<(usize, &'a str)> {
         loop {
             let (i, line) = self.lines.next()?;
-            self.at = i + 1;
+            self.line = i + 1;
             let text = line.trim();
             if !text.is_empty() && !text.starts_with('#') {
-                return Some((self.at, text));
+                return Some((self.line, text));
             }
         }
     }
@@ -184,24 +186,24 @@
     fn header(&mut self) -> Result<(), InvalidTrace> {
         match self.next() {
             Some((_, HEADER)) => Ok(()),
-            _ => Err(self.invalid(format!("it is no trace that this version reads; begin with '{HEADER}'"))),
+            _ => Err(self.invalid(format!("unsupported trace format; the first line must be '{HEADER}'"))),
         }
     }
 
     fn setting<T: FromStr>(&mut self, name: &str, what: &str) -> Result<T, InvalidTrace> {
         let found = self.next().and_then(|(_, text)| text.strip_prefix(name)).map(str::trim);
         let value = found.and_then(|value| value.parse().ok());
-        value.ok_or_else(|| self.invalid(format!("here stands '{name}' with {what}; write it")))
+        value.ok_or_else(|| self.invalid(format!("missing or invalid '{name}'; write '{name}' and {what}")))
     }
 
     const fn invalid(&self, problem: String) -> InvalidTrace {
-        InvalidTrace { line: self.at, problem }
+        InvalidTrace { line: self.line, problem }
     }
 }
 
 const FIELDS: usize = 6;
 
-fn entry(line: usize, text: &str) -> Result<Entry, String> {
+fn parse_entry(line: usize, text: &str) -> Result<Entry, String> {
     let fields: Vec<&str> = text.split_whitespace().collect();
     if fields.len() != FIELDS {
         let found = fields.len();
@@ -209,33 +211,33 @@
             "it has {found} fields; write at_ms, host, caller, target, timeout_ms and run_ms"
         ));
     }
-    let host = number(fields[1], "the number of an entry host")?;
+    let host = parse_number(fields[1], "the number of an entry host")?;
     Ok(Entry {
         line,
-        at: millis(fields[0])?,
+        at: parse_millis(fields[0])?,
         host: usize::try_from(host).ok().filter(|host| *host > 0).ok_or("hosts are counted from 1")?,
         caller: fields[2].parse().map_err(|err| format!("the caller: {err}"))?,
-        wanted: wanted(fields[3])?,
-        timeout: millis(fields[4])?,
-        run: millis(fields[5])?,
+        target: parse_target(fields[3])?,
+        timeout: parse_millis(fields[4])?,
+        run: parse_millis(fields[5])?,
     })
 }
 
-fn wanted(text: &str) -> Result<Wanted, String> {
+fn parse_target(text: &str) -> Result<RequestTarget, String> {
     let service = |name: &str| name.parse().map_err(|err| format!("the service: {err}"));
     if let Some(name) = text.strip_prefix("service=") {
-        return Ok(Wanted::Service(service(name)?));
+        return Ok(RequestTarget::Service(service(name)?));
     }
-    let Some(once) = text.strip_prefix("once=") else { return Ok(Wanted::Model(text.to_owned())) };
+    let Some(once) = text.strip_prefix("once=") else { return Ok(RequestTarget::Model(text.to_owned())) };
     let (name, key) =
         once.split_once('/').ok_or("a call that may not be repeated needs a key; write once=SERVICE/KEY")?;
-    Ok(Wanted::Once { service: service(name)?, key: number(key, "a key")? })
+    Ok(RequestTarget::Once { service: service(name)?, key: parse_number(key, "a key")? })
 }
 
-fn millis(text: &str) -> Result<Duration, String> {
-    number(text, "a time in milliseconds").map(Duration::from_millis)
+fn parse_millis(text: &str) -> Result<Duration, String> {
+    parse_number(text, "a time in milliseconds").map(Duration::from_millis)
 }
 
-fn number(text: &str, what: &str) -> Result<u64, String> {
+fn parse_number(text: &str, what: &str) -> Result<u64, String> {
     text.parse().map_err(|_invalid| format!("'{text}' is not {what}; write a whole number"))
 }
--- a/crates/skylarkshore-standins/tests/replay.rs
+++ b/crates/skylarkshore-standins/tests/replay.rs
@@ -1,8 +1,8 @@
-//! Traces, stated outcomes and policies: what is read, and what is told when it can't be.
+//! Parsing of traces, expected outcomes and policies, and the errors for invalid input.
 
 use std::time::Duration;
 
-use skylarkshore_standins::replay::{Deployment, Policy, Profile, Stated, Trace, generate};
+use skylarkshore_standins::replay::{Deployment, Expectations, Policy, Profile, Trace, generate};
 
 const HEADER: &str = "skylarkshore-trace 1\ndeployment lagerraum.json\nseed 11\nspan 100\n";
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_generated_trace_comes_back_as_it_was_written_and_fits_its_deployment() {
+fn a_generated_trace_round_trips_and_fits_its_deployment() {
     for (profile, name) in [(Profile::Lagerraum, "lagerraum"), (Profile::Huon, "huon")] {
         let deployment = deployment(name);
         let trace = generate(profile, &format!("{name}.json"), &deployment, 3);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_broken_line_is_named_with_its_remedy() {
+fn an_invalid_trace_line_is_reported_with_its_remedy() {
     let deployment = deployment("lagerraum");
     let lines = [
         "1000 1 c1 summary-1 30000",
@@ -38,42 +38,42 @@
         "1000 1 c1 sumary-1 30000 500",
         "1000 1 c1 service=markt 30000 500",
     ];
-    let told = lines.map(|line| {
+    let messages = lines.map(|line| {
         let trace = Trace::parse(&format!("{HEADER}{line}\n"));
         trace.and_then(|trace| trace.check(&deployment)).unwrap_err().to_string()
     });
-    insta::assert_snapshot!(told.join("\n"), @r"
+    insta::assert_snapshot!(messages.join("\n"), @r"
     line 5: it has 5 fields; write at_ms, host, caller, target, timeout_ms and run_ms
     line 5: 'soon' is not a time in milliseconds; write a whole number
     line 5: hosts are counted from 1
     line 5: a call that may not be repeated needs a key; write once=SERVICE/KEY
-    line 5: it lies after the trace's end; raise the span or drop the line
-    line 6: it lies before the line above; sort the lines by time
+    line 5: it arrives after the trace's end; raise the span or remove the line
+    line 6: it arrives before the line above; sort the lines by time
     line 5: there is no host 10; the deployment has 1 to 9
     line 5: the deployment has no model or adapter 'sumary-1'; correct the name or add it to the deployment
     line 5: the deployment has no service 'markt'; correct the name or add it to the deployment
     ");
-    let no_trace = [Trace::parse(""), Trace::parse("skylarkshore-trace 1\nseed 11\n")];
-    let told = no_trace.map(|trace| trace.unwrap_err().to_string());
-    insta::assert_snapshot!(told.join("\n"), @r"
-    line 1: it is no trace that this version reads; begin with 'skylarkshore-trace 1'
-    line 2: here stands 'deployment' with the file that describes the deployment; write it
+    let invalid_headers = [Trace::parse(""), Trace::parse("skylarkshore-trace 1\nseed 11\n")];
+    let messages = invalid_headers.map(|trace| trace.unwrap_err().to_string());
+    insta::assert_snapshot!(messages.join("\n"), @r"
+    line 1: unsupported trace format; the first line must be 'skylarkshore-trace 1'
+    line 2: missing or invalid 'deployment'; write 'deployment' and the file that describes the deployment
     ");
 }
 
 #[test]
-fn an_unknown_policy_or_figure_is_told_with_what_there_is() {
+fn an_unknown_policy_or_metric_is_reported_with_the_valid_ones() {
     let policies = ["rules", "rules@50%", "fixed-60s", "never", "at-once", "fcfs"];
     for name in policies {
         assert_eq!(name.parse::<Policy>().unwrap().to_string(), name);
     }
-    let told = [
+    let messages = [
         "fixed-one".parse::<Policy>().unwrap_err().to_string(),
-        Stated::parse("served at-least 10\nloads under 3").unwrap_err().to_string(),
+        Expectations::parse("served at-least 10\nloads under 3").unwrap_err().to_string(),
     ];
-    insta::assert_snapshot!(told.join("\n"), @r"
-    'fixed-one' is no policy; use rules, rules@PERCENT%, fixed-SECONDSs, never, at-once or fcfs
-    line 2: 'loads under 3' states no outcome; write FIGURE at-least|at-most NUMBER, for example 'loads at-most 120'; the figures are served, refused-not-run, ended-otherwise, longest-cold-start-s, p99-wait-s, idle-accelerator-hours, peak-watts, loads
+    insta::assert_snapshot!(messages.join("\n"), @r"
+    unknown policy 'fixed-one'; use rules, rules@PERCENT%, fixed-SECONDSs, never, at-once or fcfs
+    line 2: 'loads under 3' is no expected outcome; write METRIC at-least|at-most NUMBER, for example 'loads at-most 120'; the metrics are served, refused-not-run, ended-otherwise, longest-cold-start-s, p99-wait-s, idle-accelerator-hours, peak-watts, loads
     ");
 }
 
