--- a/crates/skylarkshore-standins/tests/world/fault_matrix.rs
+++ b/crates/skylarkshore-standins/tests/world/fault_matrix.rs
@@ -1,8 +1,8 @@
-//! Every fault at every step: a scenario is run again for each effect that leaves a process, and struck there.
+//! Reruns scenarios with a fault injected at each effect that leaves a process.
 //!
-//! `FAULT_SEEDS=N` strikes N times as many pairs, `FAULT_STRIDE=1` every single
-//! effect; without them CI strikes a fixed sample. Each failure prints the
-//! strikes, which `FAULT_ONLY="SCENARIO SEED SERIAL KIND [SERIAL KIND]"` repeats alone.
+//! `FAULT_SEEDS=N` runs N times as many pairs of faults, `FAULT_STRIDE=1` injects
+//! each fault at every effect; without them CI runs a fixed sample. A failure prints
+//! its faults, which `FAULT_ONLY="SCENARIO SEED SERIAL KIND [SERIAL KIND]"` runs alone.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,15 +21,15 @@
 };
 
 const HOSTS: usize = 3;
-/// When the scenario's requests begin; by then owners and homes stand.
+/// When the scenario's requests start, in seconds; owners and homes are assigned by then.
 const BEGIN: u64 = 10;
-/// When strikes end, so that the system has time to recover.
+/// When fault injection ends, in seconds, to leave time for recovery.
 const STRIKES_END: u64 = 26;
-/// When it is asked whether the system has recovered.
+/// When recovery is checked, in seconds.
 const RECOVERED: u64 = 95;
 const END: u64 = 125;
 
-/// Every kind of strike, by the name under which it is printed.
+/// The kinds of faults with their printed names.
 const KINDS: [(&str, Strike); 15] = [
     ("lose", Strike::Lose),
     ("lose-answer", Strike::LoseAnswer),
@@ -48,12 +48,12 @@
     ("cut-peers-long", Strike::CutPeers(Duration::from_secs(20))),
 ];
 
-/// What the strikes meet.
+/// The deployment and requests under which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scenario {
-    /// Memory and power for every model.
+    /// Enough memory and power for every model.
     Plenty,
-    /// Power for two of the four engines; a request that crashes upstreams; an
+    /// Power for two of the four engines, a request that crashes upstreams, an
     /// engine that leaves and one that is reclaimed.
     Scarce,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// One run of a scenario.
+/// A scenario with the faults to inject.
 #[derive(Clone, Debug)]
 struct Case {
     scenario: Scenario,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Runs a scenario's requests; the strikes end with it.
+/// Runs a scenario's requests until fault injection ends.
 fn requests(world: &mut World, scenario: Scenario) {
     match scenario {
         Scenario::Plenty => plenty(world),
@@ -111,7 +111,7 @@
     world.run_until(at_secs(STRIKES_END));
 }
 
-/// Cold and warm models, an adapter, a burst, bookings sent twice, idle time, new rules.
+/// Requests cold and warm models, an adapter and a burst, repeats bookings, idles and changes the rules.
 fn plenty(world: &mut World) {
     for (i, model) in MODELS.iter().enumerate() {
         world.ask(i % HOSTS, &ask_model(model, i as u64));
@@ -131,20 +131,20 @@
     apply_new_rules(world, document(4 * ACTIVE));
 }
 
-/// More models than the power allows, a crashing request sent twice, upstreams that go.
+/// Requests more models than the power allows, repeats a crashing request and removes upstreams.
 fn scarce(world: &mut World) {
     for (i, model) in MODELS.iter().enumerate() {
         world.ask(i % HOSTS, &ask_model(model, i as u64));
     }
     world.run_until(at_secs(BEGIN + 5));
-    let poison = Ask { crashes: true, ..ask_model("summary", 66) };
-    world.ask(0, &poison);
+    let crashing = Ask { crashes: true, ..ask_model("summary", 66) };
+    world.ask(0, &crashing);
     for i in 0..4 {
         world.ask(i % HOSTS, &ask_model("summary", 30 + i as u64));
     }
     world.ask(1, &ask_once(100, 100));
     world.run_until(at_secs(BEGIN + 9));
-    world.ask(1, &poison);
+    world.ask(1, &crashing);
     world.ask(2, &ask_once(100, 100));
     world.mark_leaving(&name("engine-2"));
     world.run_until(at_secs(BEGIN + 12));
@@ -161,13 +161,13 @@
     world.apply_document(rules);
 }
 
-/// Runs a case and returns what must never happen but did.
+/// Runs a case and returns the violations.
 fn run(case: &Case) -> Vec<Violation> {
     let mut world = world(case.scenario.setup(case.seed), case.faults());
     world.run_until(at_secs(BEGIN));
     requests(&mut world, case.scenario);
     world.run_until(at_secs(RECOVERED));
-    let late = ask_everything(&mut world);
+    let late = ask_all_hosts(&mut world);
     world.run_until(at_secs(END));
     world.finish();
     let mut violations = world.checks.violations.clone();
@@ -182,9 +182,9 @@
     violations
 }
 
-/// Returns the late requests that a system which has recovered would have answered.
+/// Returns a violation for each late request that a recovered system would have answered.
 ///
-/// Where power is scarce some may be refused; but not all, and no bookings.
+/// If power is scarce, requests for models may be refused, but not all of them and no bookings.
 fn unanswered(world: &World, scenario: Scenario, late: &[RequestKey]) -> Vec<Violation> {
     let logs = || late.iter().map(|key| (key, &world.callers.requests[key]));
     let some = logs().any(|(_, log)| matches!(log.ask.target, Target::Model(_)) && log.is_answered());
@@ -202,8 +202,8 @@
         .collect()
 }
 
-/// Asks every host for every model and makes a booking; a system that has recovered answers all.
-fn ask_everything(world: &mut World) -> Vec<RequestKey> {
+/// Requests every model and one booking from every host.
+fn ask_all_hosts(world: &mut World) -> Vec<RequestKey> {
     let mut keys = Vec::new();
     for h in 0..HOSTS {
         let number = 1000 + 10 * h as u64;
@@ -215,7 +215,7 @@
     keys
 }
 
-/// Runs all cases on all cores and fails with those that found something.
+/// Runs all cases in parallel and panics if any of them found a violation.
 fn run_all(cases: &[Case]) {
     let next = AtomicUsize::new(0);
     let failed = Mutex::new(Vec::new());
@@ -238,14 +238,14 @@
             eprintln!("    {}: {}", violation.at, violation.what);
         }
     }
-    assert!(failed.is_empty(), "{} of {} cases found something", failed.len(), cases.len());
+    assert!(failed.is_empty(), "{} of {} cases failed", failed.len(), cases.len());
 }
 
 fn setting(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
-/// The serial numbers of the effects that leave the processes while a scenario runs.
+/// Returns the serial numbers of the effects that leave the processes while a scenario runs.
 fn steps(scenario: Scenario, seed: u64) -> std::ops::Range<u64> {
     let mut world = world(scenario.setup(seed), NoFaults);
     world.run_until(at_secs(BEGIN));
@@ -254,7 +254,7 @@
     first..world.serial() + 1
 }
 
-/// One strike at each step; each kind meets every `stride`-th one.
+/// Returns cases with one fault each; each kind is injected at every `stride`-th effect.
 fn single(scenario: Scenario, seed: u64) -> Vec<Case> {
     let stride = setting("FAULT_STRIDE", 11);
     let mut cases = Vec::new();
@@ -268,7 +268,7 @@
     cases
 }
 
-/// Pairs of strikes, chosen at random from a fixed start.
+/// Returns cases with two random faults each; the same seed gives the same cases.
 fn pairs(scenario: Scenario, seed: u64, steps: std::ops::Range<u64>, count: u64) -> Vec<Case> {
     let mut rng = SmallRng::seed_from_u64(setting("FAULT_SEED", 2));
     let mut strike = || (rng.random_range(steps.clone()), rng.random_range(0..KINDS.len()));
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn the_scenarios_are_sound_without_faults() {
+fn scenarios_without_faults_violate_nothing() {
     for scenario in [Scenario::Plenty, Scenario::Scarce] {
         for seed in 1..=4 {
             let case = Case { scenario, seed, strikes: Vec::new() };
@@ -288,39 +288,39 @@
 }
 
 #[test]
-fn the_case_named_by_the_environment_breaks_nothing() {
+fn the_case_named_by_the_environment_violates_nothing() {
     if let Ok(only) = std::env::var("FAULT_ONLY") {
         run_all(&[Case::parse(&only)]);
     }
 }
 
 #[test]
-fn one_fault_at_each_step_breaks_nothing() {
+fn one_fault_at_each_step_violates_nothing() {
     run_all(&single(Scenario::Plenty, 1));
 }
 
 #[test]
-fn one_fault_at_each_step_breaks_nothing_where_power_is_scarce() {
+fn one_fault_at_each_step_violates_nothing_where_power_is_scarce() {
     run_all(&single(Scenario::Scarce, 6));
 }
 
 #[test]
-fn two_faults_together_break_nothing() {
+fn two_faults_together_violate_nothing() {
     run_all(&pairs(Scenario::Plenty, 1, steps(Scenario::Plenty, 1), 300));
 }
 
 #[test]
-fn two_faults_together_break_nothing_where_power_is_scarce() {
+fn two_faults_together_violate_nothing_where_power_is_scarce() {
     run_all(&pairs(Scenario::Scarce, 6, steps(Scenario::Scarce, 6), 300));
 }
 
 #[test]
-fn two_faults_at_the_start_break_nothing() {
+fn two_faults_during_startup_violate_nothing() {
     let until = steps(Scenario::Plenty, 5).start;
     run_all(&pairs(Scenario::Plenty, 5, 1..until, 100));
 }
 
-/// Cases that once found a fault; each stays as it was found.
+/// Regression cases, each kept exactly as it was when it found a fault.
 #[test]
 fn what_was_found_once_stays_mended() {
     let found = [
@@ -331,8 +331,8 @@
         "Scarce 6 314 double",
         "Scarce 6 303 kill-before",
         "Scarce 6 311 kill-after 848 kill-before",
-        // The host with the weight store's gate stands still for 16 s; a slot that is given back
-        // meanwhile is read when it wakes, and the store seems slow: all models are refused.
+        // The host that grants the weight store's slots freezes for 16 s. It processes a slot
+        // returned meanwhile only when it resumes, takes the store for slow and refuses all models.
         "Scarce 6 639 freeze-past-lease 601 lose",
         "Scarce 6 165 cut-peers 570 freeze-past-lease",
     ];
--- a/crates/skylarkshore-standins/tests/world/main.rs
+++ b/crates/skylarkshore-standins/tests/world/main.rs
@@ -1,4 +1,4 @@
-//! Several nodes in given time: the whole path, and every fault at every step.
+//! Several nodes in simulated time: requests end to end, and a fault injected at every step.
 
 mod fault_matrix;
 mod mutants;
--- a/crates/skylarkshore-standins/tests/world/mutants.rs
+++ b/crates/skylarkshore-standins/tests/world/mutants.rs
@@ -1,4 +1,4 @@
-//! Broken decisions that the checks must catch; a check that lets one through proves nothing.
+//! Mutation tests of the world's invariant checks: each broken decision must be caught.
 
 use std::time::Duration;
 
@@ -10,32 +10,32 @@
 
 use crate::support::{ACTIVE, SLEEP, ask_model, ask_once, at_secs, document, name, setup, world};
 
-/// A rule of decision that is broken on purpose.
+/// A deliberate fault in the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
-    /// A model is also loaded where it has no home.
-    LoadsBesideHomes,
-    /// A model is loaded whether or not its engine is granted power.
+enum BrokenDecision {
+    /// Loads a model on an engine that isn't its home as well.
+    LoadsOutsideHomes,
+    /// Loads a model on an engine without granted power.
     LoadsWithoutPower,
-    /// A second model is loaded where the memory is taken.
+    /// Loads a second model into memory that is in use.
     LoadsWithoutMemory,
-    /// A model is unloaded as soon as its load has been ordered and requests run.
+    /// Unloads a model while requests run on it.
     UnloadsInUse,
-    /// Refusals are lost.
-    LosesRefusals,
-    /// A request is refused as not run right after it was sent.
-    RefusesWhatRuns,
-    /// A request that may not be repeated is sent twice.
+    /// Drops refusals.
+    DropsRefusals,
+    /// Refuses a request as not run right after sending it.
+    RefusesRunningRequest,
+    /// Sends an at-most-once request twice.
     SendsTwice,
-    /// Every request gets two final answers.
+    /// Sends two final answers per request.
     AnswersTwice,
-    /// Kept answers are mixed up.
-    MixesAnswers,
+    /// Corrupts the answers, as if they belonged to other requests.
+    CorruptsAnswers,
 }
 
 #[derive(Debug)]
 struct Mutant {
-    broken: Broken,
+    broken: BrokenDecision,
     engine: UpstreamId,
     next: u64,
 }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Returns what the broken rule does beside, or instead of, what was decided.
+    /// Returns the effects of the broken decision in place of the given one.
     fn mutate(&mut self, effect: Effect) -> Vec<Effect> {
         match (self.broken, &effect) {
             (
-                Broken::LoadsBesideHomes | Broken::LoadsWithoutPower,
+                BrokenDecision::LoadsOutsideHomes | BrokenDecision::LoadsWithoutPower,
                 Effect::Order { upstream, action, .. },
             ) if matches!(action, Order::Load { .. }) => {
                 let other = if *upstream == self.engine { name("engine-0") } else { self.engine.clone() };
@@ -65,22 +65,25 @@
                 vec![effect, more]
             }
             (
-                Broken::LoadsWithoutMemory,
+                BrokenDecision::LoadsWithoutMemory,
                 Effect::Order { upstream, action: Order::Load { version, memory, .. }, .. },
             ) => {
                 let load = Order::Load { model: name("extra"), version: version.clone(), memory: *memory };
                 let more = self.order(upstream.clone(), load);
                 vec![effect, more]
             }
-            (Broken::UnloadsInUse, Effect::Send { upstream, .. })
+            (BrokenDecision::UnloadsInUse, Effect::Send { upstream, .. })
                 if upstream.as_str().starts_with("engine") =>
             {
                 let unload = Order::Unload { model: name("summary") };
                 let more = self.order(upstream.clone(), unload);
                 vec![effect, more]
             }
-            (Broken::LosesRefusals, Effect::Refuse { .. }) => Vec::new(),
-            (Broken::SendsTwice, Effect::Send { request, upstream, deadline, order, hold: true, .. }) => {
+            (BrokenDecision::DropsRefusals, Effect::Refuse { .. }) => Vec::new(),
+            (
+                BrokenDecision::SendsTwice,
+                Effect::Send { request, upstream, deadline, order, hold: true, .. },
+            ) => {
                 let again = Effect::Send {
                     request: *request,
                     attempt: AttemptId(1_000_000),
@@ -94,10 +97,10 @@
                 };
                 vec![effect, again]
             }
-            (Broken::AnswersTwice, Effect::Answer { .. } | Effect::Refuse { .. }) => {
+            (BrokenDecision::AnswersTwice, Effect::Answer { .. } | Effect::Refuse { .. }) => {
                 vec![effect.clone(), effect]
             }
-            (Broken::RefusesWhatRuns, Effect::Send { request, .. }) => {
+            (BrokenDecision::RefusesRunningRequest, Effect::Send { request, .. }) => {
                 let refusal = Refusal {
                     outcome: RefusalOutcome::NotRun,
                     reason: skylarkshore_core::effect::RefusalReason::NoUpstream,
@@ -105,7 +108,7 @@
                 };
                 vec![effect.clone(), Effect::Refuse { request: *request, refusal }]
             }
-            (Broken::MixesAnswers, Effect::Answer { request, answer }) => {
+            (BrokenDecision::CorruptsAnswers, Effect::Answer { request, answer }) => {
                 let mut answer = answer.clone();
                 answer.body[0] ^= 1;
                 vec![Effect::Answer { request: *request, answer }]
@@ -125,8 +128,8 @@
     }
 }
 
-/// Runs some requests with a broken rule and returns what the checks say.
-fn run(broken: Broken, cap: u64, engine: &str) -> String {
+/// Sends some requests with a broken decision and returns the violations found.
+fn run(broken: BrokenDecision, cap: u64, engine: &str) -> String {
     let mut setup = setup(3, 1);
     setup.document = document(cap);
     let mutant = Mutant { broken, engine: name(engine), next: 0 };
@@ -134,91 +137,91 @@
     world.run_until(at_secs(10));
     world.ask(0, &ask_model("summary", 1));
     world.ask(1, &ask_once(100, 100));
-    let hasty = Ask { timeout: Duration::from_millis(500), ..ask_model("draft", 2) };
-    world.ask(2, &hasty);
+    let short_timeout = Ask { timeout: Duration::from_millis(500), ..ask_model("draft", 2) };
+    world.ask(2, &short_timeout);
     world.run_until(at_secs(40));
-    found(&mut world)
+    violations(&mut world)
 }
 
-fn found(world: &mut World) -> String {
+fn violations(world: &mut World) -> String {
     world.finish();
     let texts: Vec<&str> = world.checks.violations.iter().map(|violation| violation.what.as_str()).collect();
     texts.join("; ")
 }
 
-fn assert_caught(broken: Broken, words: &str) {
+fn assert_detected(broken: BrokenDecision, expected: &str) {
     let found = run(broken, 4 * ACTIVE, "engine-1");
-    assert!(found.contains(words), "{broken:?} isn't caught: '{found}'");
+    assert!(found.contains(expected), "{broken:?} isn't detected: '{found}'");
 }
 
 #[test]
-fn a_load_beside_the_homes_is_caught() {
-    assert_caught(Broken::LoadsBesideHomes, "more replicas than the rules allow");
+fn a_load_on_an_engine_that_is_no_home_is_detected() {
+    assert_detected(BrokenDecision::LoadsOutsideHomes, "more replicas than the rules allow");
 }
 
 #[test]
-fn a_load_without_power_is_caught() {
-    let found = run(Broken::LoadsWithoutPower, ACTIVE + 3 * SLEEP, "engine-1");
+fn a_load_without_power_is_detected() {
+    let found = run(BrokenDecision::LoadsWithoutPower, ACTIVE + 3 * SLEEP, "engine-1");
     assert!(found.contains("draws more than its cap"), "{found}");
 }
 
 #[test]
-fn a_load_without_memory_is_caught() {
-    assert_caught(Broken::LoadsWithoutMemory, "is overcommitted");
+fn a_load_without_memory_is_detected() {
+    assert_detected(BrokenDecision::LoadsWithoutMemory, "is overcommitted");
 }
 
 #[test]
-fn an_unload_of_a_model_in_use_is_caught() {
-    assert_caught(Broken::UnloadsInUse, "an unload cut off requests");
+fn an_unload_of_a_model_in_use_is_detected() {
+    assert_detected(BrokenDecision::UnloadsInUse, "an unload cut off requests");
 }
 
 #[test]
-fn a_request_without_an_end_is_caught() {
-    assert_caught(Broken::LosesRefusals, "got no final answer in time");
+fn a_request_without_a_final_answer_is_detected() {
+    assert_detected(BrokenDecision::DropsRefusals, "got no final answer in time");
 }
 
 #[test]
-fn a_false_not_run_is_caught() {
-    assert_caught(Broken::RefusesWhatRuns, "not run");
+fn a_wrong_not_run_refusal_is_detected() {
+    assert_detected(BrokenDecision::RefusesRunningRequest, "not run");
 }
 
 #[test]
-fn a_second_run_under_one_key_is_caught() {
-    assert_caught(Broken::SendsTwice, "runs a second time under its key");
+fn a_second_run_under_one_key_is_detected() {
+    assert_detected(BrokenDecision::SendsTwice, "runs a second time under its key");
 }
 
 #[test]
-fn a_second_final_answer_is_caught() {
-    assert_caught(Broken::AnswersTwice, "a second final answer");
+fn a_second_final_answer_is_detected() {
+    assert_detected(BrokenDecision::AnswersTwice, "a second final answer");
 }
 
 #[test]
-fn another_requests_answer_is_caught() {
-    assert_caught(Broken::MixesAnswers, "gets another request's answer");
+fn an_answer_to_another_request_is_detected() {
+    assert_detected(BrokenDecision::CorruptsAnswers, "gets another request's answer");
 }
 
 #[test]
-fn new_work_for_a_leaving_upstream_is_caught() {
+fn new_work_for_a_leaving_upstream_is_detected() {
     let mut world = world(setup(3, 1), NoFaults);
     world.run_until(at_secs(10));
     let home = world.node(0).unwrap().cache().homes(&name("summary")).unwrap().1.engines[0].clone();
-    // No process hears of it, as if all of them passed over the host list's word.
+    // Only the checks learn of it, as if all processes ignored the host list's entry.
     let now = world.now();
     world.checks.marked_leaving(&home, now);
     for i in 0..10 {
         world.ask(0, &ask_model("summary", i));
         world.run_for(Duration::from_secs(1));
     }
-    let found = found(&mut world);
+    let found = violations(&mut world);
     assert!(found.contains("new work although it is leaving"), "{found}");
 }
 
 #[test]
-fn rules_that_go_back_are_caught() {
+fn rules_that_revert_to_an_older_revision_are_detected() {
     let mut world = world(setup(3, 1), NoFaults);
     world.run_until(at_secs(10));
     world.forget_rules(0);
     world.run_until(at_secs(11));
-    let found = found(&mut world);
+    let found = violations(&mut world);
     assert!(found.contains("the rules at host-0 went back"), "{found}");
 }
--- a/crates/skylarkshore-standins/tests/world/recovery.rs
+++ b/crates/skylarkshore-standins/tests/world/recovery.rs
@@ -1,4 +1,4 @@
-//! Brief faults at every step where the weight store runs one load at a time: soon after them every model is served.
+//! Recovery from brief faults at every step, with a weight store limited to one load at a time.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,22 +10,21 @@
 use crate::support::{MODELS, ask_model, at_secs, describe, setup, world};
 
 const HOSTS: usize = 3;
-/// When callers begin; by then owners and homes stand.
+/// When requests start, in seconds; owners and homes are assigned by then.
 const BEGIN: u64 = 10;
-/// For how long faults strike; two of the four models are loaded meanwhile, one after the other.
-const STRIKES: u64 = 10;
-/// How long the longest fault lasts.
+/// The seconds during which faults are injected; two of the four models are loaded meanwhile.
+const FAULT_PERIOD: u64 = 10;
+/// The duration of the longest fault, in seconds.
 const FREEZE: u64 = 2;
-/// Within that time after the last fault most requests have to be served again.
+/// The time from the end of the last fault until all models must be served, in seconds.
 const RECOVERY: u64 = 12;
-/// When every request has to be served.
-const RECOVERED: u64 = BEGIN + STRIKES + FREEZE + RECOVERY;
-/// How long callers wait: for one load, and not for two.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Every how many effects one is struck by each kind of fault, if `FAULT_STRIDE` doesn't say otherwise.
+/// When every request must be served, in seconds.
+const RECOVERED: u64 = BEGIN + FAULT_PERIOD + FREEZE + RECOVERY;
+/// The callers' time-out: long enough for one load, too short for two.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+/// Each fault kind is injected at every nth effect, unless `FAULT_STRIDE` sets another n.
 const STRIDE: u64 = 7;
 
-/// Faults that are over soon.
 const KINDS: [(&str, Strike); 7] = [
     ("lose", Strike::Lose),
     ("lose-answer", Strike::LoseAnswer),
@@ -36,8 +35,8 @@
     ("freeze", Strike::Freeze(Duration::from_secs(FREEZE))),
 ];
 
-/// A deployment whose hosts miss one another after seconds, and whose store runs one load at a time.
-fn small_setup() -> Setup {
+/// Returns a setup with short leases and time-outs, and one concurrent load from the weight store.
+fn short_timings_setup() -> Setup {
     let mut setup = setup(HOSTS, 1);
     setup.limits.loads_at_once = 1;
     setup.timings = Timings {
@@ -56,14 +55,14 @@
     setup
 }
 
-/// Asks for every model once a second, each time at another host; returns the last second's requests.
+/// Requests every model once a second at alternating hosts; returns the last second's requests.
 fn ask_until(world: &mut World, until: u64) -> Vec<RequestKey> {
     let mut last = Vec::new();
     for second in BEGIN..until {
         last.clear();
         for (i, model) in (0..).zip(MODELS) {
-            let ask = Ask { timeout: PATIENCE, ..ask_model(model, 100 * second + i) };
-            let host = usize::try_from(second + i).expect("a few hundred") % HOSTS;
+            let ask = Ask { timeout: REQUEST_TIMEOUT, ..ask_model(model, 100 * second + i) };
+            let host = usize::try_from(second + i).expect("the number is small") % HOSTS;
             last.push(world.ask(host, &ask));
         }
         world.run_until(at_secs(second + 1));
@@ -71,12 +70,12 @@
     last
 }
 
-/// Plays one strike; returns what went wrong.
-fn play(serial: u64, strike: Strike) -> Vec<String> {
-    let mut world = world(small_setup(), StrikeAt::new(vec![Planned { serial, strike }]));
+/// Runs the scenario with one fault and returns the violations and unanswered requests.
+fn run(serial: u64, strike: Strike) -> Vec<String> {
+    let mut world = world(short_timings_setup(), StrikeAt::new(vec![Planned { serial, strike }]));
     world.run_until(at_secs(BEGIN));
     let last = ask_until(&mut world, RECOVERED);
-    world.run_until(at_secs(RECOVERED + PATIENCE.as_secs() + 1));
+    world.run_until(at_secs(RECOVERED + REQUEST_TIMEOUT.as_secs() + 1));
     world.finish();
     let mut found: Vec<String> = world.checks.violations.iter().map(|found| found.what.clone()).collect();
     let logs = last.iter().map(|key| &world.callers.requests[key]);
@@ -88,31 +87,31 @@
     found
 }
 
-/// The steps at which faults strike, with the fault.
+/// Returns the serial numbers of the effects to inject faults at, each with its fault kind.
 fn cases() -> Vec<(u64, usize)> {
-    let mut world = world(small_setup(), NoFaults);
+    let mut world = world(short_timings_setup(), NoFaults);
     world.run_until(at_secs(BEGIN));
     let first = world.serial() + 1;
     let stride = std::env::var("FAULT_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(STRIDE);
-    _ = ask_until(&mut world, BEGIN + STRIKES);
+    _ = ask_until(&mut world, BEGIN + FAULT_PERIOD);
     let steps = first..=world.serial();
     let kinds = steps.flat_map(|serial| (0..KINDS.len()).map(move |kind| (serial, kind)));
     kinds.filter(|(serial, kind)| (serial + *kind as u64).is_multiple_of(stride)).collect()
 }
 
-/// Four models come from the weight store, one after the other, and one fault
-/// strikes: an order or a message is lost, late or doubled, a host is killed or
-/// stands still for two seconds. The share of the store that a load had may be
-/// left with nobody. If it weren't free again soon, callers of the models that
-/// aren't loaded yet would be refused until long after the fault is over.
+/// Four models are loaded from the weight store in turn, and one fault occurs: an
+/// order or message is lost, late or duplicated, or a host is killed or frozen for
+/// two seconds. The load's slot of the store may be left without an owner. If it
+/// weren't released soon, callers of models that aren't loaded yet would be refused
+/// until long after the fault.
 ///
-/// `RECOVERY_ONLY="SERIAL KIND"` plays one case again and prints what hosts noted.
+/// `RECOVERY_ONLY="SERIAL KIND"` runs a single case and prints the hosts' logs.
 #[test]
 fn every_model_is_served_soon_after_a_brief_fault() {
     let cases = match std::env::var("RECOVERY_ONLY") {
         Ok(only) => {
             let (serial, kind) = only.split_once(' ').expect("a serial number and a kind");
-            let kind = KINDS.iter().position(|(name, _)| *name == kind).expect("a kind that is listed");
+            let kind = KINDS.iter().position(|(name, _)| *name == kind).expect("a listed kind");
             vec![(serial.parse().expect("a number"), kind)]
         }
         Err(_) => cases(),
@@ -123,7 +122,7 @@
         for _ in 0..std::thread::available_parallelism().map_or(4, usize::from) {
             scope.spawn(|| {
                 while let Some(&(serial, kind)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let found = play(serial, KINDS[kind].1);
+                    let found = run(serial, KINDS[kind].1);
                     if !found.is_empty() {
                         failed.lock().unwrap().push((serial, KINDS[kind].0, found));
                     }
@@ -136,5 +135,5 @@
         eprintln!("RECOVERY_ONLY=\"{serial} {kind}\"");
         found.iter().take(4).for_each(|what| eprintln!("    {what}"));
     }
-    assert!(failed.is_empty(), "{} of {} cases found something", failed.len(), cases.len());
+    assert!(failed.is_empty(), "{} of {} cases failed", failed.len(), cases.len());
 }
--- a/crates/skylarkshore-standins/tests/world/support.rs
+++ b/crates/skylarkshore-standins/tests/world/support.rs
@@ -1,4 +1,4 @@
-//! A small deployment in given time, and what tests do with it.
+//! A small simulated deployment, and helpers to send requests and print its state.
 
 use std::time::Duration;
 
@@ -17,9 +17,7 @@
 pub(crate) const DATA_CENTRES: [&str; 3] = ["bern-a", "olten-b", "aarau-c"];
 pub(crate) const MODELS: [&str; 4] = ["summary", "lease", "classify", "draft"];
 
-/// What each engine draws with a model loaded.
 pub(crate) const ACTIVE: u64 = 300;
-/// What each engine draws without one.
 pub(crate) const SLEEP: u64 = 30;
 
 pub(crate) fn name<T: std::str::FromStr>(text: &str) -> T
@@ -35,7 +33,7 @@
     Digest(bytes)
 }
 
-/// A model that fills most of an engine.
+/// Returns a model that takes up most of an engine's memory.
 pub(crate) fn model() -> Model {
     Model {
         version: name("1"),
@@ -91,7 +89,7 @@
     }
 }
 
-/// Hosts, four engines of which every second one ignores fences, two service replicas.
+/// Returns a setup with four engines, every second of which ignores fences, and two service replicas.
 pub(crate) fn setup(hosts: usize, seed: u64) -> Setup {
     let checks = [FenceCheck::Refuses, FenceCheck::Ignores];
     let mut upstreams: Vec<Upstream> = (0..4).map(|i| engine(i, checks[i % 2])).collect();
@@ -143,7 +141,7 @@
     Time::from_millis(1000 * s)
 }
 
-/// Fails with all that was found, and with what each host believes.
+/// Panics with all violations, after printing the events and state of each host.
 pub(crate) fn assert_sound(world: &mut World, hosts: usize) {
     world.finish();
     if world.checks.violations.is_empty() {
@@ -153,17 +151,14 @@
     panic!("{:#?}", world.checks.violations);
 }
 
-/// Prints what each host noted and believes.
+/// Prints the logged events and the state of each host.
 pub(crate) fn describe(world: &mut World, hosts: usize) {
     for note in &world.notes {
         eprintln!("{} {} {} {} {}", note.at, note.host, note.note.event, note.note.subject, note.note.detail);
     }
     for h in 0..hosts {
-        for belief in world.dump(h) {
-            eprintln!(
-                "host-{h} {} {}: {} since {:?}",
-                belief.kind, belief.subject, belief.state, belief.since
-            );
+        for entry in world.dump(h) {
+            eprintln!("host-{h} {} {}: {} since {:?}", entry.kind, entry.subject, entry.state, entry.since);
         }
     }
 }
--- a/crates/skylarkshore-standins/tests/world/whole_path.rs
+++ b/crates/skylarkshore-standins/tests/world/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in given time, without faults.
+//! Requests end to end in simulated time, without faults.
 
 use crate::support::{ACTIVE, ask_model, ask_once, assert_sound, at_secs, document, name, setup, world};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_burst_for_one_cold_model_at_nine_hosts_leads_to_one_load() {
+fn a_burst_for_one_cold_model_at_nine_hosts_causes_one_load() {
     let mut world = world(setup(9, 3), NoFaults);
     world.run_until(at_secs(10));
     let keys: Vec<_> = (0..36).map(|i| world.ask(i % 9, &ask_model("draft", i as u64))).collect();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_booking_sent_again_at_another_host_gets_the_same_answer_and_runs_once() {
+fn a_booking_repeated_at_another_host_gets_the_same_answer_and_runs_once() {
     let mut world = world(setup(3, 4), NoFaults);
     world.run_until(at_secs(10));
     let first = world.ask(0, &ask_once(7, 7));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_process_that_is_asked_to_end_finishes_what_is_in_progress_and_gives_up_what_it_owns() {
+fn a_process_that_shuts_down_finishes_open_requests_and_releases_its_engines() {
     let mut world = world(setup(3, 5), NoFaults);
     world.run_until(at_secs(10));
     let key = world.ask(0, &ask_model("summary", 1));
@@ -68,12 +68,12 @@
     assert_sound(&mut world, 3);
 }
 
-/// Four engines hold one model each, and the homes of four models in use lie on
-/// fewer of them. An owner sees that its engine is full, but not which others
-/// are empty. A model that is handed to and fro between full engines is never
-/// loaded, and its callers are refused although there is room.
+/// Each of four engines has room for one model, and the homes of four models in
+/// use lie on fewer engines. An owner knows that its own engine is full, but not
+/// which others are empty. If a model moved back and forth between full engines,
+/// it would never be loaded and its callers refused in spite of free memory.
 #[test]
-fn models_in_use_find_the_engines_that_have_room() {
+fn models_in_use_move_to_engines_with_free_memory() {
     let mut setup = setup(3, 7);
     let model = setup.document.catalogue.models[&name::<ModelName>("summary")].clone();
     for i in 0..12 {
@@ -81,9 +81,10 @@
     }
     let mut world = world(setup, NoFaults);
     world.run_until(at_secs(10));
-    let crowded = homes_on(&world, "engine-0");
-    let others = homes_on(&world, "engine-1");
-    let in_use: Vec<ModelName> = crowded.into_iter().take(3).chain(others.into_iter().take(1)).collect();
+    let first_homes = homes_on(&world, "engine-0");
+    let second_homes = homes_on(&world, "engine-1");
+    let in_use: Vec<ModelName> =
+        first_homes.into_iter().take(3).chain(second_homes.into_iter().take(1)).collect();
     assert_eq!(in_use.len(), 4, "{in_use:?}");
     let mut last = Vec::new();
     for round in 0..80 {
@@ -99,8 +100,8 @@
     assert_sound(&mut world, 3);
 }
 
-/// New rules reach every process within the seven seconds that the users ask for, with one
-/// watcher for each data centre and everybody else told by peers.
+/// Only one host per data centre watches the store; all others get new rules from
+/// peers. The users require the rules to be in force everywhere within seven seconds.
 #[test]
 fn new_rules_are_in_force_everywhere_within_seconds() {
     let mut world = world(setup(30, 8), NoFaults);
@@ -115,6 +116,6 @@
 
 fn homes_on(world: &World, engine: &str) -> Vec<ModelName> {
     let cache = world.node(0).unwrap().cache();
-    let there = |homes: &HomesRecord| homes.engines.iter().any(|home| home.as_str() == engine);
-    cache.all_homes().filter(|(_, homes)| there(homes)).map(|(model, _)| model.clone()).collect()
+    let includes_engine = |homes: &HomesRecord| homes.engines.iter().any(|home| home.as_str() == engine);
+    cache.all_homes().filter(|(_, homes)| includes_engine(homes)).map(|(model, _)| model.clone()).collect()
 }
