--- a/crates/skylarkshore-standins/tests/processes/bad_input.rs
+++ b/crates/skylarkshore-standins/tests/processes/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that are wrong in themselves.
+//! Invalid requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,14 +17,14 @@
         Err(err) => return format!("{name}: {err}"),
     };
     let body: Value = answer.json().unwrap_or_default();
-    let word = |key: &str| body[key].as_str().unwrap_or("-").to_owned();
-    format!("{name}: {} {} {}", answer.status.as_u16(), word("outcome"), word("reason"))
+    let field = |key: &str| body[key].as_str().unwrap_or("-").to_owned();
+    format!("{name}: {} {} {}", answer.status.as_u16(), field("outcome"), field("reason"))
 }
 
-/// Sends raw bytes and returns the first line of what comes back.
+/// Sends raw bytes and returns the first line of the answer.
 async fn raw(name: &str, address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
-    // The host may close before it has read everything.
+    // The host may close the connection before it has read everything.
     _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = timeout(LIMIT, stream.read_to_end(&mut answer)).await;
@@ -33,12 +33,12 @@
     format!("{name}: {}", text.lines().next().unwrap_or("closed"))
 }
 
-/// Callers send what can't be served. Each is told what is wrong at once, no
-/// upstream hears of it, and no odd caller keeps a connection for ever.
+/// Invalid requests must be refused at once with the reason and never reach an
+/// upstream, and an incomplete request must not hold its connection forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_are_told_what_is_wrong_and_reach_no_upstream() {
     let bench = Bench::start(Needs { entries: 1, engines: 1, ..Needs::default() }).await;
-    let at = bench.caller(0);
+    let at = bench.caller_address(0);
     let chat = |body: &str| Call::post(at, "/v1/chat/completions", body.to_owned());
     let good = r#"{"model":"alpha","messages":[{"role":"user","content":"hi"}]}"#;
     let calls = [
--- a/crates/skylarkshore-standins/tests/processes/burst.rs
+++ b/crates/skylarkshore-standins/tests/processes/burst.rs
@@ -1,17 +1,16 @@
-//! Many callers at once.
+//! Concurrent requests for one model.
 
 use crate::bench::{Bench, Needs, ask};
 
-/// After a quiet spell, callers ask for the same cold model at every entry host
-/// within the same moment. Did each host decide by itself, nine replicas would be
-/// loaded; the callers of eight would wait for loads that nobody needs.
+/// Callers request the same cold model at nine entry hosts at once. If each host
+/// decided alone, nine replicas would be loaded, eight of them needlessly.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_for_one_cold_model_at_nine_hosts_becomes_one_load() {
+async fn a_burst_for_one_cold_model_at_nine_hosts_causes_one_load() {
     let bench = Bench::start(Needs { entries: 9, engines: 3, ..Needs::default() }).await;
     let mut callers = Vec::new();
     for entry in 0..9 {
         for i in 0..5 {
-            let caller = bench.caller(entry);
+            let caller = bench.caller_address(entry);
             callers
                 .push(tokio::spawn(async move { ask(caller, "alpha", &format!("ask-{entry}-{i}")).await }));
         }
--- a/crates/skylarkshore-standins/tests/processes/crashing_request.rs
+++ b/crates/skylarkshore-standins/tests/processes/crashing_request.rs
@@ -1,4 +1,4 @@
-//! A request that crashes whatever engine runs it.
+//! A request that crashes every engine that runs it.
 
 use std::time::Duration;
 
@@ -7,31 +7,32 @@
 
 use crate::bench::{Bench, Needs, ask};
 
-/// One odd request crashes the engine that runs it, and its caller sends it again
-/// through another host. Without a word among the hosts it would take down one
-/// engine after the other, and every neighbour's request with it.
+/// A request crashes the engine that runs it, and its caller repeats it through
+/// other hosts. If the hosts didn't share the crashes, it would crash one engine
+/// after another, together with all other requests on them.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_engines_is_refused_everywhere_after_its_second_crash() {
     let needs = Needs { token_time: Duration::from_millis(60), ..Needs::default() };
     let bench = Bench::start(needs).await;
-    ask(bench.caller(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
-    let caller = bench.caller(1);
-    let neighbour = tokio::spawn(async move { ask(caller, "alpha", "innocent-neighbour").await });
+    ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
+    let caller = bench.caller_address(1);
+    let concurrent = tokio::spawn(async move { ask(caller, "alpha", "concurrent").await });
     sleep(Duration::from_millis(100)).await;
-    let mut words = Vec::new();
+    let mut refusals = Vec::new();
     for attempt in 0..6 {
-        let refused = ask(bench.caller(attempt % 3), "alpha", CRASH_MARKER).await;
-        words.push(refused.expect_err("it never gets an answer"));
-        if words.last().is_some_and(|word| word.contains("crashes_upstreams")) {
+        let refused = ask(bench.caller_address(attempt % 3), "alpha", CRASH_MARKER).await;
+        refusals.push(refused.expect_err("it never gets an answer"));
+        if refusals.last().is_some_and(|refusal| refusal.contains("crashes_upstreams")) {
             break;
         }
     }
-    assert!(words.last().is_some_and(|word| word.contains("crashes_upstreams")), "{words:#?}");
-    neighbour.await.expect("no panic").unwrap_or_else(|err| panic!("the neighbour: {err}"));
+    assert!(refusals.last().is_some_and(|refusal| refusal.contains("crashes_upstreams")), "{refusals:#?}");
+    concurrent.await.expect("no panic").unwrap_or_else(|err| panic!("the concurrent request: {err}"));
     for entry in 0..3 {
-        let refused = ask(bench.caller(entry), "alpha", CRASH_MARKER).await.expect_err("it is refused");
+        let refused =
+            ask(bench.caller_address(entry), "alpha", CRASH_MARKER).await.expect_err("it is refused");
         assert!(refused.contains("crashes_upstreams"), "host {entry}: {refused}");
     }
     assert_eq!(bench.fleet.census.counts().crashes, 2);
-    ask(bench.caller(2), "alpha", "afterwards").await.unwrap_or_else(|err| panic!("{err}"));
+    ask(bench.caller_address(2), "alpha", "afterwards").await.unwrap_or_else(|err| panic!("{err}"));
 }
--- a/crates/skylarkshore-standins/tests/processes/main.rs
+++ b/crates/skylarkshore-standins/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Faults struck at real processes: kills, freezes, cuts and outages.
+//! Faults injected into real processes: kills, freezes, broken connections and outages.
 
 mod bad_input;
 mod bench;
--- a/crates/skylarkshore-standins/tests/processes/rule_changes.rs
+++ b/crates/skylarkshore-standins/tests/processes/rule_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the rules while the system runs.
+//! Changes of the rules at run time.
 
 use std::time::Duration;
 
@@ -8,26 +8,27 @@
 
 use crate::bench::{Bench, LIMIT, Needs, RULES};
 
-/// Two operators apply different documents in the same moment. One is told that
-/// its document is accepted and finds it in force at every host within seconds;
-/// the other one is told of the conflict. Hosts that disagreed would load and
-/// unload against one another.
+/// Two operators apply different documents concurrently. One document is accepted
+/// and comes into force at every host within seconds; the other is rejected as a
+/// conflict. Hosts with different rules would undo each other's loads.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_documents_applied_at_once_one_comes_into_force_everywhere() {
+async fn of_two_concurrently_applied_documents_one_comes_into_force_everywhere() {
     let bench = Bench::start(Needs::default()).await;
     let edited = RULES.replace("\"revision\": 0", "\"revision\": 1");
     let renamed = |name: &str| edited.replace("\"gamma\"", &format!("\"{name}\""));
     let (first, second) = (renamed("delta"), renamed("epsilon"));
-    let (ada, bob) = tokio::join!(bench.apply("a.jsonc", &first), bench.apply("b.jsonc", &second));
-    let winner = match (ada.0, bob.0) {
+    let (first_result, second_result) =
+        tokio::join!(bench.apply("a.jsonc", &first), bench.apply("b.jsonc", &second));
+    let winner = match (first_result.0, second_result.0) {
         (Some(0), Some(3)) => "delta",
         (Some(3), Some(0)) => "epsilon",
-        _ => panic!("{}\n{}", ada.1, bob.1),
+        _ => panic!("{}\n{}", first_result.1, second_result.1),
     };
     let everywhere = async {
         for entry in 0..3 {
             loop {
-                let answer = Call::get(bench.caller(entry), "/v1/models").send().await.expect("it answers");
+                let answer =
+                    Call::get(bench.caller_address(entry), "/v1/models").send().await.expect("it answers");
                 let models: Value = answer.json().expect("JSON");
                 let names: Vec<&str> = models["data"]
                     .as_array()
--- a/crates/skylarkshore-standins/tests/processes/weight_store.rs
+++ b/crates/skylarkshore-standins/tests/processes/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store's limits.
+//! The limit on concurrent loads from the weight store.
 
 use std::fmt::Write;
 
@@ -7,14 +7,14 @@
 use crate::bench::{Bench, LIMIT, Needs, RULES, ask};
 
 const MODELS: usize = 10;
-/// What the weight store bears at full speed.
-const AT_ONCE: u32 = 4;
+/// The number of concurrent loads that the weight store serves at full speed.
+const MAX_CONCURRENT_LOADS: u32 = 4;
 
-/// Callers ask for ten cold models in the same moment, on engines of three owners.
-/// Each owner sees only its own loads; did they not agree, the weight store would
-/// share its speed among all of them, and every caller would wait longer.
+/// Callers request ten cold models at once, on engines of three owners. Each owner
+/// knows only its own loads; without coordination all loads would share the weight
+/// store's bandwidth, and every caller would wait longer.
 #[tokio::test(flavor = "multi_thread")]
-async fn cold_models_asked_for_together_are_loaded_four_at_a_time() {
+async fn cold_models_requested_together_are_loaded_four_at_a_time() {
     let bench = Bench::start(Needs { engines: 3, ..Needs::default() }).await;
     let mut models = String::new();
     for i in 0..MODELS {
@@ -30,13 +30,13 @@
     assert!(wait_until(LIMIT, homes).await, "not every model has a home");
     let mut callers = Vec::new();
     for i in 0..MODELS {
-        let caller = bench.caller(i % 3);
+        let caller = bench.caller_address(i % 3);
         callers.push(tokio::spawn(async move { ask(caller, &format!("m{i}"), &format!("ask-{i}")).await }));
     }
     for caller in callers {
         caller.await.expect("no panic").unwrap_or_else(|err| panic!("{err}"));
     }
     let peak = bench.fleet.weights.peak_loads();
-    assert!(peak <= AT_ONCE, "{peak} loads ran at once");
+    assert!(peak <= MAX_CONCURRENT_LOADS, "{peak} loads ran at once");
     bench.check_invariants();
 }
--- a/crates/skylarkshore-standins/tests/world/fault_matrix.rs
+++ b/crates/skylarkshore-standins/tests/world/fault_matrix.rs
@@ -322,7 +322,7 @@
 
 /// Regression cases, each kept exactly as it was when it found a fault.
 #[test]
-fn what_was_found_once_stays_mended() {
+fn regression_cases_stay_fixed() {
     let found = [
         "Plenty 1 162 cut-peers-long",
         "Plenty 1 293 cut-peers-long 360 kill-before",
