--- a/crates/skylarkshore-standins/examples/capacity.rs
+++ b/crates/skylarkshore-standins/examples/capacity.rs
@@ -1,8 +1,8 @@
-//! Measures in given time what control costs each process, as hosts, engines and awake models grow.
+//! Measures the control overhead per process in simulated time as hosts, engines and active models grow.
 //!
 //! `cargo run --release -p skylarkshore-standins --example capacity` prints a
-//! table for docs/CAPACITY.md. Messages, bytes and calls are exact for the seed;
-//! processor time is of this machine and covers decisions alone.
+//! table for docs/CAPACITY.md. Messages, bytes and calls are deterministic;
+//! processor time depends on the machine and covers the decisions only.
 
 use std::time::Duration;
 
@@ -19,38 +19,38 @@
 };
 use skylarkshore_standins::world::{Ask, HostSetup, Meter, NoFaults, Setup, World};
 
-const WARM_UP: u64 = 40;
-const MEASURED: u64 = 60;
+const WARM_UP_SECS: u64 = 40;
+const MEASURED_SECS: u64 = 60;
 
-/// One line of the table.
+/// A row of the table.
 #[derive(Clone, Copy)]
 struct Size {
     hosts: usize,
     engines: usize,
     models: usize,
-    /// Models that get requests while it is measured.
-    awake: usize,
+    /// The number of models that get requests during the measurement.
+    active_models: usize,
     adapters_per_model: usize,
 }
 
 const SIZES: [Size; 10] = [
-    Size { hosts: 3, engines: 9, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 9, engines: 9, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 30, engines: 9, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 100, engines: 9, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 9, engines: 30, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 9, engines: 100, models: 50, awake: 9, adapters_per_model: 1 },
-    Size { hosts: 9, engines: 100, models: 100, awake: 90, adapters_per_model: 1 },
-    Size { hosts: 9, engines: 9, models: 50, awake: 9, adapters_per_model: 80 },
-    Size { hosts: 30, engines: 50, models: 100, awake: 45, adapters_per_model: 80 },
-    Size { hosts: 100, engines: 170, models: 110, awake: 90, adapters_per_model: 80 },
+    Size { hosts: 3, engines: 9, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 9, engines: 9, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 30, engines: 9, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 100, engines: 9, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 9, engines: 30, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 9, engines: 100, models: 50, active_models: 9, adapters_per_model: 1 },
+    Size { hosts: 9, engines: 100, models: 100, active_models: 90, adapters_per_model: 1 },
+    Size { hosts: 9, engines: 9, models: 50, active_models: 9, adapters_per_model: 80 },
+    Size { hosts: 30, engines: 50, models: 100, active_models: 45, adapters_per_model: 80 },
+    Size { hosts: 100, engines: 170, models: 110, active_models: 90, adapters_per_model: 80 },
 ];
 
 fn name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("the names here are plain")
+    text.parse().expect("the names are valid")
 }
 
 fn model(i: usize, adapters: usize) -> Model {
@@ -128,11 +128,11 @@
     }
 }
 
-/// Two requests a second from random hosts for each awake model.
-fn load(world: &mut World, size: Size, secs: u64) {
+/// Sends two requests per second for each active model, at random hosts.
+fn send_requests(world: &mut World, size: Size, secs: u64) {
     let mut number = world.serial();
     for _ in 0..secs * 2 {
-        for model in 0..size.awake {
+        for model in 0..size.active_models {
             number = number.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let host = (number >> 33) as usize % size.hosts;
             world.ask(host, &ask(model, number));
@@ -143,33 +143,34 @@
 
 fn measure(size: Size) {
     let mut world = World::new(setup(size), Box::new(NoFaults));
-    world.run_until(Time::from_millis(WARM_UP * 1000));
-    load(&mut world, size, 20);
+    world.run_until(Time::from_millis(WARM_UP_SECS * 1000));
+    send_requests(&mut world, size, 20);
     world.metered = true;
     world.reset_meters();
-    let calls = world.store.calls;
-    load(&mut world, size, MEASURED);
+    let calls_before = world.store.calls;
+    send_requests(&mut world, size, MEASURED_SECS);
     let answered = world.callers.requests.values().filter(|log| log.is_answered()).count();
     let meters: Vec<_> = (0..size.hosts).map(|h| world.meter(h)).collect();
-    let per_host_second = |sum: f64| sum / size.hosts as f64 / MEASURED as f64;
+    let per_host_second = |sum: f64| sum / size.hosts as f64 / MEASURED_SECS as f64;
     let messages: u64 = meters.iter().map(|m| m.sent().messages).sum();
     let bytes: u64 = meters.iter().map(|m| m.sent().bytes).sum();
-    let most = meters.iter().map(|m| m.sent().bytes).max().unwrap_or(0);
+    let max_bytes = meters.iter().map(|m| m.sent().bytes).max().unwrap_or(0);
     let busy: f64 = meters.iter().map(|m| m.busy.as_secs_f64()).sum();
-    let now = world.store.calls;
-    let store = (now.reads + now.writes + now.leases) - (calls.reads + calls.writes + calls.leases);
+    let calls_after = world.store.calls;
+    let store_calls = (calls_after.reads + calls_after.writes + calls_after.leases)
+        - (calls_before.reads + calls_before.writes + calls_before.leases);
     println!(
         "| {} | {} | {} | {} | {} | {:.1} | {:.2} | {:.2} | {:.3}% | {:.2} | {:.0}% |",
         size.hosts,
         size.engines,
         size.models,
-        size.awake,
+        size.active_models,
         size.models * size.adapters_per_model,
         per_host_second(messages as f64),
         per_host_second(bytes as f64) / 1000.0,
-        most as f64 / MEASURED as f64 / 1000.0,
+        max_bytes as f64 / MEASURED_SECS as f64 / 1000.0,
         per_host_second(busy) * 100.0,
-        store as f64 / MEASURED as f64,
+        store_calls as f64 / MEASURED_SECS as f64,
         100.0 * answered as f64 / world.callers.requests.len() as f64,
     );
     if std::env::args().any(|arg| arg == "--kinds") {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Prints what each kind of message takes.
+/// Prints the bandwidth of each kind of message.
 fn print_kinds(meters: &[&Meter], per_host_second: impl Fn(f64) -> f64) {
     let mut kinds: OrderedMap<&str, u64> = OrderedMap::new();
     for (kind, count) in meters.iter().flat_map(|meter| &meter.peers) {
@@ -188,9 +189,9 @@
     }
 }
 
-/// Reads a number from the command line, to measure just some of the sizes.
-fn number(option: &str) -> Option<usize> {
-    std::env::args().find_map(|arg| arg.strip_prefix(option)?.parse().ok())
+/// Returns the number after a command-line prefix; used to measure only some sizes.
+fn option(prefix: &str) -> Option<usize> {
+    std::env::args().find_map(|arg| arg.strip_prefix(prefix)?.parse().ok())
 }
 
 fn main() {
@@ -198,10 +199,12 @@
         "| hosts | engines | models | awake | adapters | messages/s per host | kB/s sent per host | kB/s busiest host | decisions, share of a core | key-value calls/s in all | answered |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
-    let hosts = number("--hosts=");
-    let awake = number("--awake=");
+    let hosts = option("--hosts=");
+    let active_models = option("--awake=");
     for size in SIZES {
-        if hosts.is_none_or(|hosts| size.hosts == hosts) && awake.is_none_or(|awake| size.awake == awake) {
+        if hosts.is_none_or(|hosts| size.hosts == hosts)
+            && active_models.is_none_or(|active| size.active_models == active)
+        {
             measure(size);
         }
     }
--- a/crates/skylarkshore-standins/examples/overhead.rs
+++ b/crates/skylarkshore-standins/examples/overhead.rs
@@ -1,7 +1,7 @@
-//! Measures what an entry host adds to a warm request, and what it takes of its host when idle.
+//! Measures the latency that an entry host adds to a warm request, and its use of resources when idle.
 //!
-//! One engine, one entry host as a process of its own, a hundred requests one
-//! after the other to the engine itself and through the host, in turns.
+//! Sends a hundred requests alternately to an engine itself and through an entry
+//! host, which runs as a separate process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 }"#;
 const REQUESTS: usize = 100;
 const START_LIMIT: Duration = Duration::from_secs(30);
-const IDLE_TIME: Duration = Duration::from_secs(10);
+const IDLE_MEASURING_TIME: Duration = Duration::from_secs(10);
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
@@ -57,17 +57,17 @@
     let mut entry = EntryHost::start(&programs, settings, folder.path())?;
     entry.wait_ready(START_LIMIT).await?;
     let (engine, host) = (fleet.engines[0].address(), entry.caller_address());
-    ask(host).await?;
+    send_request(host).await?;
     let mut direct = Vec::new();
     let mut through = Vec::new();
     for _ in 0..REQUESTS {
-        direct.push(ask(engine).await?);
-        through.push(ask(host).await?);
+        direct.push(send_request(engine).await?);
+        through.push(send_request(host).await?);
     }
     println!("{REQUESTS} warm requests   median      99th");
     print_row("engine itself", &mut direct);
     print_row("through a host", &mut through);
-    tell_idle(entry.operator_address()).await
+    print_idle_usage(entry.operator_address()).await
 }
 
 async fn apply_rules(programs: &Programs, folder: &TempFolder, store: SocketAddr) -> Result<()> {
@@ -81,8 +81,8 @@
     Err(String::from_utf8_lossy(&output.stderr).into())
 }
 
-/// Asks once on a new connection and returns how long the whole answer took.
-async fn ask(address: SocketAddr) -> Result<Duration> {
+/// Sends a request on a new connection and returns the time to the complete answer.
+async fn send_request(address: SocketAddr) -> Result<Duration> {
     let body = json!({"model": "listing-summary", "prompt": "hello", "max_tokens": 1}).to_string();
     let call = Call::post(address, "/v1/completions", body).header("x-request-id", "overhead");
     let begun = Instant::now();
@@ -97,19 +97,19 @@
     println!("{name:<16} {:>7} us {:>7} us", at(50), at(99));
 }
 
-/// Tells the memory, and the processor time over some seconds without requests.
-async fn tell_idle(operators: SocketAddr) -> Result<()> {
-    let before = read_metric(operators, "process_cpu_seconds_total").await?;
-    sleep(IDLE_TIME).await;
-    let used = read_metric(operators, "process_cpu_seconds_total").await? - before;
-    let memory = read_metric(operators, "process_resident_memory_bytes").await? / 1024.0 / 1024.0;
-    let share = used / IDLE_TIME.as_secs_f64() * 100.0;
+/// Prints the memory, and the processor time over a period without requests.
+async fn print_idle_usage(operator_address: SocketAddr) -> Result<()> {
+    let before = read_metric(operator_address, "process_cpu_seconds_total").await?;
+    sleep(IDLE_MEASURING_TIME).await;
+    let used = read_metric(operator_address, "process_cpu_seconds_total").await? - before;
+    let memory = read_metric(operator_address, "process_resident_memory_bytes").await? / 1024.0 / 1024.0;
+    let share = used / IDLE_MEASURING_TIME.as_secs_f64() * 100.0;
     println!("idle host        {memory:.1} MiB resident, {share:.1}% of a core");
     Ok(())
 }
 
-async fn read_metric(operators: SocketAddr, name: &str) -> Result<f64> {
-    let text = Call::get(operators, "/metrics").send().await?.text();
+async fn read_metric(operator_address: SocketAddr, name: &str) -> Result<f64> {
+    let text = Call::get(operator_address, "/metrics").send().await?.text();
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     Ok(value.ok_or("the metric is missing")?.parse()?)
 }
--- a/crates/skylarkshore-standins/examples/processes.rs
+++ b/crates/skylarkshore-standins/examples/processes.rs
@@ -1,8 +1,8 @@
-//! Measures what real idle processes take: processor time, memory and calls, as their number grows.
+//! Measures the processor time and memory of idle entry hosts at several fleet sizes.
 //!
 //! `cargo run --release -p skylarkshore-standins --example processes -- 3 9 30`
-//! starts as many entry hosts as each number says, with the default times, and
-//! reads their own metrics after they have settled.
+//! starts each number of entry hosts with the default timings and reads their
+//! metrics once they are idle.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -23,9 +23,9 @@
 const ENGINES: u32 = 9;
 const DATA_CENTRES: [&str; 3] = ["bern-a", "olten-b", "aarau-c"];
 const START_LIMIT: Duration = Duration::from_mins(1);
-const SETTLE: Duration = Duration::from_secs(15);
-const MEASURED: Duration = Duration::from_secs(20);
-const MOST_PROCESSES: usize = 200;
+const SETTLE_TIME: Duration = Duration::from_secs(15);
+const MEASURING_TIME: Duration = Duration::from_secs(20);
+const MAX_PROCESSES: usize = 200;
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
@@ -35,9 +35,9 @@
     println!("|---|---|---|---|---|");
     for arg in std::env::args().skip(1) {
         let measured = match arg.parse() {
-            Ok(count) if (1..=MOST_PROCESSES).contains(&count) => measure(count).await,
+            Ok(count) if (1..=MAX_PROCESSES).contains(&count) => measure(count).await,
             _ => {
-                Err(format!("'{arg}' is no number of processes; give numbers from 1 to {MOST_PROCESSES}")
+                Err(format!("invalid number of processes '{arg}'; use numbers from 1 to {MAX_PROCESSES}")
                     .into())
             }
         };
@@ -64,20 +64,20 @@
     for entry in &mut entries {
         entry.wait_ready(START_LIMIT).await?;
     }
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let before = read_all(&entries, "process_cpu_seconds_total").await?;
-    sleep(MEASURED).await;
+    sleep(MEASURING_TIME).await;
     let after = read_all(&entries, "process_cpu_seconds_total").await?;
     let memory = read_all(&entries, "process_resident_memory_bytes").await?;
-    let used: Vec<f64> =
-        before.iter().zip(&after).map(|(b, a)| (a - b) / MEASURED.as_secs_f64() * 100.0).collect();
+    let cpu_percent: Vec<f64> =
+        before.iter().zip(&after).map(|(b, a)| (a - b) / MEASURING_TIME.as_secs_f64() * 100.0).collect();
     let mib: Vec<f64> = memory.iter().map(|bytes| bytes / 1024.0 / 1024.0).collect();
     println!(
         "| {count} | {:.2}% | {:.2}% | {:.1} | {:.1} |",
-        mean(&used),
-        most(&used),
+        mean(&cpu_percent),
+        max(&cpu_percent),
         mean(&mib),
-        most(&mib)
+        max(&mib)
     );
     Ok(())
 }
@@ -115,6 +115,6 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-fn most(values: &[f64]) -> f64 {
+fn max(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
--- a/crates/skylarkshore-standins/examples/quickstart/deployment.rs
+++ b/crates/skylarkshore-standins/examples/quickstart/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of the quick start.
+//! Starts and stops the processes of the quick start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,18 +14,16 @@
 const START_LIMIT: Duration = Duration::from_secs(30);
 const STOP_LIMIT: Duration = Duration::from_secs(30);
 
-/// The stand-ins, three entry hosts and their files.
+/// The stand-ins and three entry hosts, with their temporary folder.
 #[derive(Debug)]
 pub(crate) struct Deployment {
-    /// The stand-ins.
     pub(crate) platform: Platform,
-    /// The entry hosts.
     pub(crate) entries: Vec<EntryHost>,
     _folder: TempFolder,
 }
 
 impl Deployment {
-    /// Starts everything and brings the rules into force.
+    /// Starts all processes, applies the rules and waits until the entry hosts are ready.
     pub(crate) async fn start() -> io::Result<Self> {
         let programs = Programs::beside_this().map_err(io::Error::other)?;
         if programs.are_outdated().map_err(io::Error::other)? {
@@ -59,7 +57,7 @@
         Ok(Self { platform, entries, _folder: folder })
     }
 
-    /// Ends the entry hosts in an orderly way and checks that they end well.
+    /// Stops the entry hosts with SIGTERM and checks their exit status.
     pub(crate) async fn stop(&mut self) -> io::Result<()> {
         println!("\nstopping the processes with SIGTERM ...");
         for entry in &self.entries {
@@ -69,7 +67,7 @@
             let status = entry.wait_ended(STOP_LIMIT).await?;
             println!("  {}: {status}", entry.host());
             if !status.success() {
-                return Err(io::Error::other(format!("{} ended badly:\n{}", entry.host(), entry.log())));
+                return Err(io::Error::other(format!("{} failed:\n{}", entry.host(), entry.log())));
             }
         }
         Ok(())
--- a/crates/skylarkshore-standins/examples/quickstart/main.rs
+++ b/crates/skylarkshore-standins/examples/quickstart/main.rs
@@ -1,8 +1,7 @@
-//! Runs a small deployment on loopback and shows what callers get.
+//! Runs a small deployment on loopback, sends requests and checks the answers.
 //!
-//! The stand-ins run as one child process (this program with a hidden argument)
-//! and three `skylarkshore` processes as others. The exit code is 0 only when
-//! every answer was right.
+//! The child processes are the stand-ins (this program with a hidden argument) and
+//! three `skylarkshore` processes. The exit code is 0 only if every answer was right.
 
 mod deployment;
 mod platform;
@@ -25,8 +24,8 @@
     }
     runtime.block_on(async {
         tokio::select! {
-            code = show() => code,
-            _ = tokio::signal::ctrl_c() => failed("interrupted; all processes are ended"),
+            code = run_quickstart() => code,
+            _ = tokio::signal::ctrl_c() => failed("interrupted; all processes were stopped"),
         }
     })
 }
@@ -36,15 +35,15 @@
     ExitCode::FAILURE
 }
 
-/// Runs the whole show; dropping it half-way ends every child process.
-async fn show() -> ExitCode {
+/// Runs the whole quick start; dropping the future ends every child process.
+async fn run_quickstart() -> ExitCode {
     let mut deployment = match Deployment::start().await {
         Ok(deployment) => deployment,
         Err(err) => return failed(&err.to_string()),
     };
     let all_right = steps::run(&deployment).await;
-    let ended = deployment.stop().await;
-    match ended {
+    let stopped = deployment.stop().await;
+    match stopped {
         Ok(()) if all_right => {
             println!("\nall answers were right");
             ExitCode::SUCCESS
--- a/crates/skylarkshore-standins/examples/quickstart/platform.rs
+++ b/crates/skylarkshore-standins/examples/quickstart/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a process of their own.
+//! Runs the stand-ins in a separate process.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Makes this program run the stand-ins.
+/// The argument with which this program runs the stand-ins.
 pub(crate) const HIDDEN_ARGUMENT: &str = "run-the-stand-ins";
 
 const ENGINES: u32 = 3;
 const SERVICE_REPLICAS: u32 = 2;
 
-/// Runs the stand-ins until the standard input is closed, which the parent's
-/// end does as well, however it comes about.
+/// Runs the stand-ins until standard input is closed, which also happens when the
+/// parent exits for any reason.
 pub(crate) async fn run() -> io::Result<()> {
     let settings = FleetSettings::small(ENGINES, SERVICE_REPLICAS).map_err(io::Error::other)?;
     let fleet = Fleet::start(&settings).await?;
@@ -27,20 +27,20 @@
     Ok(())
 }
 
-/// The running stand-ins.
+/// The child process of the stand-ins and its addresses.
 #[derive(Debug)]
 pub(crate) struct Platform {
-    /// The key-value service.
+    /// The address of the key-value service.
     pub(crate) store: SocketAddr,
-    /// The host list.
+    /// The address of the host list.
     pub(crate) host_list: SocketAddr,
-    /// The counts.
+    /// The address of the census.
     pub(crate) census: SocketAddr,
     _child: Child,
 }
 
 impl Platform {
-    /// Starts this program once more with the hidden argument.
+    /// Starts this program again with the hidden argument.
     pub(crate) async fn start() -> io::Result<Self> {
         let mut child = Command::new(std::env::current_exe()?)
             .arg(HIDDEN_ARGUMENT)
@@ -53,7 +53,7 @@
         BufReader::new(out).read_line(&mut line).await?;
         let addresses: Vec<SocketAddr> = line.split_whitespace().filter_map(|a| a.parse().ok()).collect();
         let [store, host_list, census] = addresses[..] else {
-            return Err(io::Error::other("the stand-ins did not start; see their words above"));
+            return Err(io::Error::other("the stand-ins did not start; see their output above"));
         };
         Ok(Self { store, host_list, census, _child: child })
     }
--- a/crates/skylarkshore-standins/tests/standins.rs
+++ b/crates/skylarkshore-standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins themselves keep to their formats.
+//! Tests of the stand-ins themselves.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn the_store_compares_and_swaps_and_lets_leases_lapse() {
+async fn the_store_compares_and_swaps_and_expires_leases() {
     let fleet = fleet().await;
     let store = fleet.store.address();
     let (_, lease) = post(store, "/v3/lease/grant", &json!({"TTL": "1"})).await;
@@ -38,16 +38,16 @@
 
     let watch = json!({"create_request": {"key": "a2V5", "start_revision": "3"}});
     let mut watch = Call::post(store, "/v3/watch", watch.to_string()).stream().await.expect("it answers");
-    let created = watch.next().await.expect("it streams").expect("it tells that it stands");
+    let created = watch.next().await.expect("it streams").expect("it confirms the watch");
     assert!(String::from_utf8_lossy(&created).contains("created"));
-    let gone = watch.next().await.expect("it streams").expect("the lease lapses");
-    assert!(String::from_utf8_lossy(&gone).contains("DELETE"));
+    let deleted = watch.next().await.expect("it streams").expect("the lease expires");
+    assert!(String::from_utf8_lossy(&deleted).contains("DELETE"));
     let (_, kept) = post(store, "/v3/lease/keepalive", &json!({"ID": lease["ID"]})).await;
     assert_eq!(kept["result"]["TTL"], Value::Null);
 }
 
-/// The answer to a write is lost after the write took effect, so that its
-/// sender sees a broken connection though the value stands there.
+/// The answer to a write is lost after the write took effect: the sender sees a
+/// broken connection although the value is stored.
 #[tokio::test]
 async fn a_lost_answer_leaves_the_write_in_effect() {
     let fleet = fleet().await;
@@ -72,9 +72,9 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let chat = json!({"model": "m", "messages": [{"role": "user", "content": "hello"}], "max_tokens": 3});
-    let (status, whole) = post(engine.address(), "/v1/chat/completions", &chat).await;
+    let (status, completion) = post(engine.address(), "/v1/chat/completions", &chat).await;
     assert_eq!(status, 200);
-    assert_eq!(whole["choices"][0]["message"]["content"], expected_text("m", "hello", 3));
+    assert_eq!(completion["choices"][0]["message"]["content"], expected_text("m", "hello", 3));
 
     let prompt = json!({"model": "m", "prompt": "hello", "max_tokens": 3, "stream": true}).to_string();
     let call = Call::post(engine.address(), "/v1/completions", prompt).header("x-resume-offset", "2");
