--- a/crates/skylarkshore-standins/tests/processes/bad_input.rs
+++ b/crates/skylarkshore-standins/tests/processes/bad_input.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::bench::{Bench, LIMIT, Needs};
+use crate::bench::{Bench, BenchSettings, LIMIT};
 
 async fn refusal(name: &str, call: Call) -> String {
     let answer = match call.send().await {
@@ -36,8 +36,8 @@
 /// Invalid requests must be refused at once with the reason and never reach an
 /// upstream, and an incomplete request must not hold its connection forever.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_told_what_is_wrong_and_reach_no_upstream() {
-    let bench = Bench::start(Needs { entries: 1, engines: 1, ..Needs::default() }).await;
+async fn bad_requests_are_refused_with_a_reason_and_reach_no_upstream() {
+    let bench = Bench::start(BenchSettings { entries: 1, engines: 1, ..BenchSettings::default() }).await;
     let at = bench.caller_address(0);
     let chat = |body: &str| Call::post(at, "/v1/chat/completions", body.to_owned());
     let good = r#"{"model":"alpha","messages":[{"role":"user","content":"hi"}]}"#;
@@ -61,18 +61,18 @@
                 .header("idempotency-key", &"k".repeat(2000)),
         ),
     ];
-    let mut words = Vec::new();
+    let mut lines = Vec::new();
     for (name, call) in calls {
-        words.push(refusal(name, call).await);
+        lines.push(refusal(name, call).await);
     }
     let headers = "x-flood: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyy\r\n".repeat(4000);
     let flood = format!("GET /v1/models HTTP/1.1\r\nhost: x\r\n{headers}\r\n");
-    words.push(raw("a flood of headers", at, flood.as_bytes()).await);
-    words.push(raw("no HTTP at all", at, b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n").await);
-    words.push(raw("a head that never ends", at, b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").await);
+    lines.push(raw("a flood of headers", at, flood.as_bytes()).await);
+    lines.push(raw("no HTTP at all", at, b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n").await);
+    lines.push(raw("a head that never ends", at, b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").await);
     let slow = b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
-    words.push(raw("a body that never ends", at, slow).await);
-    insta::assert_snapshot!(words.join("\n"));
+    lines.push(raw("a body that never ends", at, slow).await);
+    insta::assert_snapshot!(lines.join("\n"));
     assert_eq!(bench.fleet.census.counts().answered, 0);
     assert!(bench.fleet.census.counts().runs.is_empty());
     let healthy = Call::get(at, "/healthz").send();
--- a/crates/skylarkshore-standins/tests/processes/bench.rs
+++ b/crates/skylarkshore-standins/tests/processes/bench.rs
@@ -39,23 +39,23 @@
 }"#;
 
 /// The size and settings of a test's deployment.
-pub(crate) struct Needs {
+pub(crate) struct BenchSettings {
     pub(crate) entries: u32,
     pub(crate) engines: u32,
     pub(crate) checks_fences: bool,
     pub(crate) token_time: Duration,
     /// The power cap of the site.
-    pub(crate) power_cap: u64,
+    pub(crate) power_cap_watts: u64,
 }
 
-impl Default for Needs {
+impl Default for BenchSettings {
     fn default() -> Self {
         Self {
             entries: 3,
             engines: 2,
             checks_fences: true,
             token_time: Duration::from_millis(5),
-            power_cap: 100_000,
+            power_cap_watts: 100_000,
         }
     }
 }
@@ -91,17 +91,17 @@
 
 impl Bench {
     /// Starts everything and waits until the rules are in force and all engines and models are assigned.
-    pub(crate) async fn start(needs: Needs) -> Self {
+    pub(crate) async fn start(bench_settings: BenchSettings) -> Self {
         let programs = programs().await;
         let slot = TEST_SLOTS.acquire().await.expect("the semaphore stays open");
-        let mut settings = FleetSettings::small(needs.engines, 1).expect("the names are valid");
-        settings.checks_fences = needs.checks_fences;
-        settings.token_time = needs.token_time;
+        let mut settings = FleetSettings::small(bench_settings.engines, 1).expect("the names are valid");
+        settings.checks_fences = bench_settings.checks_fences;
+        settings.token_time = bench_settings.token_time;
         let fleet = Fleet::start(&settings).await.expect("ports are free");
         let folder = TempFolder::new().expect("a folder");
         let mut entries = Vec::new();
         let mut store_relays = Vec::new();
-        for i in 0..needs.entries {
+        for i in 0..bench_settings.entries {
             let host = format!("entry-{}", i + 1).parse().expect("a name");
             let data_centre = settings.data_centres[i as usize % 3].clone();
             let relay = Relay::start(fleet.store.address()).await.expect("a port is free");
@@ -111,13 +111,13 @@
             entries.push(entry.expect("the program starts"));
         }
         let mut bench = Self { fleet, entries, programs, folder, store_relays, _slot: slot };
-        let rules = RULES.replace("100000", &needs.power_cap.to_string());
+        let rules = RULES.replace("100000", &bench_settings.power_cap_watts.to_string());
         let applied = bench.apply("first.jsonc", &rules).await;
         assert_eq!(applied.0, Some(0), "{}", applied.1);
         for entry in &mut bench.entries {
             entry.wait_ready(LIMIT).await.unwrap_or_else(|err| panic!("{err}"));
         }
-        let owned = || (1..=needs.engines).all(|i| bench.owner(&format!("engine-{i}")).is_some());
+        let owned = || (1..=bench_settings.engines).all(|i| bench.owner(&format!("engine-{i}")).is_some());
         assert!(
             wait_until(LIMIT, owned).await,
             "not every engine has an owner: {:?}",
--- a/crates/skylarkshore-standins/tests/processes/burst.rs
+++ b/crates/skylarkshore-standins/tests/processes/burst.rs
@@ -1,12 +1,12 @@
 //! Concurrent requests for one model.
 
-use crate::bench::{Bench, Needs, ask};
+use crate::bench::{Bench, BenchSettings, ask};
 
 /// Callers request the same cold model at nine entry hosts at once. If each host
 /// decided alone, nine replicas would be loaded, eight of them needlessly.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_burst_for_one_cold_model_at_nine_hosts_causes_one_load() {
-    let bench = Bench::start(Needs { entries: 9, engines: 3, ..Needs::default() }).await;
+    let bench = Bench::start(BenchSettings { entries: 9, engines: 3, ..BenchSettings::default() }).await;
     let mut callers = Vec::new();
     for entry in 0..9 {
         for i in 0..5 {
--- a/crates/skylarkshore-standins/tests/processes/crashing_request.rs
+++ b/crates/skylarkshore-standins/tests/processes/crashing_request.rs
@@ -5,15 +5,15 @@
 use skylarkshore_standins::engine::CRASH_MARKER;
 use tokio::time::sleep;
 
-use crate::bench::{Bench, Needs, ask};
+use crate::bench::{Bench, BenchSettings, ask};
 
 /// A request crashes the engine that runs it, and its caller repeats it through
 /// other hosts. If the hosts didn't share the crashes, it would crash one engine
 /// after another, together with all other requests on them.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_engines_is_refused_everywhere_after_its_second_crash() {
-    let needs = Needs { token_time: Duration::from_millis(60), ..Needs::default() };
-    let bench = Bench::start(needs).await;
+    let bench_settings = BenchSettings { token_time: Duration::from_millis(60), ..BenchSettings::default() };
+    let bench = Bench::start(bench_settings).await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     let caller = bench.caller_address(1);
     let concurrent = tokio::spawn(async move { ask(caller, "alpha", "concurrent").await });
--- a/crates/skylarkshore-standins/tests/processes/crossed_answers.rs
+++ b/crates/skylarkshore-standins/tests/processes/crossed_answers.rs
@@ -6,13 +6,13 @@
 use skylarkshore_standins::client::Call;
 use skylarkshore_standins::engine::{EngineFaults, expected_text};
 
-use crate::bench::{Bench, Needs, REQUEST_TIMEOUT_MS, ask};
+use crate::bench::{Bench, BenchSettings, REQUEST_TIMEOUT_MS, ask};
 
 /// An engine confuses two requests. Without the check, a caller would get the
 /// answer to another caller's request without any sign of an error.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_to_another_request_is_discarded() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     let home = bench.home("alpha").expect("it has a home");
     home.set_faults(EngineFaults { crossed_answers: 1, ..EngineFaults::default() });
@@ -25,7 +25,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_continues_after_its_engine_crashed() {
     const STREAM_TOKENS: u32 = 40;
-    let bench = Bench::start(Needs { token_time: Duration::from_millis(25), ..Needs::default() }).await;
+    let bench =
+        Bench::start(BenchSettings { token_time: Duration::from_millis(25), ..BenchSettings::default() })
+            .await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     let body = json!({"model": "alpha", "prompt": "a long one", "max_tokens": STREAM_TOKENS, "stream": true});
     let call = Call::post(bench.caller_address(2), "/v1/completions", body.to_string())
--- a/crates/skylarkshore-standins/tests/processes/cut_off.rs
+++ b/crates/skylarkshore-standins/tests/processes/cut_off.rs
@@ -6,7 +6,7 @@
 use skylarkshore_standins::store::StoreFaults;
 use tokio::time::{sleep, timeout};
 
-use crate::bench::{Bench, LIMIT, Needs, RULES, ask};
+use crate::bench::{Bench, BenchSettings, LIMIT, RULES, ask};
 
 /// Waits until a host has a revision of the rules, and checks that its revision never decreases.
 async fn wait_for_rules(bench: &Bench, entry: usize, wanted: u64) {
@@ -29,7 +29,7 @@
 /// It must still serve warm and cold models and get new rules from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_cut_off_from_the_key_value_service_still_serves_and_gets_new_rules() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     bench.store_relays[0].cut();
     apply_second(&bench).await;
     for entry in 0..3 {
@@ -54,7 +54,7 @@
 /// running host must not revert to the old ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stale_read_never_reverts_the_rules() {
-    let mut bench = Bench::start(Needs::default()).await;
+    let mut bench = Bench::start(BenchSettings::default()).await;
     bench.fleet.store.set_faults(StoreFaults { stale: true, ..StoreFaults::default() });
     // The operators' program reads the stale data too, but it is still current at this point.
     apply_second(&bench).await;
--- a/crates/skylarkshore-standins/tests/processes/leaving.rs
+++ b/crates/skylarkshore-standins/tests/processes/leaving.rs
@@ -8,15 +8,15 @@
 use skylarkshore_wire::caller::EntryAnswer;
 use tokio::time::sleep;
 
-use crate::bench::{Bench, LIMIT, Needs, ask};
+use crate::bench::{Bench, BenchSettings, LIMIT, ask};
 
 /// A host is replaced while streams run through it and callers still use its
 /// address from an earlier entry list. It must finish the streams and be removed
 /// from the list before its port closes.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_during_streams_completes_them_and_exits_with_zero() {
-    let needs = Needs { token_time: Duration::from_millis(25), ..Needs::default() };
-    let mut bench = Bench::start(needs).await;
+    let bench_settings = BenchSettings { token_time: Duration::from_millis(25), ..BenchSettings::default() };
+    let mut bench = Bench::start(bench_settings).await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     let mut streams = Vec::new();
     for i in 0..4 {
@@ -55,7 +55,7 @@
 /// while callers send requests. Its models must move without a failed request.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_request_fails_while_an_engine_leaves() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     let home = bench.home("alpha").expect("it has a home").id().clone();
     bench.fleet.hosts.mark_leaving(&home);
--- a/crates/skylarkshore-standins/tests/processes/once.rs
+++ b/crates/skylarkshore-standins/tests/processes/once.rs
@@ -4,14 +4,14 @@
 use skylarkshore_standins::service::ServiceFaults;
 use skylarkshore_standins::store::StoreFaults;
 
-use crate::bench::{Bench, LIMIT, Needs, book};
+use crate::bench::{Bench, BenchSettings, LIMIT, book};
 
 /// The key-value service writes the claim of a booking, but the answer is lost. If
 /// the host claimed again, it would find its own claim and refuse a booking that
 /// never ran; if it sent the booking without a claim, it could run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_answer_is_lost_still_lets_the_booking_run_once() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     let faults = StoreFaults { lose_writes: 1, lose_writes_of: "once/".to_owned(), ..StoreFaults::default() };
     bench.fleet.store.set_faults(faults);
     let first = book(bench.caller_address(0), "slot-1").await.expect("it answers");
@@ -26,7 +26,7 @@
 /// outcome is reported as unknown, and a repetition at any host must not book again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_answer_is_lost_is_never_made_again() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     bench.fleet.services[0].set_faults(ServiceFaults { lose_answers: 1, ..ServiceFaults::default() });
     for entry in 0..3 {
         let answer = book(bench.caller_address(entry), "slot-1").await.expect("it answers");
@@ -41,7 +41,7 @@
 /// the booking may have run, so it must not be sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_host_crashes_is_never_made_again() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     bench.fleet.services[0].set_faults(ServiceFaults { slow_ms: 400, ..ServiceFaults::default() });
     let caller = bench.caller_address(0);
     let first = tokio::spawn(async move { book(caller, "slot-1").await });
--- a/crates/skylarkshore-standins/tests/processes/operators.rs
+++ b/crates/skylarkshore-standins/tests/processes/operators.rs
@@ -2,7 +2,7 @@
 
 use skylarkshore_standins::process::skylarkctl;
 
-use crate::bench::{Bench, LIMIT, Needs};
+use crate::bench::{Bench, BenchSettings, LIMIT};
 
 async fn run_skylarkctl(bench: &Bench, args: &[&str]) -> String {
     let output = skylarkctl(&bench.programs, args).await.expect("the program runs");
@@ -13,7 +13,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn skylarkctl_reads_the_state_of_a_process_and_drains_it() {
-    let mut bench = Bench::start(Needs::default()).await;
+    let mut bench = Bench::start(BenchSettings::default()).await;
     let host = bench.entries[0].operator_address().to_string();
     let state = run_skylarkctl(&bench, &["state", &host]).await;
     assert!(state.contains("\"host\": \"entry-1\"") && state.contains("beliefs"), "{state}");
--- a/crates/skylarkshore-standins/tests/processes/orders.rs
+++ b/crates/skylarkshore-standins/tests/processes/orders.rs
@@ -2,10 +2,10 @@
 
 use skylarkshore_standins::engine::EngineFaults;
 
-use crate::bench::{Bench, Needs, ask};
+use crate::bench::{Bench, BenchSettings, ask};
 
 async fn load_with_faults(faults: EngineFaults) -> Bench {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     for engine in &bench.fleet.engines {
         engine.set_faults(faults.clone());
     }
--- a/crates/skylarkshore-standins/tests/processes/outage.rs
+++ b/crates/skylarkshore-standins/tests/processes/outage.rs
@@ -7,7 +7,7 @@
 use skylarkshore_standins::store::StoreFaults;
 use tokio::time::sleep;
 
-use crate::bench::{Bench, Needs, ask, book};
+use crate::bench::{Bench, BenchSettings, ask, book};
 
 /// Three times the lease duration.
 const OUTAGE: Duration = Duration::from_secs(6);
@@ -16,7 +16,7 @@
 /// are assigned before they are needed, so neither warm nor cold models depend on it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_of_the_key_value_service_stops_neither_warm_nor_cold_models() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     ask(bench.caller_address(0), "alpha", "warm-up").await.unwrap_or_else(|err| panic!("{err}"));
     bench.fleet.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
     let over = Arc::new(AtomicBool::new(false));
@@ -53,7 +53,7 @@
 /// the caller repeats it once the service is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_in_an_outage_is_refused_as_not_run_and_can_be_made_later() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     bench.fleet.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
     let refused = book(bench.caller_address(0), "slot-1").await.expect("it answers");
     assert_eq!(refused.status.as_u16(), 503, "{}", refused.text());
--- a/crates/skylarkshore-standins/tests/processes/owners.rs
+++ b/crates/skylarkshore-standins/tests/processes/owners.rs
@@ -5,7 +5,7 @@
 use skylarkshore_standins::process::{Signal, wait_until};
 use tokio::time::sleep;
 
-use crate::bench::{Bench, LIMIT, Needs, ask};
+use crate::bench::{Bench, BenchSettings, LIMIT, ask};
 
 /// Waits until the home of a model loads it, and returns the index of the home's owner.
 async fn loading_owner(bench: &Bench, model: &str) -> usize {
@@ -19,7 +19,7 @@
 /// progress, the waiting callers would get no answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_killed_during_a_load_causes_no_second_load() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     bench.fleet.weights.set_speed(30);
     let home = bench.home("alpha").expect("it has a home");
     let owner = bench.owner(home.id().as_str()).expect("it has an owner");
@@ -43,7 +43,7 @@
 /// Freezes the owner of a model's home while it has an open request, waits until
 /// another host takes the home over, and resumes the frozen owner.
 async fn freeze_past_the_lease(checks_fences: bool) {
-    let bench = Bench::start(Needs { checks_fences, ..Needs::default() }).await;
+    let bench = Bench::start(BenchSettings { checks_fences, ..BenchSettings::default() }).await;
     let home = bench.home("beta").expect("it has a home").id().as_str().to_owned();
     let frozen = bench.owner(&home).expect("it has an owner");
     let caller = bench.caller_address(frozen);
--- a/crates/skylarkshore-standins/tests/processes/rule_changes.rs
+++ b/crates/skylarkshore-standins/tests/processes/rule_changes.rs
@@ -6,14 +6,14 @@
 use skylarkshore_standins::client::Call;
 use tokio::time::sleep;
 
-use crate::bench::{Bench, LIMIT, Needs, RULES};
+use crate::bench::{Bench, BenchSettings, LIMIT, RULES};
 
 /// Two operators apply different documents concurrently. One document is accepted
 /// and comes into force at every host within seconds; the other is rejected as a
 /// conflict. Hosts with different rules would undo each other's loads.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_concurrently_applied_documents_one_comes_into_force_everywhere() {
-    let bench = Bench::start(Needs::default()).await;
+    let bench = Bench::start(BenchSettings::default()).await;
     let edited = RULES.replace("\"revision\": 0", "\"revision\": 1");
     let renamed = |name: &str| edited.replace("\"gamma\"", &format!("\"{name}\""));
     let (first, second) = (renamed("delta"), renamed("epsilon"));
--- a/crates/skylarkshore-standins/tests/processes/weight_store.rs
+++ b/crates/skylarkshore-standins/tests/processes/weight_store.rs
@@ -4,7 +4,7 @@
 
 use skylarkshore_standins::process::wait_until;
 
-use crate::bench::{Bench, LIMIT, Needs, RULES, ask};
+use crate::bench::{Bench, BenchSettings, LIMIT, RULES, ask};
 
 const MODELS: usize = 10;
 /// The number of concurrent loads that the weight store serves at full speed.
@@ -15,7 +15,7 @@
 /// store's bandwidth, and every caller would wait longer.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_models_requested_together_are_loaded_four_at_a_time() {
-    let bench = Bench::start(Needs { engines: 3, ..Needs::default() }).await;
+    let bench = Bench::start(BenchSettings { engines: 3, ..BenchSettings::default() }).await;
     let mut models = String::new();
     for i in 0..MODELS {
         let model = r#"{"version": "1", "weights_mib": 9000, "kv_cache_mib": 1000, "load_time_ms": 600}"#;
--- a/crates/skylarkshore-standins/tests/world/fault_matrix.rs
+++ b/crates/skylarkshore-standins/tests/world/fault_matrix.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    ACTIVE, MODELS, SLEEP, ask_model, ask_once, at_secs, describe, document, name, setup, world,
+    ACTIVE_WATTS, MODELS, SLEEP_WATTS, ask_model, ask_once, at_secs, describe, document, name, setup, world,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,13 +21,13 @@
 };
 
 const HOSTS: usize = 3;
-/// When the scenario's requests start, in seconds; owners and homes are assigned by then.
-const BEGIN: u64 = 10;
-/// When fault injection ends, in seconds, to leave time for recovery.
-const STRIKES_END: u64 = 26;
-/// When recovery is checked, in seconds.
-const RECOVERED: u64 = 95;
-const END: u64 = 125;
+/// When the scenario's requests start; owners and homes are assigned by then.
+const BEGIN_SECS: u64 = 10;
+/// When fault injection ends, to leave time for recovery.
+const STRIKES_END_SECS: u64 = 26;
+/// When recovery is checked.
+const RECOVERED_SECS: u64 = 95;
+const END_SECS: u64 = 125;
 
 /// The kinds of faults with their printed names.
 const KINDS: [(&str, Strike); 15] = [
@@ -62,7 +62,7 @@
     fn setup(self, seed: u64) -> Setup {
         let mut setup = setup(HOSTS, seed);
         if self == Self::Scarce {
-            setup.document = document(2 * ACTIVE + 2 * SLEEP);
+            setup.document = document(2 * ACTIVE_WATTS + 2 * SLEEP_WATTS);
         }
         setup
     }
@@ -108,7 +108,7 @@
         Scenario::Plenty => plenty(world),
         Scenario::Scarce => scarce(world),
     }
-    world.run_until(at_secs(STRIKES_END));
+    world.run_until(at_secs(STRIKES_END_SECS));
 }
 
 /// Requests cold and warm models, an adapter and a burst, repeats bookings, idles and changes the rules.
@@ -116,19 +116,19 @@
     for (i, model) in MODELS.iter().enumerate() {
         world.ask(i % HOSTS, &ask_model(model, i as u64));
     }
-    world.run_until(at_secs(BEGIN + 2));
+    world.run_until(at_secs(BEGIN_SECS + 2));
     world.ask(0, &ask_once(100, 100));
     world.ask(1, &ask_model("lease:bern", 10));
-    world.run_until(at_secs(BEGIN + 5));
+    world.run_until(at_secs(BEGIN_SECS + 5));
     world.ask(2, &ask_once(100, 100));
     world.ask(1, &ask_once(101, 101));
     for i in 0..6 {
         world.ask(i % HOSTS, &ask_model("summary", 20 + i as u64));
     }
-    world.run_until(at_secs(BEGIN + 8));
+    world.run_until(at_secs(BEGIN_SECS + 8));
     world.ask(2, &ask_model("lease:olten", 11));
     world.ask(0, &ask_once(101, 101));
-    apply_new_rules(world, document(4 * ACTIVE));
+    apply_new_rules(world, document(4 * ACTIVE_WATTS));
 }
 
 /// Requests more models than the power allows, repeats a crashing request and removes upstreams.
@@ -136,23 +136,23 @@
     for (i, model) in MODELS.iter().enumerate() {
         world.ask(i % HOSTS, &ask_model(model, i as u64));
     }
-    world.run_until(at_secs(BEGIN + 5));
+    world.run_until(at_secs(BEGIN_SECS + 5));
     let crashing = Ask { crashes: true, ..ask_model("summary", 66) };
     world.ask(0, &crashing);
     for i in 0..4 {
         world.ask(i % HOSTS, &ask_model("summary", 30 + i as u64));
     }
     world.ask(1, &ask_once(100, 100));
-    world.run_until(at_secs(BEGIN + 9));
+    world.run_until(at_secs(BEGIN_SECS + 9));
     world.ask(1, &crashing);
     world.ask(2, &ask_once(100, 100));
     world.mark_leaving(&name("engine-2"));
-    world.run_until(at_secs(BEGIN + 12));
+    world.run_until(at_secs(BEGIN_SECS + 12));
     world.reclaim(&name("engine-3"));
     for (i, model) in MODELS.iter().enumerate() {
         world.ask(i % HOSTS, &ask_model(model, 40 + i as u64));
     }
-    apply_new_rules(world, document(2 * ACTIVE + 2 * SLEEP));
+    apply_new_rules(world, document(2 * ACTIVE_WATTS + 2 * SLEEP_WATTS));
 }
 
 fn apply_new_rules(world: &mut World, mut rules: Document) {
@@ -164,11 +164,11 @@
 /// Runs a case and returns the violations.
 fn run(case: &Case) -> Vec<Violation> {
     let mut world = world(case.scenario.setup(case.seed), case.faults());
-    world.run_until(at_secs(BEGIN));
+    world.run_until(at_secs(BEGIN_SECS));
     requests(&mut world, case.scenario);
-    world.run_until(at_secs(RECOVERED));
+    world.run_until(at_secs(RECOVERED_SECS));
     let late = ask_all_hosts(&mut world);
-    world.run_until(at_secs(END));
+    world.run_until(at_secs(END_SECS));
     world.finish();
     let mut violations = world.checks.violations.clone();
     if !world.rules_in_force(RulesRevision(2)) {
@@ -248,7 +248,7 @@
 /// Returns the serial numbers of the effects that leave the processes while a scenario runs.
 fn steps(scenario: Scenario, seed: u64) -> std::ops::Range<u64> {
     let mut world = world(scenario.setup(seed), NoFaults);
-    world.run_until(at_secs(BEGIN));
+    world.run_until(at_secs(BEGIN_SECS));
     let first = world.serial() + 1;
     requests(&mut world, scenario);
     first..world.serial() + 1
--- a/crates/skylarkshore-standins/tests/world/mutants.rs
+++ b/crates/skylarkshore-standins/tests/world/mutants.rs
@@ -8,7 +8,7 @@
 use skylarkshore_core::upstream::Order;
 use skylarkshore_standins::world::{Ask, Faults, NoFaults, Strike, World};
 
-use crate::support::{ACTIVE, SLEEP, ask_model, ask_once, at_secs, document, name, setup, world};
+use crate::support::{ACTIVE_WATTS, SLEEP_WATTS, ask_model, ask_once, at_secs, document, name, setup, world};
 
 /// A deliberate fault in the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -150,7 +150,7 @@
 }
 
 fn assert_detected(broken: BrokenDecision, expected: &str) {
-    let found = run(broken, 4 * ACTIVE, "engine-1");
+    let found = run(broken, 4 * ACTIVE_WATTS, "engine-1");
     assert!(found.contains(expected), "{broken:?} isn't detected: '{found}'");
 }
 
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_load_without_power_is_detected() {
-    let found = run(BrokenDecision::LoadsWithoutPower, ACTIVE + 3 * SLEEP, "engine-1");
+    let found = run(BrokenDecision::LoadsWithoutPower, ACTIVE_WATTS + 3 * SLEEP_WATTS, "engine-1");
     assert!(found.contains("draws more than its cap"), "{found}");
 }
 
--- a/crates/skylarkshore-standins/tests/world/recovery.rs
+++ b/crates/skylarkshore-standins/tests/world/recovery.rs
@@ -10,16 +10,16 @@
 use crate::support::{MODELS, ask_model, at_secs, describe, setup, world};
 
 const HOSTS: usize = 3;
-/// When requests start, in seconds; owners and homes are assigned by then.
-const BEGIN: u64 = 10;
-/// The seconds during which faults are injected; two of the four models are loaded meanwhile.
-const FAULT_PERIOD: u64 = 10;
-/// The duration of the longest fault, in seconds.
-const FREEZE: u64 = 2;
-/// The time from the end of the last fault until all models must be served, in seconds.
-const RECOVERY: u64 = 12;
-/// When every request must be served, in seconds.
-const RECOVERED: u64 = BEGIN + FAULT_PERIOD + FREEZE + RECOVERY;
+/// When requests start; owners and homes are assigned by then.
+const BEGIN_SECS: u64 = 10;
+/// How long faults are injected; two of the four models are loaded meanwhile.
+const FAULT_PERIOD_SECS: u64 = 10;
+/// The duration of the longest fault.
+const FREEZE_SECS: u64 = 2;
+/// The time from the end of the last fault until all models must be served.
+const RECOVERY_SECS: u64 = 12;
+/// When every request must be served.
+const RECOVERED_SECS: u64 = BEGIN_SECS + FAULT_PERIOD_SECS + FREEZE_SECS + RECOVERY_SECS;
 /// The callers' time-out: long enough for one load, too short for two.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 /// Each fault kind is injected at every nth effect, unless `FAULT_STRIDE` sets another n.
@@ -32,7 +32,7 @@
     ("double", Strike::Double),
     ("kill-before", Strike::KillBefore),
     ("kill-after", Strike::KillAfter),
-    ("freeze", Strike::Freeze(Duration::from_secs(FREEZE))),
+    ("freeze", Strike::Freeze(Duration::from_secs(FREEZE_SECS))),
 ];
 
 /// Returns a setup with short leases and time-outs, and one concurrent load from the weight store.
@@ -58,7 +58,7 @@
 /// Requests every model once a second at alternating hosts; returns the last second's requests.
 fn ask_until(world: &mut World, until: u64) -> Vec<RequestKey> {
     let mut last = Vec::new();
-    for second in BEGIN..until {
+    for second in BEGIN_SECS..until {
         last.clear();
         for (i, model) in (0..).zip(MODELS) {
             let ask = Ask { timeout: REQUEST_TIMEOUT, ..ask_model(model, 100 * second + i) };
@@ -73,9 +73,9 @@
 /// Runs the scenario with one fault and returns the violations and unanswered requests.
 fn run(serial: u64, strike: Strike) -> Vec<String> {
     let mut world = world(short_timings_setup(), StrikeAt::new(vec![Planned { serial, strike }]));
-    world.run_until(at_secs(BEGIN));
-    let last = ask_until(&mut world, RECOVERED);
-    world.run_until(at_secs(RECOVERED + REQUEST_TIMEOUT.as_secs() + 1));
+    world.run_until(at_secs(BEGIN_SECS));
+    let last = ask_until(&mut world, RECOVERED_SECS);
+    world.run_until(at_secs(RECOVERED_SECS + REQUEST_TIMEOUT.as_secs() + 1));
     world.finish();
     let mut found: Vec<String> = world.checks.violations.iter().map(|found| found.what.clone()).collect();
     let logs = last.iter().map(|key| &world.callers.requests[key]);
@@ -90,10 +90,10 @@
 /// Returns the serial numbers of the effects to inject faults at, each with its fault kind.
 fn cases() -> Vec<(u64, usize)> {
     let mut world = world(short_timings_setup(), NoFaults);
-    world.run_until(at_secs(BEGIN));
+    world.run_until(at_secs(BEGIN_SECS));
     let first = world.serial() + 1;
     let stride = std::env::var("FAULT_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(STRIDE);
-    _ = ask_until(&mut world, BEGIN + FAULT_PERIOD);
+    _ = ask_until(&mut world, BEGIN_SECS + FAULT_PERIOD_SECS);
     let steps = first..=world.serial();
     let kinds = steps.flat_map(|serial| (0..KINDS.len()).map(move |kind| (serial, kind)));
     kinds.filter(|(serial, kind)| (serial + *kind as u64).is_multiple_of(stride)).collect()
--- a/crates/skylarkshore-standins/tests/world/support.rs
+++ b/crates/skylarkshore-standins/tests/world/support.rs
@@ -17,8 +17,8 @@
 pub(crate) const DATA_CENTRES: [&str; 3] = ["bern-a", "olten-b", "aarau-c"];
 pub(crate) const MODELS: [&str; 4] = ["summary", "lease", "classify", "draft"];
 
-pub(crate) const ACTIVE: u64 = 300;
-pub(crate) const SLEEP: u64 = 30;
+pub(crate) const ACTIVE_WATTS: u64 = 300;
+pub(crate) const SLEEP_WATTS: u64 = 30;
 
 pub(crate) fn name<T: std::str::FromStr>(text: &str) -> T
 where
@@ -63,8 +63,8 @@
 pub(crate) fn engine(i: usize, fence_check: FenceCheck) -> Upstream {
     let spec = EngineSpec {
         memory: Mebibytes(24_000),
-        sleep_watts: Watts(SLEEP),
-        active_watts: Watts(ACTIVE),
+        sleep_watts: Watts(SLEEP_WATTS),
+        active_watts: Watts(ACTIVE_WATTS),
         fence_check,
         concurrency: 4,
         order_mode: OrderMode::Parallel,
@@ -100,7 +100,7 @@
             .map(|i| HostSetup { host: name(&format!("host-{i}")), data_centre: name(DATA_CENTRES[i % 3]) })
             .collect(),
         upstreams,
-        document: document(4 * ACTIVE),
+        document: document(4 * ACTIVE_WATTS),
         seed,
         tick: Duration::from_millis(50),
         timings: Timings::default(),
--- a/crates/skylarkshore-standins/tests/world/whole_path.rs
+++ b/crates/skylarkshore-standins/tests/world/whole_path.rs
@@ -1,6 +1,8 @@
 //! Requests end to end in simulated time, without faults.
 
-use crate::support::{ACTIVE, ask_model, ask_once, assert_sound, at_secs, document, name, setup, world};
+use crate::support::{
+    ACTIVE_WATTS, ask_model, ask_once, assert_sound, at_secs, document, name, setup, world,
+};
 use std::time::Duration;
 
 use skylarkshore_core::id::{ModelName, RulesRevision};
@@ -106,7 +108,7 @@
 fn new_rules_are_in_force_everywhere_within_seconds() {
     let mut world = world(setup(30, 8), NoFaults);
     world.run_until(at_secs(20));
-    let mut rules = document(4 * ACTIVE);
+    let mut rules = document(4 * ACTIVE_WATTS);
     rules.revision = RulesRevision(2);
     world.apply_document(rules);
     world.run_for(Duration::from_millis(100));
