--- a/crates/skylarkshore-wire/src/document.rs
+++ b/crates/skylarkshore-wire/src/document.rs
@@ -1,5 +1,6 @@
 //! The operators' document: models, services, power caps and rules, as JSON with comments.
 //!
+//! It is stored under one key of the key-value service, which all hosts share.
 //! Start with [`DocumentWire`].
 
 mod check;
@@ -34,7 +35,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DocumentWire {
-    /// Number of accepted changes; in a file, the revision that the file was edited from.
+    /// Revision of the whole document, incremented by each successful `rules apply`. In a file to be
+    /// applied: the revision that the file was edited from.
     #[serde(default)]
     pub revision: u64,
     /// Power cap of each site in watts.
@@ -70,7 +72,8 @@
     /// Typical duration of a load from a local copy of the weights, if engines keep copies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub copy_load_times_ms: Option<CopyLoadTimesWire>,
-    /// Pool of engines that may load the model; any engine if absent.
+    /// Pool of engines that may load the model; any engine if absent. It is compared with the pool of
+    /// each engine, not with the keys of `services`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<ServiceName>,
     /// Adapters with their memory in MiB.
@@ -114,7 +117,8 @@
     pub concurrency: u32,
 }
 
-/// The rules on their own, without models, services or accounts.
+/// The rules without models, services or accounts: the form of a host's `default_rules` setting,
+/// which holds until operators apply a document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RulesWire {
@@ -168,7 +172,7 @@
     /// The time of day in UTC.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hours: Option<HoursWire>,
-    /// At least this percentage of the site's power is granted.
+    /// At least this percentage of the site's power is already granted to engines.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub power_pressure: Option<u64>,
     /// At least this percentage of the engines' memory is in use.
@@ -192,7 +196,8 @@
     pub to: String,
 }
 
-/// The outcome of a rule; an absent field has its default value.
+/// The outcome of a rule; an absent field has the value of [`RuleOutcome::default`], except that an
+/// absent `replicas_max` is raised to `replicas_min`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OutcomeWire {
@@ -211,10 +216,10 @@
     /// Refuses requests with this reason.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<String>,
-    /// Weight of one second of cold start in the cost.
+    /// Weight of one second of cold start in the costs that [`IdleAfterWire::Adaptive`] compares.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cold_start_weight: Option<u32>,
-    /// Weight of one second of an idle accelerator in the cost.
+    /// Weight of one second of an idle accelerator in the costs that [`IdleAfterWire::Adaptive`] compares.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_weight: Option<u32>,
 }
--- a/crates/skylarkshore-wire/src/peer.rs
+++ b/crates/skylarkshore-wire/src/peer.rs
@@ -3,6 +3,9 @@
 //! The enums here mirror those of the core, so that the core can change without
 //! changing the wire format. Variants are encoded by position: a variant may be
 //! added at the end, but never moved.
+//!
+//! The owner of an engine is the host that controls it; the homes of a model are
+//! the engines on which it may be loaded.
 
 mod credit;
 mod view;
@@ -29,7 +32,7 @@
 ///
 /// A host that is far behind receives all shared keys in one message: a document
 /// of up to a megabyte and, at the target size of a deployment, some 300 KB of
-/// members, owners and homes.
+/// keys of members (live hosts), owners of engines, and homes of models.
 pub const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
 /// Why a message isn't valid.
@@ -39,7 +42,9 @@
     #[display("a peer's message can't be decoded ({_0}); run the same version on all hosts")]
     Encoding(postcard::Error),
     /// The message exceeds [`MAX_MESSAGE_LEN`].
-    #[display("a message has {len} bytes, more than {MAX_MESSAGE_LEN}; shorten the operators' document")]
+    #[display(
+        "a message has {len} bytes, more than {MAX_MESSAGE_LEN}; shorten the operators' document, normally its largest part"
+    )]
     #[from(skip)]
     TooLarge {
         /// Size in bytes.
@@ -47,7 +52,7 @@
     },
     /// The message kind is no longer supported.
     #[display(
-        "a peer runs an earlier version whose news format isn't supported; its news is read elsewhere until all hosts run this version"
+        "a peer runs an earlier version whose format for relayed key changes isn't supported; this host reads the changes from the key-value service instead until all hosts run this version"
     )]
     #[from(skip)]
     Retired,
@@ -85,24 +90,28 @@
     Memory,
     /// Not enough power is available.
     Power,
-    /// The receiver doesn't own a home of the model.
+    /// The host that was asked owns none of the model's homes.
     NotOwner,
     /// The owner's lease is in doubt.
     OwnershipInDoubt,
     /// The engine can't be reached.
     EngineUnreachable,
-    /// The engine refuses the order.
+    /// The engine rejects the load.
     EngineRefuses,
-    /// The load takes too long.
+    /// The load takes longer than any waiting request can wait (`patience_ms`).
     TooSlow,
-    /// The load would take too long; another home may be faster.
+    /// The load ends after the soft deadline of the waiting requests (`aim_ms`); another home may be faster.
     Busy,
 }
 
 /// A message in its wire form. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[expect(missing_docs, reason = "the variants and fields are those of the core's PeerMessage")]
+#[expect(
+    missing_docs,
+    reason = "fields without a comment are those of the core's PeerMessage, News and StatePart"
+)]
 pub enum PeerMessageWire {
+    /// Sent by each host at intervals: its incarnation and how far its knowledge of shared keys goes.
     Heartbeat {
         incarnation: Incarnation,
         rules: RulesRevision,
@@ -110,112 +119,85 @@
         store_reachable: bool,
         leaving: bool,
     },
-    RecordsWanted {
-        after: StoreRevision,
-    },
-    Records {
-        after: Option<StoreRevision>,
-        upto: StoreRevision,
-        records: Vec<RecordWire>,
-    },
+    /// Asks for the changes of shared keys after a revision.
+    RecordsWanted { after: StoreRevision },
+    /// Shared keys that the receiver may lack.
+    Records { after: Option<StoreRevision>, upto: StoreRevision, records: Vec<RecordWire> },
+    /// From a host where requests wait for a model, to the owners of its homes; asks for views for a while.
     Wanted {
         target: TargetWire,
         waiting: u32,
         order: u16,
+        /// The core's `max_wait`.
         patience_ms: u64,
+        /// The core's `soft_deadline`.
         aim_ms: Option<u64>,
     },
+    /// From a host whose requests use a model, to the owners of its homes; asks for views for a while.
     Used {
         target: TargetWire,
         arrived: u32,
         late: u32,
+        /// The core's `run_time`.
         worked_ms: u64,
         waited_for: bool,
     },
+    /// State of an engine, from its owner.
     View(EngineViewWire),
-    CannotLoad {
-        target: TargetWire,
-        reason: CannotLoadWire,
-        retry_after_ms: u64,
-    },
+    /// Answer of an owner to `Wanted`.
+    CannotLoad { target: TargetWire, reason: CannotLoadWire, retry_after_ms: u64 },
+    /// Asks for a share of the weight store's bandwidth for a load.
     LoadSlotWanted {
         upstream: UpstreamId,
         model: ModelName,
         order: u16,
+        /// The core's `max_wait`.
         patience_ms: u64,
     },
-    LoadSlotQueued {
-        upstream: UpstreamId,
-        model: ModelName,
-        wait_ms: u64,
-    },
-    LoadSlotGranted {
-        upstream: UpstreamId,
-        model: ModelName,
-    },
-    LoadSlotReturned {
-        upstream: UpstreamId,
-        model: ModelName,
-    },
-    PowerWanted {
-        site: SiteName,
-        watts: u64,
-        order: u16,
-    },
-    Suspects {
-        upstream: UpstreamId,
-        incarnation: Option<Incarnation>,
-        requests: Vec<Digest>,
-        alone: bool,
-    },
-    SuspectsNoted {
-        requests: Vec<Digest>,
-    },
-    Cleared {
-        request: Digest,
-    },
+    /// Answer to `LoadSlotWanted`: the load has to wait.
+    LoadSlotQueued { upstream: UpstreamId, model: ModelName, wait_ms: u64 },
+    /// Answer to `LoadSlotWanted`: the load may start.
+    LoadSlotGranted { upstream: UpstreamId, model: ModelName },
+    /// The load has ended or is no longer wanted.
+    LoadSlotReturned { upstream: UpstreamId, model: ModelName },
+    /// From the owner of an engine that needs more power than it is granted.
+    PowerWanted { site: SiteName, watts: u64, order: u16 },
+    /// Requests that were in progress at an upstream when it died; `alone` if
+    /// nothing else ran there, which proves the request to be the cause.
+    Suspects { upstream: UpstreamId, incarnation: Option<Incarnation>, requests: Vec<Digest>, alone: bool },
+    /// Acknowledges `Suspects`.
+    SuspectsNoted { requests: Vec<Digest> },
+    /// A suspected request has completed and is no longer suspected.
+    Cleared { request: Digest },
+    /// Asks an engine's owner to let the sender run a suspected request alone on it.
     ReservationWanted {
         upstream: UpstreamId,
+        /// The core's `max_wait`.
         patience_ms: u64,
     },
-    ReservationReturned {
-        upstream: UpstreamId,
-    },
-    UpstreamLeaving {
-        upstream: UpstreamId,
-    },
-    UpstreamUnreachable {
-        upstream: UpstreamId,
-    },
-    LoadSlotHeld {
-        upstream: UpstreamId,
-        model: ModelName,
-    },
+    /// The sender no longer needs the engine for itself.
+    ReservationReturned { upstream: UpstreamId },
+    /// An upstream is about to leave and gets no new work.
+    UpstreamLeaving { upstream: UpstreamId },
+    /// An upstream doesn't answer the sender.
+    UpstreamUnreachable { upstream: UpstreamId },
+    /// The load is in progress and still uses its share.
+    LoadSlotHeld { upstream: UpstreamId, model: ModelName },
+    /// Credit of client accounts.
     Credit(CreditMessageWire),
-    /// Sent by earlier versions; see [`PackedNews`](Self::PackedNews).
-    News {
-        after: StoreRevision,
-        upto: StoreRevision,
-        body: String,
-    },
-    PackedNews {
-        after: StoreRevision,
-        upto: StoreRevision,
-        body: Vec<u8>,
-    },
+    /// Retired form of [`PackedNews`](Self::PackedNews), with a text body; sent by earlier versions only.
+    News { after: StoreRevision, upto: StoreRevision, body: String },
+    /// The core's `News`: changes of shared keys that the sender read or relays. The platform's store
+    /// packs the body; it is empty if nothing has changed.
+    PackedNews { after: StoreRevision, upto: StoreRevision, body: Vec<u8> },
+    /// From a host that has just started: asks for all shared keys.
     StateWanted,
+    /// Answer to `StateWanted`: the sender doesn't have all keys yet and sends them later.
     StateComing,
-    State {
-        series: u64,
-        upto: StoreRevision,
-        part: u32,
-        parts: u32,
-        body: Vec<u8>,
-    },
-    Spread {
-        origin: HostId,
-        message: Box<PeerMessageWire>,
-    },
+    /// One part of all shared keys.
+    State { series: u64, upto: StoreRevision, part: u32, parts: u32, body: Vec<u8> },
+    /// Broadcast from `origin`; each receiver forwards it to its children.
+    Spread { origin: HostId, message: Box<PeerMessageWire> },
 }
 
 /// Encodes a message for the wire.
