--- a/crates/skylarkctl/src/cli.rs
+++ b/crates/skylarkctl/src/cli.rs
@@ -89,7 +89,7 @@
 
 /// Why the command line isn't valid.
 #[derive(Debug, Display, Error, From)]
-pub enum Usage {
+pub enum UsageError {
     /// Invalid option.
     #[display("{_0}; see skylarkctl --help")]
     Option(getopts::Fail),
@@ -170,7 +170,7 @@
 /// # Errors
 ///
 /// The command is unknown, or an argument is missing or wrong.
-pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, Usage> {
+pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, UsageError> {
     let matches = options().parse(args)?;
     if matches.opt_present("help") {
         return Ok(Command::Help);
@@ -180,17 +180,17 @@
     }
     let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     let action = match words.as_slice() {
-        [] => return Err(Usage::NoCommand),
+        [] => return Err(UsageError::NoCommand),
         ["rules", rest @ ..] => parse_rules(&matches, rest)?,
         ["state", rest @ ..] => Action::State { host: parse_host(&matches, "state", rest)? },
         ["drain", rest @ ..] => Action::Drain { host: parse_host(&matches, "drain", rest)? },
         ["entry", rest @ ..] => Action::Entry { host: parse_host(&matches, "entry", rest)? },
-        [other, ..] => return Err(Usage::Unknown { command: (*other).to_owned() }),
+        [other, ..] => return Err(UsageError::Unknown { command: (*other).to_owned() }),
     };
     Ok(Command::Run(action))
 }
 
-fn parse_rules(matches: &Matches, words: &[&str]) -> Result<Action, Usage> {
+fn parse_rules(matches: &Matches, words: &[&str]) -> Result<Action, UsageError> {
     match words {
         ["check", rest @ ..] => Ok(Action::Check { file: parse_file("rules check", rest)? }),
         ["show"] => Ok(Action::Show {
@@ -207,28 +207,34 @@
             let host = address_option(matches, "rules explain", "host", HOST_EXAMPLE)?;
             Ok(Action::Explain { host, model: (*model).to_owned() })
         }
-        ["explain", ..] => Err(Usage::Arguments { command: "rules explain", needs: "one model or adapter" }),
-        ["show" | "history", ..] => Err(Usage::Arguments { command: "rules", needs: "no argument here" }),
-        other => Err(Usage::Unknown { command: format!("rules {}", other.join(" ")).trim_end().to_owned() }),
+        ["explain", ..] => {
+            Err(UsageError::Arguments { command: "rules explain", needs: "one model or adapter" })
+        }
+        ["show" | "history", ..] => {
+            Err(UsageError::Arguments { command: "rules", needs: "no argument here" })
+        }
+        other => {
+            Err(UsageError::Unknown { command: format!("rules {}", other.join(" ")).trim_end().to_owned() })
+        }
     }
 }
 
-fn parse_file(command: &'static str, words: &[&str]) -> Result<PathBuf, Usage> {
+fn parse_file(command: &'static str, words: &[&str]) -> Result<PathBuf, UsageError> {
     match words {
         [file] => Ok(file.into()),
-        _ => Err(Usage::Arguments { command, needs: "one file" }),
+        _ => Err(UsageError::Arguments { command, needs: "one file" }),
     }
 }
 
-fn parse_store(matches: &Matches, command: &'static str) -> Result<SocketAddr, Usage> {
+fn parse_store(matches: &Matches, command: &'static str) -> Result<SocketAddr, UsageError> {
     address_option(matches, command, "store", STORE_EXAMPLE)
 }
 
-fn parse_host(matches: &Matches, command: &'static str, words: &[&str]) -> Result<SocketAddr, Usage> {
+fn parse_host(matches: &Matches, command: &'static str, words: &[&str]) -> Result<SocketAddr, UsageError> {
     match words {
         [host] => parse_address(host, HOST_EXAMPLE),
         [] if matches.opt_present("host") => address_option(matches, command, "host", HOST_EXAMPLE),
-        _ => Err(Usage::Arguments { command, needs: "one operator address, for example 10.0.0.1:8082" }),
+        _ => Err(UsageError::Arguments { command, needs: "one operator address, for example 10.0.0.1:8082" }),
     }
 }
 
@@ -237,17 +243,17 @@
     command: &'static str,
     option: &'static str,
     example: &'static str,
-) -> Result<SocketAddr, Usage> {
-    let text = matches.opt_str(option).ok_or(Usage::Missing { command, option, example })?;
+) -> Result<SocketAddr, UsageError> {
+    let text = matches.opt_str(option).ok_or(UsageError::Missing { command, option, example })?;
     parse_address(&text, example)
 }
 
-fn parse_address(text: &str, example: &'static str) -> Result<SocketAddr, Usage> {
+fn parse_address(text: &str, example: &'static str) -> Result<SocketAddr, UsageError> {
     let plain = text.strip_prefix("http://").unwrap_or(text).trim_end_matches('/');
-    plain.parse().map_err(|_invalid| Usage::Address { text: text.to_owned(), example })
+    plain.parse().map_err(|_invalid| UsageError::Address { text: text.to_owned(), example })
 }
 
-fn parse_revision(matches: &Matches) -> Result<Option<RulesRevision>, Usage> {
-    let parse = |text: String| text.parse().map_err(|_invalid| Usage::Revision { text });
+fn parse_revision(matches: &Matches) -> Result<Option<RulesRevision>, UsageError> {
+    let parse = |text: String| text.parse().map_err(|_invalid| UsageError::Revision { text });
     matches.opt_str("revision").map(parse).transpose()
 }
--- a/crates/skylarkctl/src/diff.rs
+++ b/crates/skylarkctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! The difference between two documents, one line per changed value; see [`changes`].
+//! The difference between two documents, one line per changed value; see [`describe_changes`].
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 ///
 /// Each line identifies a value by its path. Rules are identified by name rather
 /// than by index, so that inserting a rule doesn't mark all later rules as changed.
-pub fn changes(from: &DocumentWire, to: &DocumentWire) -> String {
+pub fn describe_changes(from: &DocumentWire, to: &DocumentWire) -> String {
     let (from, to) = (flatten(from), flatten(to));
     let mut text = String::new();
     let paths: std::collections::BTreeSet<&String> = from.keys().chain(to.keys()).collect();
--- a/crates/skylarkctl/src/error.rs
+++ b/crates/skylarkctl/src/error.rs
@@ -88,7 +88,7 @@
 /// A change that conflicts with an earlier one by another operator.
 #[derive(Debug, Display, Error)]
 #[display(
-    "conflict: {} was edited from revision {edited}, but revision {in_force} is in force\n\
+    "conflict: {} was edited from revision {base_revision}, but revision {in_force} is in force\n\
      {changes}\
      take these changes over into the file, set its \"revision\" to {in_force}, and apply it again",
     path.display()
@@ -97,7 +97,7 @@
     /// The file.
     pub path: PathBuf,
     /// The revision that the file was edited from.
-    pub edited: RulesRevision,
+    pub base_revision: RulesRevision,
     /// The revision in force.
     pub in_force: RulesRevision,
     /// The changes since then, one per line.
--- a/crates/skylarkctl/src/rules.rs
+++ b/crates/skylarkctl/src/rules.rs
@@ -1,4 +1,6 @@
-//! The `rules` commands: check, show and apply the rules document, and list its history.
+//! The `rules` commands: check, show and apply the operators' document, and list its history.
+//!
+//! A [`RulesRevision`] counts revisions of the whole document, not only of its rules.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -11,7 +13,7 @@
 use skylarkshore_wire::keys::WriterWire;
 use tokio::time::sleep;
 
-use crate::diff::changes;
+use crate::diff::describe_changes;
 use crate::error::{Conflict, Error};
 use crate::store::{self, CurrentDocument, StoredDocument, WriteOutcome, unix_micros};
 
@@ -94,15 +96,15 @@
 pub(crate) async fn apply(
     store: SocketAddr,
     file: &Path,
-    revision: Option<RulesRevision>,
+    base_revision: Option<RulesRevision>,
 ) -> Result<String, Error> {
     let CheckedDocument { mut wire, warnings } = read_checked(file)?;
-    let edited = revision.unwrap_or(RulesRevision(wire.revision));
-    wire.revision = edited.next().0;
+    let base_revision = base_revision.unwrap_or(RulesRevision(wire.revision));
+    wire.revision = base_revision.next().0;
     let document = StoredDocument { writer: new_writer()?, value: wire };
     let in_force = store::read_current(store).await?;
-    if in_force.revision() != edited {
-        return Err(conflict_error(store, file, edited, &in_force).await);
+    if in_force.revision() != base_revision {
+        return Err(conflict_error(store, file, base_revision, &in_force).await);
     }
     write(store, file, &in_force, &document).await?;
     let accepted = document.value.revision;
@@ -120,12 +122,14 @@
     base: &CurrentDocument,
     document: &StoredDocument,
 ) -> Result<(), Error> {
-    let mut in_doubt = false;
+    // Once an attempt was sent, a later `NotSent` doesn't prove that nothing was written, and a
+    // conflict may come from the earlier attempt.
+    let mut was_sent = false;
     for _ in 0..MAX_WRITE_ATTEMPTS {
         match store::replace(store, base, document).await {
             WriteOutcome::Done => return Ok(()),
-            WriteOutcome::NotSent(err) if !in_doubt => return Err(err.into()),
-            WriteOutcome::Conflict | WriteOutcome::NotSent(_) | WriteOutcome::InDoubt => in_doubt = true,
+            WriteOutcome::NotSent(err) if !was_sent => return Err(err.into()),
+            WriteOutcome::Conflict | WriteOutcome::NotSent(_) | WriteOutcome::InDoubt => was_sent = true,
         }
         // The answer to this program's own write may have been lost. Reporting a conflict
         // would make the operator apply the change again, so the stored writer is compared.
@@ -157,20 +161,27 @@
 async fn conflict_error(
     store: SocketAddr,
     file: &Path,
-    edited: RulesRevision,
+    base_revision: RulesRevision,
     found: &CurrentDocument,
 ) -> Error {
     let in_force = found.revision();
-    let now = found.stored.as_ref().map(|stored| stored.value.clone()).unwrap_or_default();
-    let then = store::read_revision(store, edited).await.ok().flatten();
-    let changes = match then {
-        Some(then) => format!("what changed in between:\n{}", changes(&then.value, &now)),
-        None => format!("revision {edited} isn't kept, so see the whole with 'rules show'\n"),
+    let current_document = found.stored.as_ref().map(|stored| stored.value.clone()).unwrap_or_default();
+    let base_document = store::read_revision(store, base_revision).await.ok().flatten();
+    let changes = match base_document {
+        Some(base) => {
+            format!("what changed in between:\n{}", describe_changes(&base.value, &current_document))
+        }
+        None => format!(
+            "revision {base_revision} can't be read from the history; 'rules show' prints the current document\n"
+        ),
     };
-    Error::Conflict(Conflict { path: file.to_owned(), edited, in_force, changes })
+    Error::Conflict(Conflict { path: file.to_owned(), base_revision, in_force, changes })
 }
 
-/// Returns a writer unique to this run, so that the program can recognise its own write.
+/// Returns a writer identity unique to this run, so that the program can recognise its own write.
+///
+/// The host carries the user's name, which `rules history` prints as the author. The incarnation,
+/// which distinguishes the runs of a process, is the start time.
 fn new_writer() -> Result<WriterWire, Error> {
     let user = std::env::var("USER").unwrap_or_default();
     let host = format!("skylarkctl:{user}").parse::<HostId>();
--- a/crates/skylarkctl/src/store.rs
+++ b/crates/skylarkctl/src/store.rs
@@ -1,4 +1,4 @@
-//! The rules document and its history in the key-value service; see [`StoredDocument`].
+//! The operators' document and its history in the key-value service; see [`StoredDocument`].
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
