--- a/crates/skylarkshore/src/cli.rs
+++ b/crates/skylarkshore/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the entry host; start with [`main`].
+//! The command line of the entry host, the process that accepts client requests; start with [`main`].
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
 
 /// Why the command line isn't valid.
 #[derive(Debug, Display, Error, From)]
-pub enum Usage {
+pub enum UsageError {
     /// Invalid option.
     #[display("{_0}; see skylarkshore --help")]
     Option(getopts::Fail),
@@ -50,7 +50,7 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("c", "check", "check the settings file, tell all its errors, and stop");
+    options.optflag("c", "check", "check the settings file, report all errors, and exit");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// An option is unknown, or there isn't exactly one file.
-pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, Usage> {
+pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, UsageError> {
     let matches = options().parse(args)?;
     if matches.opt_present("help") {
         return Ok(Command::Help);
@@ -80,7 +80,7 @@
         return Ok(Command::Version);
     }
     let [file] = matches.free.as_slice() else {
-        return Err(Usage::Files { count: matches.free.len() });
+        return Err(UsageError::Files { count: matches.free.len() });
     };
     if matches.opt_present("check") {
         return Ok(Command::Check(file.into()));
@@ -93,8 +93,8 @@
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let command = match parse(args) {
         Ok(command) => command,
-        Err(usage) => {
-            eprintln!("skylarkshore: {usage}");
+        Err(err) => {
+            eprintln!("skylarkshore: {err}");
             return ExitCode::from(2);
         }
     };
@@ -124,7 +124,11 @@
     run::run(&|| Config::read(file), &platform)
 }
 
-/// Creates the platform that the settings select.
+/// Creates the platform that the settings select: the product's own, which uses etcd, or one with
+/// an external registry.
+///
+/// A platform provides the client of the key-value service and the protocols of upstreams, engines
+/// and callers.
 fn platform(config: &Config, incarnation: Incarnation) -> Box<dyn Platform> {
     match &config.platform {
         PlatformSettings::Etcd(settings) => run::own_platform(config, settings.clone(), incarnation),
