--- a/crates/skylarkshore/src/cli.rs
+++ b/crates/skylarkshore/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the entry host, the process that accepts client requests; start with [`main`].
+//! The command line of the entry host, which accepts client requests; start with [`main`].
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -124,8 +124,8 @@
     run::run(&|| Config::read(file), &platform)
 }
 
-/// Creates the platform that the settings select: the product's own, which uses etcd, or one with
-/// an external registry.
+/// Creates the platform that the settings select: the product's own, with etcd and a host
+/// list, or one whose upstreams register themselves in its key-value service.
 ///
 /// A platform provides the client of the key-value service and the protocols of upstreams, engines
 /// and callers.
