--- a/crates/skylarkshore-wire/src/document.rs
+++ b/crates/skylarkshore-wire/src/document.rs
@@ -172,7 +172,8 @@
     /// The time of day in UTC.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hours: Option<HoursWire>,
-    /// At least this percentage of the site's power is already granted to engines.
+    /// At least this percentage of the site's power is granted to engines. It isn't measured yet, so a
+    /// rule with this condition never matches.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub power_pressure: Option<u64>,
     /// At least this percentage of the engines' memory is in use.
